--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -9,8 +9,8 @@
 
 from gentianwharf.keyspace import (
     Former,
+    GrantManager,
     GrantTiming,
-    Keeper,
     Leadership,
     LoadSeen,
     Planner,
@@ -110,7 +110,7 @@
             stand_back_s=SMALL_STAND_BACK_S * max(0.0, 1.0 - settings.cores),
         )
         timing = GrantTiming(longest_grant_s=settings.agreements.longest_grant_s)
-        self._keeper = Keeper(
+        self._keeper = GrantManager(
             orders=ServerOrders(reactor=reactor), timing=timing, now_s=now_s
         )
         self._former = FormerLeader(
@@ -125,7 +125,7 @@
             leadership=self.leadership,
             leader_key=LEADER_KEY,
             table_prefix=TABLE_PREFIX,
-            keeper=self._keeper,
+            grant_manager=self._keeper,
             shards=SHARDS,
             now_s=now_s,
         )
--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -11,7 +11,14 @@
 
 import msgspec
 
-from gentianwharf.keyspace import Former, GrantTiming, Holder, Holds, Keeper, Leadership
+from gentianwharf.keyspace import (
+    Former,
+    GrantManager,
+    GrantTiming,
+    Holder,
+    Holds,
+    Leadership,
+)
 from gentianwharf.links import NngLink, dial
 from gentianwharf.logs import log
 
@@ -39,7 +46,7 @@
         self,
         *,
         name: LeaderItem,
-        keeper: Keeper,
+        keeper: GrantManager,
         leadership: Leadership,
         timing: GrantTiming,
         reactor: Any,
--- a/src/gentianwharf/keyspace/__init__.py
+++ b/src/gentianwharf/keyspace/__init__.py
@@ -2,7 +2,7 @@
 
 from ._demand import Demand, LoadSeen
 from ._former import Former, Holds
-from ._keeper import Keeper
+from ._grant_manager import GrantManager
 from ._leadership import Leadership
 from ._orders import Grant, HolderEndedError, Orders, Release
 from ._plan import Candidate, Losses, Plan, plan
@@ -20,7 +20,7 @@
     "Holder",
     "HolderEndedError",
     "Holds",
-    "Keeper",
+    "GrantManager",
     "KeyTable",
     "Leadership",
     "LoadSeen",
--- a/src/gentianwharf/keyspace/_keeper.py
+++ b/src/gentianwharf/keyspace/_grant_manager.py
@@ -45,7 +45,7 @@
 
 
 @final
-class Keeper:
+class GrantManager:
     """Grants and renews what the tables say, from taking over until it is stopped."""
 
     def __init__(self, *, orders: Orders, timing: GrantTiming, now_s: Clock) -> None:
--- a/src/gentianwharf/keyspace/_planner.py
+++ b/src/gentianwharf/keyspace/_planner.py
@@ -19,7 +19,7 @@
 
 from ._demand import Demand
 from ._former import Former
-from ._keeper import Keeper
+from ._grant_manager import GrantManager
 from ._leadership import Leadership, Term
 from ._moves import done
 from ._plan import Candidate, Losses, plan
@@ -82,7 +82,7 @@
         leadership: Leadership,
         leader_key: str,
         table_prefix: str,
-        keeper: Keeper,
+        grant_manager: GrantManager,
         shards: int,
         now_s: Clock,
     ) -> None:
@@ -93,7 +93,7 @@
         self._leadership = leadership
         self._leader_key = leader_key
         self._prefix = table_prefix
-        self._keeper = keeper
+        self._manager = grant_manager
         self._shards = shards
         self._now_s = now_s
         self._services: dict[str, _Service] = {}
@@ -142,17 +142,17 @@
         if not any(row.table.spans for row in self._services.values()):
             # Nothing is granted without a table in the store.
             held_s = 0.0
-        own = self._keeper.lives.holds()
-        self._keeper.take_over(self._leadership.heard_s, held_s=held_s)
+        own = self._manager.lives.holds()
+        self._manager.take_over(self._leadership.heard_s, held_s=held_s)
         if former is not None and held_s is None:
             if former.value == self._leadership.value:
-                self._keeper.lives.note_holds(own)
+                self._manager.lives.note_holds(own)
             else:
                 self.on_former(former)
         for service in self._services.values():
             service.due_s = 0.0
             service.planned_for = None
-            self._keeper.follow(service.table)
+            self._manager.follow(service.table)
 
     def _settle(self, now_s: float) -> None:
         """Leave word for the next leader that it need not know of those before."""
@@ -225,8 +225,8 @@
             if now_s >= self._read_due_s:
                 self._read_tables()
             return
-        self._keeper.note_heard(self._leadership.heard_s)
-        if not self._has_settled and self._keeper.lives.is_settled():
+        self._manager.note_heard(self._leadership.heard_s)
+        if not self._has_settled and self._manager.lives.is_settled():
             self._settle(now_s)
         for row in self._services.values():
             if not row.writing and now_s >= row.due_s and self._is_settled(row, now_s):
@@ -260,7 +260,7 @@
         row.planned_for = reached
         if planned.cold_load:
             row.cold.append((now_s, planned.cold_load))
-        cleaned = done(planned.table, self._keeper.moved(row.name))
+        cleaned = done(planned.table, self._manager.moved(row.name))
         if planned.table is row.table and (
             cleaned is None or not self._is_clean_up_due(row, now_s)
         ):
@@ -275,7 +275,7 @@
             row.cold.popleft()
         cold = sum(load for _, load in row.cold)
         room = cold_room(row.demand, reached) - cold
-        return Losses(holders=self._keeper.lives.unreachable(), room=room)
+        return Losses(holders=self._manager.lives.unreachable(), room=room)
 
     def _is_changed(self, row: _Service) -> bool:
         return row.planned_for != self._reached(row) or not row.table.spans
@@ -286,7 +286,7 @@
         When it can't reach most of them, this host is the one that is cut off: then
         nothing moves, and somebody else should lead.
         """
-        lost = self._keeper.lives.unreachable()
+        lost = self._manager.lives.unreachable()
         reached = [one for one in row.candidates if one.holder not in lost]
         if len(reached) * 2 > len(row.candidates):
             return reached
@@ -351,7 +351,7 @@
         if revision <= row.revision:
             return
         row.table, row.revision = table, revision
-        self._keeper.follow(table)
+        self._manager.follow(table)
         self.on_table(table)
 
 
--- a/src/gentianwharf/keyspace/_rows.py
+++ b/src/gentianwharf/keyspace/_rows.py
@@ -1,4 +1,4 @@
-"""What the keeper knows of spans and of their holders, as rows of its tables."""
+"""What the manager knows of spans and of their holders, as rows of its tables."""
 
 from collections import deque
 from dataclasses import dataclass, field
--- a/tests/builders_keyspace.py
+++ b/tests/builders_keyspace.py
@@ -15,10 +15,10 @@
 from gentianwharf.keyspace import (
     Candidate,
     Grant,
+    GrantManager,
     GrantTiming,
     Holder,
     HolderEndedError,
-    Keeper,
     KeyTable,
     Release,
     Span,
@@ -185,30 +185,30 @@
         return done
 
 
-def keeper_of(
+def manager_of(
     servers: Servers, *, granted: Callable[[str, Span], None] | None = None
-) -> Keeper:
-    """Return a keeper that leads since now."""
+) -> GrantManager:
+    """Return a manager that leads since now."""
     clock = servers.clock
-    keeper = Keeper(orders=servers, timing=TIMING, now_s=clock.seconds)
+    manager = GrantManager(orders=servers, timing=TIMING, now_s=clock.seconds)
     if granted is not None:
-        keeper.on_granted = granted
-    keeper.take_over(clock.seconds())
-    return keeper
+        manager.on_granted = granted
+    manager.take_over(clock.seconds())
+    return manager
 
 
-def run_keeper(
-    keeper: Keeper,
+def run_manager(
+    manager: GrantManager,
     clock: Clock,
     duration_s: float,
     *,
     look: Callable[[], None] = lambda: None,
     heard: bool = True,
 ) -> None:
-    """Let a keeper work, with the store heard all the while unless told otherwise."""
+    """Let a manager work, with the store heard all the while unless told otherwise."""
     for _ in range(round(duration_s / 0.05)):
         if heard:
-            keeper.note_heard(clock.seconds())
-        keeper.tick()
+            manager.note_heard(clock.seconds())
+        manager.tick()
         look()
         clock.advance(0.05)
--- a/tests/builders_keyspace_hosts.py
+++ b/tests/builders_keyspace_hosts.py
@@ -13,7 +13,7 @@
     PeerUnavailableError,
 )
 from gentianwharf.keyspace import (
-    Keeper,
+    GrantManager,
     Leadership,
     Planner,
 )
@@ -190,7 +190,7 @@
 
 @dataclass
 class LeadingHost:
-    """One host's leadership, planner and keeper, wired as an entry host does it."""
+    """One host's leadership, planner and manager, wired as an entry host does it."""
 
     name: str
     store: SimpleStore
@@ -209,18 +209,20 @@
             now_s=clock.seconds,
             rng=Middle(),  # type: ignore[arg-type]
         )
-        self.keeper = Keeper(orders=self.servers, timing=TIMING, now_s=clock.seconds)
+        self.manager = GrantManager(
+            orders=self.servers, timing=TIMING, now_s=clock.seconds
+        )
         self.planner = Planner(
             store=store,
             leadership=self.leadership,
             leader_key=LEADER_KEY,
             table_prefix=TABLE_PREFIX,
-            keeper=self.keeper,
+            grant_manager=self.manager,
             shards=SHARDS,
             now_s=clock.seconds,
         )
         self.leadership.on_gained = self.planner.note_gained
-        self.leadership.on_lost = self.keeper.stop
+        self.leadership.on_lost = self.manager.stop
         self.planner.set_services({SERVICE: 5.0})
         self.store.listeners.append(self.note_item)
         self.leadership.note_item(self.store.items_by_key.get(LEADER_KEY))
@@ -254,7 +256,7 @@
         """Do what is due."""
         self.leadership.tick()
         self.planner.tick()
-        self.keeper.tick()
+        self.manager.tick()
 
     @property
     def leads(self) -> bool:
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -12,11 +12,18 @@
 from gentianwharf.entryhost import _former_leader
 from gentianwharf.entryhost._former_leader import FormerLeader
 from gentianwharf.entryhost._messages import AskedHolds, LeaderItem, ToldHolds
-from gentianwharf.keyspace import Former, Holder, Keeper, KeyTable, Leadership, Span
-from gentianwharf.keyspace._keeper import GRANT_TIMEOUT_S
+from gentianwharf.keyspace import (
+    Former,
+    GrantManager,
+    Holder,
+    KeyTable,
+    Leadership,
+    Span,
+)
+from gentianwharf.keyspace._grant_manager import GRANT_TIMEOUT_S
 from gentianwharf.keyspace._leadership import Term
 from gentianwharf.keyspace._timing import CLOCK_DRIFT, MARGIN_S
-from tests.builders_keyspace import SERVICE, TIMING, run_keeper
+from tests.builders_keyspace import SERVICE, TIMING, run_manager
 from tests.builders_keyspace_hosts import SimpleStore
 from tests.builders_lives import Addresses, Way
 from tests.builders_store import LinkNet
@@ -30,7 +37,7 @@
     """One host's keeper and its part as a former or a new leader."""
 
     name: LeaderItem
-    keeper: Keeper
+    keeper: GrantManager
     leadership: Leadership
     former: FormerLeader
 
@@ -65,7 +72,9 @@
             now_s=clock.seconds,
             rng=Random(number),
         )
-        keeper = Keeper(orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds)
+        keeper = GrantManager(
+            orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds
+        )
         former = FormerLeader(
             name=name,
             keeper=keeper,
@@ -124,7 +133,7 @@
     """Return a leader that hears the store no more, and the next one."""
     former, leader = place.host(1), place.host(2)
     place.lead(former, revision=5)
-    run_keeper(former.keeper, place.clock, 20.0)
+    run_manager(former.keeper, place.clock, 20.0)
     place.addresses.living[place.lost.address].is_silent = True
     return former, leader
 
@@ -185,7 +194,7 @@
     place.lead(leader, revision=9)
     leader.former.ask(former.word())
     assert former.leadership.leads
-    run_keeper(former.keeper, place.clock, 0.1)
+    run_manager(former.keeper, place.clock, 0.1)
     assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
 
 
--- a/tests/test_keyspace_keeper.py
+++ b/tests/test_keyspace_keeper.py
@@ -3,13 +3,13 @@
 import logbook
 from twisted.internet.task import Clock
 
-from gentianwharf.keyspace._keeper import MOST_ORDERS
+from gentianwharf.keyspace._grant_manager import MOST_ORDERS
 from tests.builders_keyspace import (
     GrantingServer,
     Servers,
     holder,
-    keeper_of,
-    run_keeper,
+    manager_of,
+    run_manager,
     span,
     table,
 )
@@ -18,10 +18,10 @@
 def test_grants_are_renewed_before_they_run_out() -> None:
     clock = Clock()
     servers = Servers(clock, 1)
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 0.1)
-    run_keeper(keeper, clock, 20.0, look=lambda: _assert_holds(servers[1], 5))
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 0.1)
+    run_manager(manager, clock, 20.0, look=lambda: _assert_holds(servers[1], 5))
 
 
 def _assert_holds(server: GrantingServer, shard: int) -> None:
@@ -37,24 +37,24 @@
     clock = Clock()
     servers = Servers(clock, 1, 2)
     servers[1].release_takes_s = 0.5
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 1.0)
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    run_keeper(keeper, clock, 0.4)
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 1.0)
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    run_manager(manager, clock, 0.4)
     assert not servers[2].holds(5)
-    run_keeper(keeper, clock, 0.4)
+    run_manager(manager, clock, 0.4)
     assert servers[2].holds(5)
 
 
 def test_handover_goes_to_the_next_holder() -> None:
     clock = Clock()
     servers = Servers(clock, 1, 2)
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 1.0)
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    run_keeper(keeper, clock, 0.2)
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 1.0)
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    run_manager(manager, clock, 0.2)
     assert servers[2].orders[0].handover == "handover of 10.0.0.1:80"  # type: ignore[union-attr]
 
 
@@ -67,13 +67,13 @@
     clock = Clock()
     servers = Servers(clock, 1, 2)
     servers[1].drift = 1.02
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
     # Past the time in which an earlier leader's grants may still hold.
-    run_keeper(keeper, clock, 16.0)
+    run_manager(manager, clock, 16.0)
     servers[1].is_silent = True
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    run_keeper(keeper, clock, 8.0, look=lambda: _assert_one(servers, 5))
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    run_manager(manager, clock, 8.0, look=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
 
 
@@ -90,11 +90,11 @@
     clock = Clock()
     servers = Servers(clock, 1, 2)
     servers[1].is_silent = True
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    run_keeper(keeper, clock, 15.0)
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    run_manager(manager, clock, 15.0)
     assert not servers[2].holds(5)
-    run_keeper(keeper, clock, 1.0)
+    run_manager(manager, clock, 1.0)
     assert servers[2].holds(5)
 
 
@@ -102,12 +102,12 @@
     """A renewal overtaken by the release gives the former holder its keys again."""
     clock = Clock()
     servers = Servers(clock, 1, 2)
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 0.1)
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 0.1)
     late = servers[1].orders[0]
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    run_keeper(keeper, clock, 0.2)
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    run_manager(manager, clock, 0.2)
     try:
         servers[1].take_grant(late)  # type: ignore[arg-type]
     except Exception as error:
@@ -122,13 +122,13 @@
     """
     clock = Clock()
     servers = Servers(clock, 1)
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 1.0)
-    run_keeper(keeper, clock, 20.0, heard=False)
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 1.0)
+    run_manager(manager, clock, 20.0, heard=False)
     assert not servers[1].holds(5)
     renewals = len(servers[1].orders)
-    run_keeper(keeper, clock, 5.0, heard=False)
+    run_manager(manager, clock, 5.0, heard=False)
     assert len(servers[1].orders) == renewals
 
 
@@ -136,11 +136,11 @@
     """The store is away for ten seconds, and no key is served for most of them."""
     clock = Clock()
     servers = Servers(clock, 1)
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 3.0)
-    run_keeper(
-        keeper, clock, 12.0, heard=False, look=lambda: _assert_holds(servers[1], 5)
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 3.0)
+    run_manager(
+        manager, clock, 12.0, heard=False, look=lambda: _assert_holds(servers[1], 5)
     )
 
 
@@ -152,13 +152,13 @@
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 16.0)
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 16.0)
     servers[1].is_unreachable = True
-    run_keeper(keeper, clock, 3.0)
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    run_keeper(keeper, clock, 1.0, look=lambda: _assert_one(servers, 5))
+    run_manager(manager, clock, 3.0)
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    run_manager(manager, clock, 1.0, look=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
 
 
@@ -166,11 +166,11 @@
     """A server was born again, and answers at its address for its former life."""
     clock = Clock()
     servers = Servers(clock, 1, 2)
-    keeper = keeper_of(servers)
+    manager = manager_of(servers)
     servers.by_address[holder(1).address] = GrantingServer(clock=clock, id="s1")
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    keeper.note_listed([holder(1, born_ms=2)])
-    run_keeper(keeper, clock, 0.2)
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.note_listed([holder(1, born_ms=2)])
+    run_manager(manager, clock, 0.2)
     assert servers[2].holds(5)
 
 
@@ -182,10 +182,10 @@
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
-    keeper = keeper_of(servers)
+    manager = manager_of(servers)
     servers.by_address[holder(1).address] = GrantingServer(clock=clock, id="other")
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    run_keeper(keeper, clock, 0.2)
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    run_manager(manager, clock, 0.2)
     assert servers[2].holds(5)
 
 
@@ -197,17 +197,17 @@
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 16.0)
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 16.0)
     successor = GrantingServer(clock=clock, id="s9")
     servers.by_address[holder(1).address] = successor
-    run_keeper(keeper, clock, 2.0)
+    run_manager(manager, clock, 2.0)
     assert not successor.orders
-    assert keeper.lives.unreachable() == {holder(1)}
+    assert manager.lives.unreachable() == {holder(1)}
     # The first one has ended, and nobody has to wait for its grant.
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    run_keeper(keeper, clock, 0.5)
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    run_manager(manager, clock, 0.5)
     assert servers[2].holds(5)
 
 
@@ -215,11 +215,11 @@
     clock = Clock()
     servers = Servers(clock, 1)
     servers[1].is_silent = True
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 0.3)
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 0.3)
     servers[1].is_silent = False
-    run_keeper(keeper, clock, 1.0)
+    run_manager(manager, clock, 1.0)
     assert servers[1].holds(5)
 
 
@@ -231,31 +231,31 @@
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
-    keeper = keeper_of(servers)
-    keeper.note_listed([holder(1), holder(2)])
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 16.0)
-    assert not keeper.lives.unreachable()
+    manager = manager_of(servers)
+    manager.note_listed([holder(1), holder(2)])
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 16.0)
+    assert not manager.lives.unreachable()
     servers[1].is_unreachable = True
-    run_keeper(keeper, clock, 2.0)
-    assert keeper.lives.unreachable() == {holder(1)}
-    keeper.follow(table(span(0, 9, 2, token=2, former=(1,))))
-    run_keeper(keeper, clock, 2.0, look=lambda: _assert_one(servers, 5))
+    run_manager(manager, clock, 2.0)
+    assert manager.lives.unreachable() == {holder(1)}
+    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    run_manager(manager, clock, 2.0, look=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
     servers[1].is_unreachable = False
-    run_keeper(keeper, clock, 1.0)
-    assert not keeper.lives.unreachable()
+    run_manager(manager, clock, 1.0)
+    assert not manager.lives.unreachable()
 
 
 def test_host_that_leads_no_more_gives_no_orders() -> None:
     clock = Clock()
     servers = Servers(clock, 1)
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
-    run_keeper(keeper, clock, 1.0)
-    keeper.stop()
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
+    run_manager(manager, clock, 1.0)
+    manager.stop()
     orders = len(servers[1].orders)
-    run_keeper(keeper, clock, 5.0)
+    run_manager(manager, clock, 5.0)
     assert len(servers[1].orders) == orders
 
 
@@ -264,10 +264,10 @@
     clock = Clock()
     servers = Servers(clock, 1)
     servers[1].tokens = dict.fromkeys(range(10), 9)
-    keeper = keeper_of(servers)
-    keeper.follow(table(span(0, 9, 1)))
+    manager = manager_of(servers)
+    manager.follow(table(span(0, 9, 1)))
     with logbook.TestHandler(level="INFO") as handler:
-        run_keeper(keeper, clock, 10.0)
+        run_manager(manager, clock, 10.0)
     refused = [one for one in handler.records if one.message == "grant refused"]
     assert len(refused) == 1
     assert len(servers[1].orders) > 10
@@ -281,13 +281,13 @@
     """
     clock = Clock()
     servers = Servers(clock, *range(1, 86))
-    keeper = keeper_of(servers)
+    manager = manager_of(servers)
     spans = [span(3 * n, 3 * n + 2, 1 + n % 85) for n in range(300)]
     for one in range(1, 86):
         servers[one].late_s = 0.01
-    keeper.follow(table(*spans))
-    keeper.note_heard(clock.seconds())
-    keeper.tick()
+    manager.follow(table(*spans))
+    manager.note_heard(clock.seconds())
+    manager.tick()
     assert sum(len(servers[one].orders) for one in range(1, 86)) <= MOST_ORDERS
 
 
@@ -295,30 +295,30 @@
     """A failure domain with a third of the servers is lost at once."""
     clock = Clock()
     servers = Servers(clock, *range(1, 86))
-    keeper = keeper_of(servers)
+    manager = manager_of(servers)
     spans = [span(3 * n, 3 * n + 2, 1 + n % 85) for n in range(300)]
-    keeper.follow(table(*spans))
-    run_keeper(keeper, clock, 3.0)
+    manager.follow(table(*spans))
+    run_manager(manager, clock, 3.0)
     for one in range(1, 30):
         servers[one].is_silent = True
-    run_keeper(keeper, clock, 1.0)
+    run_manager(manager, clock, 1.0)
 
     def look() -> None:
         for one in spans[40:85]:
             assert servers.by_address[one.holder.address].holds(one.first)
 
-    run_keeper(keeper, clock, 10.0, look=look)
+    run_manager(manager, clock, 10.0, look=look)
 
 
 def test_silent_server_that_answers_again_gets_all_its_shards_back() -> None:
     clock = Clock()
     servers = Servers(clock, 1, 2)
-    keeper = keeper_of(servers)
+    manager = manager_of(servers)
     spans = [span(10 * n, 10 * n + 9, 1 + n % 2) for n in range(20)]
-    keeper.follow(table(*spans))
-    run_keeper(keeper, clock, 1.0)
+    manager.follow(table(*spans))
+    run_manager(manager, clock, 1.0)
     servers[1].is_silent = True
-    run_keeper(keeper, clock, 5.0)
+    run_manager(manager, clock, 5.0)
     servers[1].is_silent = False
-    run_keeper(keeper, clock, 5.0)
+    run_manager(manager, clock, 5.0)
     assert all(servers[1].holds(one.first) for one in spans[::2])
--- a/tests/test_keyspace_model.py
+++ b/tests/test_keyspace_model.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from gentianwharf.keyspace import Holder, Holds, Keeper, KeyTable, Span
+from gentianwharf.keyspace import GrantManager, Holder, Holds, KeyTable, Span
 from gentianwharf.keyspace._moves import done
 from gentianwharf.keyspace._timing import LEADER_LEASE_S
 from tests.builders_keyspace import SERVICE, TIMING
@@ -33,9 +33,9 @@
 
 @dataclass
 class Host:
-    """One host's keeper, and what it has heard of servers' entries."""
+    """One host's manager, and what it has heard of servers' entries."""
 
-    keeper: Keeper
+    manager: GrantManager
     way: Way
     started_s: float
     heard_s: float = 0.0
@@ -74,15 +74,15 @@
         self.table = KeyTable(service=SERVICE, highest_token=1, spans=spans)
         for host in self.hosts:
             host.listed.update({one.server_id: one for one in self.addresses.entries})
-            host.keeper.note_listed(host.listed.values())
-        self.hosts[0].keeper.take_over(self.clock.seconds(), held_s=0.0)
-        self.hosts[0].keeper.follow(self.table)
+            host.manager.note_listed(host.listed.values())
+        self.hosts[0].manager.take_over(self.clock.seconds(), held_s=0.0)
+        self.hosts[0].manager.follow(self.table)
         self.word = Word(number=0, host=self.hosts[0])
 
     def _host(self) -> Host:
         way = Way(self.addresses)
-        keeper = Keeper(orders=way, timing=TIMING, now_s=self.clock.seconds)
-        return Host(keeper=keeper, way=way, started_s=self.clock.seconds())
+        manager = GrantManager(orders=way, timing=TIMING, now_s=self.clock.seconds)
+        return Host(manager=manager, way=way, started_s=self.clock.seconds())
 
     # Steps. Each does nothing where it does not fit.
 
@@ -96,13 +96,13 @@
         listed = self.hosts[host % HOSTS].listed
         listed.pop(one.server_id, None)
         listed[one.server_id] = one
-        self.hosts[host % HOSTS].keeper.note_listed(listed.values())
+        self.hosts[host % HOSTS].manager.note_listed(listed.values())
 
     def hear_lapse(self, host: int, entry: int) -> None:
         one = self.hosts[host % HOSTS]
         if one.listed:
             one.listed.pop(sorted(one.listed)[entry % len(one.listed)])
-            one.keeper.note_listed(one.listed.values())
+            one.manager.note_listed(one.listed.values())
 
     def end_server(self, address: int, _: int) -> None:
         where = ADDRESSES[address % len(ADDRESSES)]
@@ -151,9 +151,9 @@
         host = self.hosts[self.leader]
         if not host.listed or self.clock.seconds() >= host.heard_s + LEADER_LEASE_S:
             return
-        lost = host.keeper.lives.unreachable()
+        lost = host.manager.lives.unreachable()
         holder = list(host.listed.values())[-1 - entry % len(host.listed)]
-        table = done(self.table, host.keeper.moved(SERVICE)) or self.table
+        table = done(self.table, host.manager.moved(SERVICE)) or self.table
         chosen = table.spans[span % len(table.spans)]
         if holder in lost or holder == chosen.holder:
             return
@@ -168,7 +168,7 @@
         )
         spans = tuple(moved if one is chosen else one for one in table.spans)
         self.table = KeyTable(service=SERVICE, highest_token=token, spans=spans)
-        host.keeper.follow(self.table)
+        host.manager.follow(self.table)
 
     def lose_store(self, _: int, __: int) -> None:
         """Let the leader hear the store no more, nor that it is replaced."""
@@ -178,10 +178,10 @@
 
     def resign(self, _: int, __: int) -> None:
         if self.leader is not None:
-            keeper = self.hosts[self.leader].keeper
+            manager = self.hosts[self.leader].manager
             assert self.word is not None
-            self.word.held_s, self.word.is_settled = keeper.lives.held_s(), True
-            keeper.stop()
+            self.word.held_s, self.word.is_settled = manager.lives.held_s(), True
+            manager.stop()
             self.lost_s = self.clock.seconds()
             self.leader = None
 
@@ -191,7 +191,7 @@
         if number == self.leader:
             self.lose_store(0, 0)
         former = self.hosts[number]
-        former.keeper.stop()
+        former.manager.stop()
         self.hosts[number] = self._host()
 
     def lead(self, host: int, _: int) -> None:
@@ -204,14 +204,14 @@
         word = self.former
         if self.leader is None or word is None or word.held_s is not None:
             return
-        keeper, asked = self.hosts[self.leader].keeper, self.hosts[word.number]
+        manager, asked = self.hosts[self.leader].manager, self.hosts[word.number]
         if asked is word.host:
-            asked.keeper.stop()
-            keeper.lives.note_holds(asked.keeper.lives.holds())
+            asked.manager.stop()
+            manager.lives.note_holds(asked.manager.lives.holds())
         elif word.is_settled:
             ended_s = self.clock.seconds() - asked.started_s
             left_s = TIMING.ended_until_s(ended_s=0.0) - ended_s
-            keeper.lives.note_holds(Holds(others_s=max(0.0, left_s)))
+            manager.lives.note_holds(Holds(others_s=max(0.0, left_s)))
         self.former = None
 
     def _take_over(self, number: int) -> None:
@@ -220,14 +220,14 @@
         self.former, self.word = self.word, Word(number=number, host=host)
         assert self.former is not None
         held_s = self.former.held_s
-        host.keeper.stop()
-        own = host.keeper.lives.holds()
+        host.manager.stop()
+        own = host.manager.lives.holds()
         host.heard_s = self.clock.seconds()
-        host.keeper.take_over(host.heard_s, held_s=held_s)
+        host.manager.take_over(host.heard_s, held_s=held_s)
         if self.former.host is host and held_s is None:
-            host.keeper.lives.note_holds(own)
+            host.manager.lives.note_holds(own)
             self.former = None
-        host.keeper.follow(self.table)
+        host.manager.follow(self.table)
 
     def run(self, duration_s: float) -> None:
         """Let everybody work, and look at every tick."""
@@ -235,10 +235,10 @@
             for number, host in enumerate(self.hosts):
                 if number == self.leader:
                     host.heard_s = self.clock.seconds()
-                    host.keeper.note_heard(host.heard_s)
+                    host.manager.note_heard(host.heard_s)
                     assert self.word is not None
-                    self.word.is_settled |= host.keeper.lives.is_settled()
-                host.keeper.tick()
+                    self.word.is_settled |= host.manager.lives.is_settled()
+                host.manager.tick()
             self.clock.advance(TICK_S)
             self.look()
 
--- a/tests/test_keyspace_order_of_news.py
+++ b/tests/test_keyspace_order_of_news.py
@@ -5,8 +5,8 @@
 import pytest
 from twisted.internet.task import Clock
 
-from gentianwharf.keyspace import Holder, Keeper, KeyTable, Span
-from tests.builders_keyspace import SERVICE, TIMING, run_keeper
+from gentianwharf.keyspace import GrantManager, Holder, KeyTable, Span
+from tests.builders_keyspace import SERVICE, TIMING, run_manager
 from tests.builders_lives import Addresses, Way
 
 X, Y, Z = "10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"
@@ -62,25 +62,25 @@
     """Two servers run bookings of one key for seconds.
 
     A server ended and another got its address. Then the ended one's entry appears once
-    more: it was written late, or told late. The keeper took the living one for ended,
+    more: it was written late, or told late. The manager took the living one for ended,
     neither told it to release its keys nor waited, and granted them to a third.
     """
     clock = Clock()
     addresses = Addresses(clock)
     addresses.start(case.living.server_id, X, born_ms=case.living.born_ms)
     other = addresses.start("c", Y)
-    keeper = Keeper(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
-    keeper.take_over(clock.seconds())
-    keeper.note_listed([case.living, other])
-    keeper.follow(_table(case.living, 1))
-    run_keeper(keeper, clock, 20.0)
+    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager.take_over(clock.seconds())
+    manager.note_listed([case.living, other])
+    manager.follow(_table(case.living, 1))
+    run_manager(manager, clock, 20.0)
     assert addresses.holders(SHARD) == [case.living]
     # Told to release, it would answer late; its grant lasts for as long.
     addresses.living[X].is_silent = True
     news = {"living": case.living, "former": case.former}
-    keeper.note_listed([*(news[one] for one in case.listed), other])
-    keeper.follow(_table(other, 2, former=(case.living,)))
-    run_keeper(keeper, clock, 5.0, look=lambda: _assert_one(addresses))
+    manager.note_listed([*(news[one] for one in case.listed), other])
+    manager.follow(_table(other, 2, former=(case.living,)))
+    run_manager(manager, clock, 5.0, look=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
 
@@ -95,17 +95,17 @@
     addresses = Addresses(clock)
     first_life = addresses.start("a", X, born_ms=10)
     other = addresses.start("c", Y)
-    keeper = Keeper(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
-    keeper.take_over(clock.seconds())
-    keeper.follow(_table(first_life, 1))
-    run_keeper(keeper, clock, 20.0)
+    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager.take_over(clock.seconds())
+    manager.follow(_table(first_life, 1))
+    run_manager(manager, clock, 20.0)
     addresses.end(X)
     next_life = addresses.start("a", X, born_ms=20)
-    run_keeper(keeper, clock, 1.0)
+    run_manager(manager, clock, 1.0)
     assert addresses.holders(SHARD) == [next_life]
-    keeper.note_listed([next_life, other])
-    keeper.follow(_table(other, 2, former=(first_life,)))
-    run_keeper(keeper, clock, 1.0, look=lambda: _assert_one(addresses))
+    manager.note_listed([next_life, other])
+    manager.follow(_table(other, 2, former=(first_life,)))
+    run_manager(manager, clock, 1.0, look=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
 
@@ -120,24 +120,24 @@
     addresses = Addresses(clock)
     first_life = addresses.start("a", X)
     other = addresses.start("c", Y)
-    keepers = [
-        Keeper(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    managers = [
+        GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
         for _ in range(2)
     ]
-    former, leader = keepers
+    former, leader = managers
     former.take_over(clock.seconds())
     former.follow(_table(first_life, 1))
-    run_keeper(former, clock, 20.0)
-    run_keeper(former, clock, 2.0, heard=False)
+    run_manager(former, clock, 20.0)
+    run_manager(former, clock, 2.0, heard=False)
     leader.take_over(clock.seconds())
     leader.follow(_table(first_life, 1))
     leader.follow(_table(other, 2, former=(first_life,)))
-    run_keeper(leader, clock, 0.2)
+    run_manager(leader, clock, 0.2)
     assert addresses.holders(SHARD) == [other]
     addresses.end(X)
-    run_keeper(former, clock, 1.0, heard=False)
+    run_manager(former, clock, 1.0, heard=False)
     addresses.start("a", X)
-    run_keeper(former, clock, 1.5, heard=False, look=lambda: _assert_one(addresses))
+    run_manager(former, clock, 1.5, heard=False, look=lambda: _assert_one(addresses))
 
 
 @pytest.mark.parametrize("passed_on", [1, 2], ids=["once", "twice"])
@@ -147,15 +147,15 @@
     addresses = Addresses(clock)
     ended = addresses.start("a", X)
     other = addresses.start("c", Y)
-    keeper = Keeper(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
-    keeper.take_over(clock.seconds())
-    keeper.follow(_table(ended, 1))
-    run_keeper(keeper, clock, 1.0)
+    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager.take_over(clock.seconds())
+    manager.follow(_table(ended, 1))
+    run_manager(manager, clock, 1.0)
     for number in range(passed_on):
         addresses.end(X)
         addresses.start(f"next-{number}", X)
-    keeper.follow(_table(other, 2, former=(ended,)))
-    run_keeper(keeper, clock, 0.2, look=lambda: _assert_one(addresses))
+    manager.follow(_table(other, 2, former=(ended,)))
+    run_manager(manager, clock, 0.2, look=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
 
--- a/tests/test_keyspace_renewals.py
+++ b/tests/test_keyspace_renewals.py
@@ -2,8 +2,8 @@
 
 from twisted.internet.task import Clock
 
-from gentianwharf.keyspace import Keeper, KeyTable, Span
-from tests.builders_keyspace import SERVICE, TIMING, run_keeper
+from gentianwharf.keyspace import GrantManager, KeyTable, Span
+from tests.builders_keyspace import SERVICE, TIMING, run_manager
 from tests.builders_lives import Addresses, Way
 
 SPANS = 12
@@ -21,18 +21,18 @@
     servers = [addresses.start(f"s{n}", f"10.0.0.{n}:80") for n in range(3)]
     for address in addresses.living.values():
         address.answer_s = ANSWER_S
-    keeper = Keeper(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
-    keeper.take_over(clock.seconds())
+    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager.take_over(clock.seconds())
     spans = tuple(
         Span(first=n, last=n, holder=servers[n % 3], token=1) for n in range(3 * SPANS)
     )
-    keeper.follow(KeyTable(service=SERVICE, highest_token=1, spans=spans))
-    run_keeper(keeper, clock, 0.05)
+    manager.follow(KeyTable(service=SERVICE, highest_token=1, spans=spans))
+    run_manager(manager, clock, 0.05)
     for _ in range(round(SPANS * ANSWER_S / 0.001) + 1):
         clock.advance(0.001)
     assert all(addresses.holders(n) for n in range(3 * SPANS)), "each waits for no tick"
     for _ in range(100):
-        run_keeper(keeper, clock, 0.05)
+        run_manager(manager, clock, 0.05)
         assert all(addresses.holders(n) for n in range(3 * SPANS))
     assert {one.most_granting for one in addresses.living.values()} == {1}
 
@@ -42,14 +42,14 @@
     clock = Clock()
     addresses = Addresses(clock)
     server = addresses.start("s1", "10.0.0.1:80")
-    keeper = Keeper(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
-    keeper.take_over(clock.seconds())
+    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager.take_over(clock.seconds())
     spans = tuple(Span(first=n, last=n, holder=server, token=1) for n in range(SPANS))
-    keeper.follow(KeyTable(service=SERVICE, highest_token=1, spans=spans))
-    run_keeper(keeper, clock, 1.0)
+    manager.follow(KeyTable(service=SERVICE, highest_token=1, spans=spans))
+    run_manager(manager, clock, 1.0)
     addresses.living[server.address].is_silent = True
-    run_keeper(keeper, clock, 0.6)
+    run_manager(manager, clock, 0.6)
     addresses.living[server.address].is_silent = False
     for _ in range(100):
-        run_keeper(keeper, clock, 0.05)
+        run_manager(manager, clock, 0.05)
         assert all(addresses.holders(n) for n in range(SPANS))
