--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -194,7 +194,7 @@
 
     def resign(self, stand_back_s: float) -> None:
         """Let another host lead, and do not ask for it for a while."""
-        held_s = self._keeper.lives.held_s()
+        held_s = self._keeper.holders.held_s()
         done = Deferred.fromCoroutine(
             self.leadership.resign(held_s, stand_back_s=stand_back_s)
         )
--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -85,7 +85,7 @@
         if self._asked is None:
             return
         term = self._leadership.term
-        if term is None or self._keeper.lives.is_settled():
+        if term is None or self._keeper.holders.is_settled():
             self._asked = None
             return
         now_s = self._reactor.seconds()
@@ -109,7 +109,7 @@
             return
         self._leadership.give_way()
         self._keeper.stop()
-        holds = self._keeper.lives.holds()
+        holds = self._keeper.holders.holds()
         held = [
             HeldFor(one.server_id, one.born_ms, one.address, held_s)
             for one, held_s in holds.of_s.items()
@@ -136,7 +136,7 @@
             "former leader has answered",
             extra={"held_s": round(holds.others_s, 3), "servers": len(holds.of_s)},
         )
-        self._keeper.lives.note_holds(holds)
+        self._keeper.holders.note_holds(holds)
 
     def _holds(self, answer: ToldHolds) -> Holds | None:
         if answer.ended_s is None:
--- a/src/gentianwharf/keyspace/_grant_manager.py
+++ b/src/gentianwharf/keyspace/_grant_manager.py
@@ -19,10 +19,10 @@
 )
 from gentianwharf.logs import log
 
-from ._lives import Lives
+from ._holder_states import HolderStates
 from ._moves import SpanKey, key_of
 from ._orders import Grant, HolderEndedError, Orders, Release
-from ._rows import Life, Row
+from ._states import HolderState, Row
 from ._table import Holder, KeyTable, Span
 from ._timing import LEADER_LEASE_S, PROBE_EVERY_S, GrantTiming
 
@@ -53,7 +53,7 @@
         self._timing = timing
         self._now_s = now_s
         self._rows: dict[SpanKey, Row] = {}
-        self.lives = Lives(timing=timing, now_s=now_s)
+        self.holders = HolderStates(timing=timing, now_s=now_s)
         self._heard_s = 0.0
         self._grants_sent = 0
         self._on_their_way = 0
@@ -73,7 +73,7 @@
             unknown_until_s = self._timing.unknown_until_s(took_over_s=heard_s)
         else:
             unknown_until_s = self._now_s() + held_s
-        self.lives.begin(unknown_until_s=unknown_until_s)
+        self.holders.reset(unknown_until_s=unknown_until_s)
 
     def stop(self) -> None:
         """Give no more orders."""
@@ -81,10 +81,10 @@
         for row in self._rows.values():
             row.gone = True
         self._rows.clear()
-        for life in self.lives:
+        for state in self.holders:
             # What is cancelled may have left already.
-            life.held_until_s = life.surely_until_s()
-            for order in list(life.orders):
+            state.held_until_s = state.surely_until_s()
+            for order in list(state.orders):
                 order.cancel()
 
     def note_heard(self, heard_s: float) -> None:
@@ -134,7 +134,7 @@
             # Another host may lead by now and wait for these grants to run out.
             return
         self._on_their_way = sum(
-            len(one.orders) for one in self.lives if one.failing_since_s is None
+            len(one.orders) for one in self.holders if one.failing_since_s is None
         )
         due = [
             row
@@ -143,40 +143,42 @@
         ]
         for row in sorted(due, key=lambda one: one.due_s):
             self._advance(row, now_s)
-        for holder in self.lives.unreachable():
-            self._probe(holder, self.lives.of(holder), now_s)
+        for holder in self.holders.unreachable():
+            self._probe(holder, self.holders.state_of(holder), now_s)
 
-    def _probe(self, holder: Holder, life: Life, now_s: float) -> None:
+    def _probe(self, holder: Holder, state: HolderState, now_s: float) -> None:
         """Ask a holder that lost its shards for a sign of life.
 
         Without one it would be passed over for ever: nothing else is ordered of it.
         """
-        is_due = now_s >= life.probe_due_s and not life.orders
-        if life.probe is None or holder not in self._listed or not is_due:
+        is_due = now_s >= state.probe_due_s and not state.orders
+        if state.probe is None or holder not in self._listed or not is_due:
             return
-        life.probe_due_s = now_s + PROBE_EVERY_S
-        order = Deferred.fromCoroutine(self._send_probe(holder, life, life.probe))
-        self._track(life, order)
+        state.probe_due_s = now_s + PROBE_EVERY_S
+        order = Deferred.fromCoroutine(self._send_probe(holder, state, state.probe))
+        self._track(state, order)
 
-    async def _send_probe(self, holder: Holder, life: Life, release: Release) -> None:
+    async def _send_probe(
+        self, holder: Holder, state: HolderState, release: Release
+    ) -> None:
         try:
             await self._orders.release(holder, release, timeout_s=GRANT_TIMEOUT_S)
         except RefusedError:
             pass
         except HolderEndedError as error:
-            self.lives.note_ended(holder, error)
+            self.holders.note_ended(holder, error)
             return
         except GentianwharfError as error:
             log.debug("no sign of life: {}", error)
             return
         # Also of one that had ended: it was born again under its id.
-        life.failing_since_s = None
-        life.has_ended = False
+        state.failing_since_s = None
+        state.has_ended = False
         log.info("server reached again", extra={"server": holder.server_id})
 
     def _advance(self, row: Row, now_s: float) -> None:
         for one in list(row.former):
-            if now_s >= self.lives.held_until_s(one):
+            if now_s >= self.holders.held_until_s(one):
                 self._leave_out(row, one)
         if row.former:
             holder = row.former[0]
@@ -193,18 +195,18 @@
         server pays for handshakes, and has fewer connections left for requests.
         """
         holder = row.span.holder
-        life = self.lives.of(holder)
-        if life.granting:
+        state = self.holders.state_of(holder)
+        if state.granting:
             row.waiting = True
-            life.waiting.append(row)
+            state.waiting.append(row)
         elif self._may_order(holder):
-            life.granting = True
+            state.granting = True
             self._start(row, holder, self._grant(row))
 
-    def _grant_next(self, life: Life) -> None:
-        life.granting = False
-        while life.waiting and not life.granting:
-            row = life.waiting.popleft()
+    def _grant_next(self, state: HolderState) -> None:
+        state.granting = False
+        while state.waiting and not state.granting:
+            row = state.waiting.popleft()
             row.waiting = False
             if self._leading and not row.gone and not row.ordering:
                 self._grant_in_turn(row)
@@ -213,18 +215,18 @@
         """Wait no more for a former holder; what it is asked first is to release."""
         row.former.remove(holder)
         span = row.span
-        self.lives.of(holder).probe = Release(
+        self.holders.state_of(holder).probe = Release(
             first=span.first, last=span.last, token=span.token
         )
 
     def _may_order(self, holder: Holder) -> bool:
-        life = self.lives.of(holder)
-        if life.failing_since_s is not None:
+        state = self.holders.state_of(holder)
+        if state.failing_since_s is not None:
             # One at a time shows as well whether it answers again. A host that may lead
             # no more asks it nothing: who answers then may be the server's next life,
             # born again under its id, which has seen no tokens. It would take a
             # renewal of keys that the next leader has given to another server.
-            return not life.orders and not self._is_replaced()
+            return not state.orders and not self._is_replaced()
         self._on_their_way += 1
         return self._on_their_way <= MOST_ORDERS
 
@@ -234,14 +236,14 @@
 
     def _start(self, row: Row, holder: Holder, order: Deferred[None]) -> None:
         row.ordering = True
-        self._track(self.lives.of(holder), order)
+        self._track(self.holders.state_of(holder), order)
         order.addBoth(lambda _: setattr(row, "ordering", False))
 
-    def _track(self, life: Life, order: "Deferred[None]") -> None:
-        life.orders.add(order)
+    def _track(self, state: HolderState, order: "Deferred[None]") -> None:
+        state.orders.add(order)
 
         def ended(result: object) -> None:
-            life.orders.discard(order)
+            state.orders.discard(order)
             if isinstance(result, Failure) and not result.check(CancelledError):
                 log.error("an order failed: {}", result.getTraceback())
 
@@ -257,7 +259,7 @@
             MOST_RELEASE_TIMEOUT_S,
             FIRST_RELEASE_TIMEOUT_S * (1 + row.release_tries),
             # Once its grant has run out there is nothing to wait for.
-            self.lives.held_until_s(holder) - self._now_s(),
+            self.holders.held_until_s(holder) - self._now_s(),
         )
         row.release_tries += 1
         sent_s = self._now_s()
@@ -265,19 +267,19 @@
             handover = await self._orders.release(holder, release, timeout_s=timeout_s)
         except HolderEndedError as error:
             # Another one answers there: this one is no more, nor are its grants.
-            self.lives.note_ended(holder, error)
+            self.holders.note_ended(holder, error)
             if holder in row.former:
                 self._leave_out(row, holder)
             self._go_on(row)
             return
         except GentianwharfError as error:
             row.due_s = self._now_s() + self._timing.retry_every_s
-            self.lives.note_unanswered(holder, sent_s)
+            self.holders.note_unanswered(holder, sent_s)
             if row.release_tries == 1:
                 # Said again with each try it would drown what it means.
                 self._log(row, holder, "release failed", error=str(error))
             return
-        self.lives.of(holder).failing_since_s = None
+        self.holders.state_of(holder).failing_since_s = None
         row.handover = handover or row.handover
         if holder in row.former:
             row.former.remove(holder)
@@ -308,42 +310,46 @@
             handover=row.handover,
         )
         row.due_s = float("inf")
-        life = self.lives.of(holder)
+        state = self.holders.state_of(holder)
         self._grants_sent += 1
         number = self._grants_sent
         # Until the call has ended, the grant may arrive at any time.
-        life.on_their_way_until_s[number] = self._timing.held_until_s(
+        state.on_their_way_until_s[number] = self._timing.held_until_s(
             ended_s=sent_s + GRANT_TIMEOUT_S, duration_s=duration_s
         )
         try:
             await self._orders.grant(holder, grant, timeout_s=GRANT_TIMEOUT_S)
         except HolderEndedError as error:
             row.due_s = self._now_s() + self._timing.retry_every_s
-            self.lives.note_ended(holder, error)
+            self.holders.note_ended(holder, error)
         except PeerUnavailableError as error:
             # It never left: a server that can't be reached runs out of its grants
             # although it is asked again and again.
             row.due_s = self._now_s() + self._timing.retry_every_s
-            self.lives.note_unanswered(holder, sent_s)
+            self.holders.note_unanswered(holder, sent_s)
             self._note_failed(row, error)
         except RefusedError as error:
-            life.failing_since_s = None
+            state.failing_since_s = None
             row.due_s = self._now_s() + self._timing.retry_every_s
             self._note_refused(row, error)
         except GentianwharfError as error:
             row.due_s = self._now_s() + self._timing.retry_every_s
-            self.lives.note_unanswered(holder, sent_s)
+            self.holders.note_unanswered(holder, sent_s)
             self._note_failed(row, error)
-            self.lives.note_held(holder, ended_s=self._now_s(), duration_s=duration_s)
+            self.holders.note_grant(
+                holder, ended_s=self._now_s(), duration_s=duration_s
+            )
         else:
-            life.failing_since_s = None
+            state.failing_since_s = None
             row.failing = False
             row.due_s = sent_s + self._timing.renew_after_s(spans)
-            self.lives.note_held(holder, ended_s=self._now_s(), duration_s=duration_s)
+            self.holders.note_grant(
+                holder, ended_s=self._now_s(), duration_s=duration_s
+            )
             self._note_granted(row)
         finally:
-            life.on_their_way_until_s.pop(number, None)
-            self._grant_next(life)
+            state.on_their_way_until_s.pop(number, None)
+            self._grant_next(state)
 
     def _note_refused(self, row: Row, error: GentianwharfError) -> None:
         # A renewal that crosses the release of a part of its span is refused, and the
--- a/src/gentianwharf/keyspace/_lives.py
+++ b/src/gentianwharf/keyspace/_holder_states.py
@@ -7,7 +7,7 @@
 
 from ._former import Holds
 from ._orders import HolderEndedError
-from ._rows import Life
+from ._states import HolderState
 from ._table import Holder
 from ._timing import UNREACHABLE_S, GrantTiming
 
@@ -15,31 +15,31 @@
 
 
 @final
-class Lives:
+class HolderStates:
     """The lives of servers by holder, and for how long unknown grants may hold."""
 
     def __init__(self, *, timing: GrantTiming, now_s: Clock) -> None:
         self._timing = timing
         self._now_s = now_s
-        self._lives: dict[Holder, Life] = {}
+        self._states: dict[Holder, HolderState] = {}
         self._unknown_until_s = 0.0
 
-    def __iter__(self) -> Iterator[Life]:
-        return iter(list(self._lives.values()))
+    def __iter__(self) -> Iterator[HolderState]:
+        return iter(list(self._states.values()))
 
-    def of(self, holder: Holder) -> Life:
+    def state_of(self, holder: Holder) -> HolderState:
         """Return the row of a holder, a new one if there is none."""
-        return self._lives.setdefault(holder, Life(held_until_s=0.0))
+        return self._states.setdefault(holder, HolderState(held_until_s=0.0))
 
-    def begin(self, *, unknown_until_s: float) -> None:
+    def reset(self, *, unknown_until_s: float) -> None:
         """Know nothing but that earlier leaders' grants end by then."""
-        self._lives.clear()
+        self._states.clear()
         self._unknown_until_s = unknown_until_s
 
     def held_until_s(self, holder: Holder) -> float:
         """Return when no grant of a holder can hold any more."""
-        life = self._lives.get(holder)
-        known_s = life.surely_until_s() if life is not None else 0.0
+        state = self._states.get(holder)
+        known_s = state.surely_until_s() if state is not None else 0.0
         return max(known_s, self._unknown_until_s)
 
     def held_s(self) -> float:
@@ -47,7 +47,7 @@
         latest_s = max(
             # What an earlier leader granted may hold longer than this one's grants.
             [self._unknown_until_s]
-            + [life.surely_until_s() for life in self._lives.values()]
+            + [state.surely_until_s() for state in self._states.values()]
         )
         return max(0.0, latest_s - self._now_s())
 
@@ -60,8 +60,8 @@
         now_s = self._now_s()
         others_s = max(0.0, self._unknown_until_s - now_s)
         held_s = {
-            holder: life.surely_until_s() - now_s
-            for holder, life in self._lives.items()
+            holder: state.surely_until_s() - now_s
+            for holder, state in self._states.items()
         }
         longer_s = {one: held for one, held in held_s.items() if held > others_s}
         return Holds(others_s=others_s, of_s=longer_s)
@@ -71,34 +71,34 @@
         now_s = self._now_s()
         self._unknown_until_s = min(self._unknown_until_s, now_s + holds.others_s)
         for holder, held_s in holds.of_s.items():
-            life = self.of(holder)
-            life.held_until_s = max(life.held_until_s, now_s + held_s)
+            state = self.state_of(holder)
+            state.held_until_s = max(state.held_until_s, now_s + held_s)
 
-    def note_held(self, holder: Holder, *, ended_s: float, duration_s: float) -> None:
+    def note_grant(self, holder: Holder, *, ended_s: float, duration_s: float) -> None:
         """Note a grant whose call ended at ``ended_s`` and may have arrived."""
-        life = self.of(holder)
+        state = self.state_of(holder)
         until_s = self._timing.held_until_s(ended_s=ended_s, duration_s=duration_s)
-        life.held_until_s = max(life.held_until_s, until_s)
+        state.held_until_s = max(state.held_until_s, until_s)
 
     def note_unanswered(self, holder: Holder, sent_s: float) -> None:
         """Note an order without an answer."""
-        life = self.of(holder)
-        if life.failing_since_s is None:
-            life.failing_since_s = sent_s
+        state = self.state_of(holder)
+        if state.failing_since_s is None:
+            state.failing_since_s = sent_s
 
     def note_ended(self, holder: Holder, error: HolderEndedError) -> None:
         """Note that another server answers at the holder's address."""
-        life = self.of(holder)
-        if not life.has_ended:
+        state = self.state_of(holder)
+        if not state.has_ended:
             log.info("server has ended: {}", error, extra={"server": holder.server_id})
-        life.has_ended = True
+        state.has_ended = True
 
     def unreachable(self) -> frozenset[Holder]:
         """Return the holders that have left every order without an answer for long."""
         latest_s = self._now_s() - UNREACHABLE_S
         return frozenset(
             holder
-            for holder, life in self._lives.items()
-            if life.has_ended
-            or (life.failing_since_s is not None and life.failing_since_s <= latest_s)
+            for holder, state in self._states.items()
+            if state.has_ended
+            or (state.failing_since_s is not None and state.failing_since_s <= latest_s)
         )
--- a/src/gentianwharf/keyspace/_planner.py
+++ b/src/gentianwharf/keyspace/_planner.py
@@ -142,11 +142,11 @@
         if not any(row.table.spans for row in self._services.values()):
             # Nothing is granted without a table in the store.
             held_s = 0.0
-        own = self._manager.lives.holds()
+        own = self._manager.holders.holds()
         self._manager.take_over(self._leadership.heard_s, held_s=held_s)
         if former is not None and held_s is None:
             if former.value == self._leadership.value:
-                self._manager.lives.note_holds(own)
+                self._manager.holders.note_holds(own)
             else:
                 self.on_former(former)
         for service in self._services.values():
@@ -226,7 +226,7 @@
                 self._read_tables()
             return
         self._manager.note_heard(self._leadership.heard_s)
-        if not self._has_settled and self._manager.lives.is_settled():
+        if not self._has_settled and self._manager.holders.is_settled():
             self._settle(now_s)
         for row in self._services.values():
             if not row.writing and now_s >= row.due_s and self._is_settled(row, now_s):
@@ -275,7 +275,7 @@
             row.cold.popleft()
         cold = sum(load for _, load in row.cold)
         room = cold_room(row.demand, reached) - cold
-        return Losses(holders=self._manager.lives.unreachable(), room=room)
+        return Losses(holders=self._manager.holders.unreachable(), room=room)
 
     def _is_changed(self, row: _Service) -> bool:
         return row.planned_for != self._reached(row) or not row.table.spans
@@ -286,7 +286,7 @@
         When it can't reach most of them, this host is the one that is cut off: then
         nothing moves, and somebody else should lead.
         """
-        lost = self._manager.lives.unreachable()
+        lost = self._manager.holders.unreachable()
         reached = [one for one in row.candidates if one.holder not in lost]
         if len(reached) * 2 > len(row.candidates):
             return reached
--- a/src/gentianwharf/keyspace/_rows.py
+++ b/src/gentianwharf/keyspace/_states.py
@@ -30,7 +30,7 @@
 
 @final
 @dataclass(kw_only=True, slots=True)
-class Life:
+class HolderState:
     """What one life of a server may hold, as far as this host knows."""
 
     held_until_s: float
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -195,7 +195,7 @@
     leader.former.ask(former.word())
     assert former.leadership.leads
     run_manager(former.keeper, place.clock, 0.1)
-    assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
+    assert leader.keeper.holders.held_s() > TIMING.longest_grant_s
 
 
 def test_answer_of_another_process_than_was_asked_counts_for_nothing(
@@ -206,7 +206,7 @@
     place.net.cut.add(former.name.address)
     leader.former.ask(former.word())
     leader.former.note_told(ToldHolds(7, 9, None))
-    assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
+    assert leader.keeper.holders.held_s() > TIMING.longest_grant_s
 
 
 def test_late_answer_to_an_earlier_question_counts_for_nothing(place: Place) -> None:
@@ -220,4 +220,4 @@
     place.net.cut.add(former.name.address)
     leader.former.ask(former.word())
     leader.former.note_told(ToldHolds(former.name.process, 9, None))
-    assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
+    assert leader.keeper.holders.held_s() > TIMING.longest_grant_s
--- a/tests/test_keyspace_interleavings.py
+++ b/tests/test_keyspace_interleavings.py
@@ -102,7 +102,7 @@
     def _resign(self) -> None:
         host = self.rng.choice(self.hosts)
         if self.paused.get(host.name, 0.0) <= self.clock.seconds():
-            held_s = host.manager.lives.held_s()
+            held_s = host.manager.holders.held_s()
             Deferred.fromCoroutine(host.leadership.resign(held_s, stand_back_s=2.0))
 
     def _change_server(self) -> None:
--- a/tests/test_keyspace_keeper.py
+++ b/tests/test_keyspace_keeper.py
@@ -204,7 +204,7 @@
     servers.by_address[holder(1).address] = successor
     run_manager(manager, clock, 2.0)
     assert not successor.orders
-    assert manager.lives.unreachable() == {holder(1)}
+    assert manager.holders.unreachable() == {holder(1)}
     # The first one has ended, and nobody has to wait for its grant.
     manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
     run_manager(manager, clock, 0.5)
@@ -235,16 +235,16 @@
     manager.note_listed([holder(1), holder(2)])
     manager.follow(table(span(0, 9, 1)))
     run_manager(manager, clock, 16.0)
-    assert not manager.lives.unreachable()
+    assert not manager.holders.unreachable()
     servers[1].is_unreachable = True
     run_manager(manager, clock, 2.0)
-    assert manager.lives.unreachable() == {holder(1)}
+    assert manager.holders.unreachable() == {holder(1)}
     manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
     run_manager(manager, clock, 2.0, look=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
     servers[1].is_unreachable = False
     run_manager(manager, clock, 1.0)
-    assert not manager.lives.unreachable()
+    assert not manager.holders.unreachable()
 
 
 def test_host_that_leads_no_more_gives_no_orders() -> None:
--- a/tests/test_keyspace_leadership.py
+++ b/tests/test_keyspace_leadership.py
@@ -123,7 +123,7 @@
     store, servers, (first, second) = make_hosts(clock, "a", "b")
     run_hosts(clock, 3.0, first, second)
     leader, other = (first, second) if first.leads else (second, first)
-    held_s = leader.manager.lives.held_s()
+    held_s = leader.manager.holders.held_s()
     # The last renewal is half a second old at the most, and may be on its way.
     assert TIMING.grant_s * 0.75 < held_s < TIMING.grant_s * 1.02 + 0.6
     Deferred.fromCoroutine(leader.leadership.resign(held_s, stand_back_s=10.0))
@@ -143,7 +143,7 @@
     leader, other = (first, second) if first.leads else (second, first)
     servers[1].is_silent = True
     Deferred.fromCoroutine(
-        leader.leadership.resign(leader.manager.lives.held_s(), stand_back_s=60.0)
+        leader.leadership.resign(leader.manager.holders.held_s(), stand_back_s=60.0)
     )
     other.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
     run_hosts(clock, 5.0, other, look=lambda: one_each(servers))
@@ -167,7 +167,7 @@
     lost.hears_store = False
     run_hosts(clock, 3.0, other)
     assert other.leads
-    assert other.manager.lives.held_s() > TIMING.longest_grant_s
+    assert other.manager.holders.held_s() > TIMING.longest_grant_s
 
 
 def test_word_of_a_leader_before_the_last_one_counts_no_more() -> None:
@@ -181,7 +181,7 @@
     hosts = [first, second, third]
     leader = next(host for host in hosts if host.leads)
     Deferred.fromCoroutine(
-        leader.leadership.resign(leader.manager.lives.held_s(), stand_back_s=60.0)
+        leader.leadership.resign(leader.manager.holders.held_s(), stand_back_s=60.0)
     )
     others = [host for host in hosts if host is not leader]
     run_hosts(clock, 3.0, *others)
--- a/tests/test_keyspace_model.py
+++ b/tests/test_keyspace_model.py
@@ -151,7 +151,7 @@
         host = self.hosts[self.leader]
         if not host.listed or self.clock.seconds() >= host.heard_s + LEADER_LEASE_S:
             return
-        lost = host.manager.lives.unreachable()
+        lost = host.manager.holders.unreachable()
         holder = list(host.listed.values())[-1 - entry % len(host.listed)]
         table = done(self.table, host.manager.moved(SERVICE)) or self.table
         chosen = table.spans[span % len(table.spans)]
@@ -180,7 +180,7 @@
         if self.leader is not None:
             manager = self.hosts[self.leader].manager
             assert self.word is not None
-            self.word.held_s, self.word.is_settled = manager.lives.held_s(), True
+            self.word.held_s, self.word.is_settled = manager.holders.held_s(), True
             manager.stop()
             self.lost_s = self.clock.seconds()
             self.leader = None
@@ -207,11 +207,11 @@
         manager, asked = self.hosts[self.leader].manager, self.hosts[word.number]
         if asked is word.host:
             asked.manager.stop()
-            manager.lives.note_holds(asked.manager.lives.holds())
+            manager.holders.note_holds(asked.manager.holders.holds())
         elif word.is_settled:
             ended_s = self.clock.seconds() - asked.started_s
             left_s = TIMING.ended_until_s(ended_s=0.0) - ended_s
-            manager.lives.note_holds(Holds(others_s=max(0.0, left_s)))
+            manager.holders.note_holds(Holds(others_s=max(0.0, left_s)))
         self.former = None
 
     def _take_over(self, number: int) -> None:
@@ -221,11 +221,11 @@
         assert self.former is not None
         held_s = self.former.held_s
         host.manager.stop()
-        own = host.manager.lives.holds()
+        own = host.manager.holders.holds()
         host.heard_s = self.clock.seconds()
         host.manager.take_over(host.heard_s, held_s=held_s)
         if self.former.host is host and held_s is None:
-            host.manager.lives.note_holds(own)
+            host.manager.holders.note_holds(own)
             self.former = None
         host.manager.follow(self.table)
 
@@ -237,7 +237,7 @@
                     host.heard_s = self.clock.seconds()
                     host.manager.note_heard(host.heard_s)
                     assert self.word is not None
-                    self.word.is_settled |= host.manager.lives.is_settled()
+                    self.word.is_settled |= host.manager.holders.is_settled()
                 host.manager.tick()
             self.clock.advance(TICK_S)
             self.look()
