--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -16,8 +16,8 @@
     GrantManager,
     GrantTiming,
     Holder,
-    Holds,
     Leadership,
+    RemainingGrants,
 )
 from gentianwharf.links import NngLink, dial
 from gentianwharf.logs import log
@@ -109,10 +109,10 @@
             return
         self._leadership.give_way()
         self._keeper.stop()
-        holds = self._keeper.holders.holds()
+        holds = self._keeper.holders.remaining_grants()
         held = [
             HeldFor(one.server_id, one.born_ms, one.address, held_s)
-            for one, held_s in holds.of_s.items()
+            for one, held_s in holds.by_holder_s.items()
         ]
         self._send(
             question.address,
@@ -134,11 +134,14 @@
             return
         log.info(
             "former leader has answered",
-            extra={"held_s": round(holds.others_s, 3), "servers": len(holds.of_s)},
+            extra={
+                "held_s": round(holds.others_s, 3),
+                "servers": len(holds.by_holder_s),
+            },
         )
-        self._keeper.holders.note_holds(holds)
+        self._keeper.holders.note_remaining_grants(holds)
 
-    def _holds(self, answer: ToldHolds) -> Holds | None:
+    def _holds(self, answer: ToldHolds) -> RemainingGrants | None:
         if answer.ended_s is None:
             held = {
                 Holder(
@@ -146,12 +149,12 @@
                 ): one.held_s
                 for one in answer.held
             }
-            return Holds(others_s=answer.others_s, of_s=held)
+            return RemainingGrants(others_s=answer.others_s, by_holder_s=held)
         if not self._is_settled:
             # What it knew of the leaders before it is lost with it.
             return None
         left_s = self._timing.ended_until_s(ended_s=0.0) - answer.ended_s
-        return Holds(others_s=max(0.0, left_s))
+        return RemainingGrants(others_s=max(0.0, left_s))
 
     def _send(self, address: str, message: AskedHolds | ToldHolds) -> None:
         now_s = float(self._reactor.seconds())
--- a/src/gentianwharf/keyspace/__init__.py
+++ b/src/gentianwharf/keyspace/__init__.py
@@ -1,7 +1,7 @@
 """Who holds which shards where backend servers enforce grants themselves."""
 
 from ._demand import Demand, LoadSeen
-from ._former import Former, Holds
+from ._former import Former, RemainingGrants
 from ._grant_manager import GrantManager
 from ._leadership import Leadership
 from ._orders import Grant, HolderEndedError, Orders, Release
@@ -19,7 +19,7 @@
     "GrantTiming",
     "Holder",
     "HolderEndedError",
-    "Holds",
+    "RemainingGrants",
     "GrantManager",
     "KeyTable",
     "Leadership",
--- a/src/gentianwharf/keyspace/_former.py
+++ b/src/gentianwharf/keyspace/_former.py
@@ -27,14 +27,14 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Holds:
+class RemainingGrants:
     """For how long the grants of a host hold that gives none any more.
 
-    ``others_s`` counts for every holder that is not in ``of_s``.
+    ``others_s`` counts for every holder that is not in ``by_holder_s``.
     """
 
     others_s: float
-    of_s: dict[Holder, float] = field(default_factory=dict)
+    by_holder_s: dict[Holder, float] = field(default_factory=dict)
 
 
 class _StoredFormer(msgspec.Struct, array_like=True):
--- a/src/gentianwharf/keyspace/_holder_states.py
+++ b/src/gentianwharf/keyspace/_holder_states.py
@@ -5,7 +5,7 @@
 
 from gentianwharf.logs import log
 
-from ._former import Holds
+from ._former import RemainingGrants
 from ._orders import HolderEndedError
 from ._states import HolderState
 from ._table import Holder
@@ -55,7 +55,7 @@
         """Whether no grant of an earlier leader holds any more."""
         return self._now_s() >= self._unknown_until_s
 
-    def holds(self) -> Holds:
+    def remaining_grants(self) -> RemainingGrants:
         """Return for how long each grant may still hold, if none is given any more."""
         now_s = self._now_s()
         others_s = max(0.0, self._unknown_until_s - now_s)
@@ -64,13 +64,13 @@
             for holder, state in self._states.items()
         }
         longer_s = {one: held for one, held in held_s.items() if held > others_s}
-        return Holds(others_s=others_s, of_s=longer_s)
+        return RemainingGrants(others_s=others_s, by_holder_s=longer_s)
 
-    def note_holds(self, holds: Holds) -> None:
+    def note_remaining_grants(self, holds: RemainingGrants) -> None:
         """Learn what the leader before had granted."""
         now_s = self._now_s()
         self._unknown_until_s = min(self._unknown_until_s, now_s + holds.others_s)
-        for holder, held_s in holds.of_s.items():
+        for holder, held_s in holds.by_holder_s.items():
             state = self.state_of(holder)
             state.held_until_s = max(state.held_until_s, now_s + held_s)
 
--- a/src/gentianwharf/keyspace/_planner.py
+++ b/src/gentianwharf/keyspace/_planner.py
@@ -142,11 +142,11 @@
         if not any(row.table.spans for row in self._services.values()):
             # Nothing is granted without a table in the store.
             held_s = 0.0
-        own = self._manager.holders.holds()
+        own = self._manager.holders.remaining_grants()
         self._manager.take_over(self._leadership.heard_s, held_s=held_s)
         if former is not None and held_s is None:
             if former.value == self._leadership.value:
-                self._manager.holders.note_holds(own)
+                self._manager.holders.note_remaining_grants(own)
             else:
                 self.on_former(former)
         for service in self._services.values():
--- a/tests/test_keyspace_model.py
+++ b/tests/test_keyspace_model.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from gentianwharf.keyspace import GrantManager, Holder, Holds, KeyTable, Span
+from gentianwharf.keyspace import GrantManager, Holder, KeyTable, RemainingGrants, Span
 from gentianwharf.keyspace._moves import done
 from gentianwharf.keyspace._timing import LEADER_LEASE_S
 from tests.builders_keyspace import SERVICE, TIMING
@@ -207,11 +207,15 @@
         manager, asked = self.hosts[self.leader].manager, self.hosts[word.number]
         if asked is word.host:
             asked.manager.stop()
-            manager.holders.note_holds(asked.manager.holders.holds())
+            manager.holders.note_remaining_grants(
+                asked.manager.holders.remaining_grants()
+            )
         elif word.is_settled:
             ended_s = self.clock.seconds() - asked.started_s
             left_s = TIMING.ended_until_s(ended_s=0.0) - ended_s
-            manager.holders.note_holds(Holds(others_s=max(0.0, left_s)))
+            manager.holders.note_remaining_grants(
+                RemainingGrants(others_s=max(0.0, left_s))
+            )
         self.former = None
 
     def _take_over(self, number: int) -> None:
@@ -221,11 +225,11 @@
         assert self.former is not None
         held_s = self.former.held_s
         host.manager.stop()
-        own = host.manager.holders.holds()
+        own = host.manager.holders.remaining_grants()
         host.heard_s = self.clock.seconds()
         host.manager.take_over(host.heard_s, held_s=held_s)
         if self.former.host is host and held_s is None:
-            host.manager.holders.note_holds(own)
+            host.manager.holders.note_remaining_grants(own)
             self.former = None
         host.manager.follow(self.table)
 
