--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -8,12 +8,12 @@
 from twisted.internet.defer import Deferred
 
 from gentianwharf.keyspace import (
-    Former,
     GrantManager,
     GrantTiming,
     Leadership,
     LoadSeen,
     Planner,
+    PreviousLeader,
     Span,
 )
 from gentianwharf.logs import log
@@ -103,7 +103,7 @@
         self.leadership = Leadership(
             store=store,
             key=LEADER_KEY,
-            former_key=FORMER_KEY,
+            previous_leader_key=FORMER_KEY,
             value=msgspec.json.encode(self.peers.name),
             now_s=now_s,
             rng=rng,
@@ -150,7 +150,7 @@
         self._keeper.on_granted = self._note_granted
         self._planner.on_table = self.keys.take
         self._planner.on_isolated = self._step_aside
-        self._planner.on_former = self._former.ask
+        self._planner.on_previous_leader = self._former.ask
 
     def _connect_peers(self) -> None:
         peers = self.peers
@@ -254,7 +254,7 @@
         elif key == HOSTS_KEY:
             self._host_list.note_item(item)
         elif key == FORMER_KEY:
-            self.leadership.note_former(item)
+            self.leadership.note_previous_leader(item)
         elif key.startswith(TABLE_PREFIX) and item is not None:
             self._planner.note_table(item)
 
@@ -311,7 +311,7 @@
 
     # While this host leads.
 
-    def _begin_to_lead(self, former: Former | None) -> None:
+    def _begin_to_lead(self, former: PreviousLeader | None) -> None:
         term = self.leadership.term
         assert term is not None, "a host that leads has a term"
         self.peers.begin_to_lead(term.revision)
--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from gentianwharf.keyspace import (
-    Former,
     GrantManager,
     GrantTiming,
     Holder,
     Leadership,
+    PreviousLeader,
     RemainingGrants,
 )
 from gentianwharf.links import NngLink, dial
@@ -68,14 +68,14 @@
             one.link.close()
         self._links.clear()
 
-    def ask(self, former: Former) -> None:
+    def ask(self, former: PreviousLeader) -> None:
         """Begin to ask the leader before this one."""
         try:
             self._asked = msgspec.json.decode(former.value, type=LeaderItem)
         except msgspec.DecodeError as error:
             log.warning("the former leader's name can't be read: {}", error)
             return
-        self._is_settled = former.is_settled
+        self._is_settled = former.earlier_grants_expired
         self._due_s = self._reactor.seconds()
         self.tick()
 
@@ -85,7 +85,7 @@
         if self._asked is None:
             return
         term = self._leadership.term
-        if term is None or self._keeper.holders.is_settled():
+        if term is None or self._keeper.holders.earlier_grants_expired():
             self._asked = None
             return
         now_s = self._reactor.seconds()
--- a/src/gentianwharf/keyspace/_holder_states.py
+++ b/src/gentianwharf/keyspace/_holder_states.py
@@ -5,8 +5,8 @@
 
 from gentianwharf.logs import log
 
-from ._former import RemainingGrants
 from ._orders import HolderEndedError
+from ._previous_leader import RemainingGrants
 from ._states import HolderState
 from ._table import Holder
 from ._timing import UNREACHABLE_S, GrantTiming
@@ -51,7 +51,7 @@
         )
         return max(0.0, latest_s - self._now_s())
 
-    def is_settled(self) -> bool:
+    def earlier_grants_expired(self) -> bool:
         """Whether no grant of an earlier leader holds any more."""
         return self._now_s() >= self._unknown_until_s
 
--- a/src/gentianwharf/keyspace/_leadership.py
+++ b/src/gentianwharf/keyspace/_leadership.py
@@ -12,7 +12,11 @@
 from gentianwharf.logs import log
 from gentianwharf.store import Change, Item, LeaseEndedError, Put, Store
 
-from ._former import Former, decode_former, encode_former
+from ._previous_leader import (
+    PreviousLeader,
+    decode_previous_leader,
+    encode_previous_leader,
+)
 from ._timing import LEADER_LEASE_S, RENEW_LEASE_EVERY_S
 
 CAMPAIGN_WITHIN_S = 0.15
@@ -49,7 +53,7 @@
         *,
         store: Store,
         key: str,
-        former_key: str,
+        previous_leader_key: str,
         value: bytes,
         now_s: Clock,
         rng: Random,
@@ -57,14 +61,14 @@
     ) -> None:
         self.term: Term | None = None
         self.heard_s = float("-inf")
-        self.on_gained: Callable[[Former | None], None] = lambda former: None
+        self.on_gained: Callable[[PreviousLeader | None], None] = lambda previous: None
         self.on_lost: Callable[[], None] = lambda: None
         self._stands_back_until_s = float("-inf")
         self._store = store
         self._key = key
-        self._former_key = former_key
-        self._former_item: Item | None = None
-        self._former: Former | None = None
+        self._previous_leader_key = previous_leader_key
+        self._previous_leader_item: Item | None = None
+        self._previous_leader: PreviousLeader | None = None
         self.value = value
         self._now_s = now_s
         self._rng = rng
@@ -128,7 +132,7 @@
             await self._store.change(
                 Change(
                     expected={self._key: term.revision},
-                    puts=(self._word(is_settled=True, held_s=held_s),),
+                    puts=(self._word(earlier_grants_expired=True, held_s=held_s),),
                     removals=(self._key,),
                 )
             )
@@ -140,12 +144,12 @@
         if self.term is not None:
             self._lose("another host leads")
 
-    async def settle(self) -> bool:
+    async def mark_earlier_grants_expired(self) -> bool:
         """Leave word that only grants of this leader may hold; whether that is done."""
         term = self.term
         if term is None:
             return False
-        word = self._word(is_settled=True)
+        word = self._word(earlier_grants_expired=True)
         try:
             await self._store.change(
                 Change(expected={self._key: term.revision}, puts=(word,))
@@ -155,13 +159,21 @@
             return False
         return True
 
-    def note_former(self, item: Item | None) -> None:
+    def note_previous_leader(self, item: Item | None) -> None:
         """Follow the item in which each leader leaves its word for the next one."""
-        self._former_item = item
-
-    def _word(self, *, is_settled: bool, held_s: float | None = None) -> Put:
-        former = Former(value=self.value, is_settled=is_settled, held_s=held_s)
-        return Put(key=self._former_key, value=encode_former(former))
+        self._previous_leader_item = item
+
+    def _word(
+        self, *, earlier_grants_expired: bool, held_s: float | None = None
+    ) -> Put:
+        previous = PreviousLeader(
+            value=self.value,
+            earlier_grants_expired=earlier_grants_expired,
+            held_s=held_s,
+        )
+        return Put(
+            key=self._previous_leader_key, value=encode_previous_leader(previous)
+        )
 
     def _end_campaign(self, _: object) -> None:
         self._campaigning = False
@@ -172,8 +184,8 @@
             self._asking_lease_id = 0
             lease_id = await self._store.open_lease(LEADER_LEASE_S)
             self._asking_lease_id, self._asked_s = lease_id, now_s
-            former = self._former_item
-            self._former = decode_former(former)
+            previous = self._previous_leader_item
+            self._previous_leader = decode_previous_leader(previous)
             put = Put(key=self._key, value=self.value, lease_id=lease_id)
             revision = await self._store.change(
                 Change(
@@ -181,9 +193,9 @@
                     # heard of may have granted what an earlier one knows nothing of.
                     expected={
                         self._key: 0,
-                        self._former_key: former.revision if former else 0,
+                        self._previous_leader_key: previous.revision if previous else 0,
                     },
-                    puts=(put, self._word(is_settled=False)),
+                    puts=(put, self._word(earlier_grants_expired=False)),
                 )
             )
         except ConflictError:
@@ -224,9 +236,11 @@
         self._asking_lease_id = 0
         self.heard_s = self._asked_s
         self._due_s = self._now_s() + RENEW_LEASE_EVERY_S
-        held_s = self._former.held_s if self._former is not None else None
+        held_s = (
+            self._previous_leader.held_s if self._previous_leader is not None else None
+        )
         log.info("leading", extra={"revision": revision, "held_s": held_s})
-        self.on_gained(self._former)
+        self.on_gained(self._previous_leader)
 
     def _campaign_s(self) -> float:
         within_s = self._rng.random() * CAMPAIGN_WITHIN_S
--- a/src/gentianwharf/keyspace/_planner.py
+++ b/src/gentianwharf/keyspace/_planner.py
@@ -18,11 +18,11 @@
 from gentianwharf.store import Change, Item, Put, Store
 
 from ._demand import Demand
-from ._former import Former
 from ._grant_manager import GrantManager
 from ._leadership import Leadership, Term
 from ._moves import done
 from ._plan import Candidate, Losses, plan
+from ._previous_leader import PreviousLeader
 from ._room import at_its_speed, cold_room, used_part
 from ._table import KeyTable, decode_table, encode_table
 
@@ -88,7 +88,9 @@
     ) -> None:
         self.on_table: Callable[[KeyTable], None] = lambda table: None
         self.on_isolated: Callable[[], None] = lambda: None
-        self.on_former: Callable[[Former], None] = lambda former: None
+        self.on_previous_leader: Callable[[PreviousLeader], None] = lambda previous: (
+            None
+        )
         self._store = store
         self._leadership = leadership
         self._leader_key = leader_key
@@ -98,18 +100,18 @@
         self._now_s = now_s
         self._services: dict[str, _Service] = {}
         self._gained_s = 0.0
-        self._former: Former | None = None
+        self._previous_leader: PreviousLeader | None = None
         self._term: Term | None = None
         self._read_due_s = 0.0
-        self._has_settled = False
-        self._settle_due_s = 0.0
+        self._has_marked_expired = False
+        self._mark_due_s = 0.0
 
-    def note_gained(self, former: Former | None) -> None:
-        """Begin to lead; ``former`` is the word of the leader before."""
+    def note_gained(self, previous: PreviousLeader | None) -> None:
+        """Begin to lead; ``previous`` is the record of the previous leader."""
         self._gained_s = self._now_s()
-        self._former = former
-        self._has_settled = False
-        self._settle_due_s = float("-inf")
+        self._previous_leader = previous
+        self._has_marked_expired = False
+        self._mark_due_s = float("-inf")
         self._read_tables()
 
     def _read_tables(self) -> None:
@@ -137,32 +139,34 @@
         self._take_over()
 
     def _take_over(self) -> None:
-        former = self._former
-        held_s = former.held_s if former is not None else None
+        previous = self._previous_leader
+        held_s = previous.held_s if previous is not None else None
         if not any(row.table.spans for row in self._services.values()):
             # Nothing is granted without a table in the store.
             held_s = 0.0
         own = self._manager.holders.remaining_grants()
         self._manager.take_over(self._leadership.heard_s, held_s=held_s)
-        if former is not None and held_s is None:
-            if former.value == self._leadership.value:
+        if previous is not None and held_s is None:
+            if previous.value == self._leadership.value:
                 self._manager.holders.note_remaining_grants(own)
             else:
-                self.on_former(former)
+                self.on_previous_leader(previous)
         for service in self._services.values():
             service.due_s = 0.0
             service.planned_for = None
             self._manager.follow(service.table)
 
-    def _settle(self, now_s: float) -> None:
+    def _mark_earlier_grants_expired(self, now_s: float) -> None:
         """Leave word for the next leader that it need not know of those before."""
-        if now_s < self._settle_due_s:
+        if now_s < self._mark_due_s:
             return
-        self._settle_due_s = now_s + WRITE_AGAIN_S
-        self._has_settled = True
-        running = Deferred.fromCoroutine(self._leadership.settle())
+        self._mark_due_s = now_s + WRITE_AGAIN_S
+        self._has_marked_expired = True
+        running = Deferred.fromCoroutine(self._leadership.mark_earlier_grants_expired())
         running.addErrback(_log_fault)
-        running.addCallback(lambda done: setattr(self, "_has_settled", bool(done)))
+        running.addCallback(
+            lambda done: setattr(self, "_has_marked_expired", bool(done))
+        )
 
     def set_services(self, warm_ups_s: Mapping[str, float]) -> None:
         """Follow which services are divided by key, and how long shards warm up."""
@@ -226,8 +230,11 @@
                 self._read_tables()
             return
         self._manager.note_heard(self._leadership.heard_s)
-        if not self._has_settled and self._manager.holders.is_settled():
-            self._settle(now_s)
+        if (
+            not self._has_marked_expired
+            and self._manager.holders.earlier_grants_expired()
+        ):
+            self._mark_earlier_grants_expired(now_s)
         for row in self._services.values():
             if not row.writing and now_s >= row.due_s and self._is_settled(row, now_s):
                 self._plan(row, now_s)
--- a/src/gentianwharf/keyspace/_former.py
+++ b/src/gentianwharf/keyspace/_previous_leader.py
@@ -13,15 +13,16 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Former:
-    """The leader before: ``value`` is what the others should know of it.
+class PreviousLeader:
+    """The leader before this one.
 
-    ``is_settled``: no grant of leaders before it holds any more. ``held_s`` is for how
-    long its own may hold, counted from when it resigned; None if it did not.
+    ``value`` identifies it to other hosts. ``earlier_grants_expired`` is true once no
+    grant of any leader before it is still valid. ``held_s`` is for how long its own
+    grants may remain valid, counted from its resignation; None if it did not resign.
     """
 
     value: bytes
-    is_settled: bool
+    earlier_grants_expired: bool
     held_s: float | None
 
 
@@ -37,25 +38,27 @@
     by_holder_s: dict[Holder, float] = field(default_factory=dict)
 
 
-class _StoredFormer(msgspec.Struct, array_like=True):
+class _StoredPreviousLeader(msgspec.Struct, array_like=True):
     value: bytes
-    is_settled: bool
+    earlier_grants_expired: bool
     held_s: float | None
 
 
-def encode_former(former: Former) -> bytes:
+def encode_previous_leader(leader: PreviousLeader) -> bytes:
     """Return the word of a leader as it stands in the store."""
     return msgspec.json.encode(
-        _StoredFormer(former.value, former.is_settled, former.held_s)
+        _StoredPreviousLeader(
+            leader.value, leader.earlier_grants_expired, leader.held_s
+        )
     )
 
 
-def decode_former(item: Item | None) -> Former | None:
+def decode_previous_leader(item: Item | None) -> PreviousLeader | None:
     """Return who led before; None if nobody did, or if its word can't be read."""
     if item is None:
         return None
     try:
-        stored = msgspec.json.decode(item.value, type=_StoredFormer)
+        stored = msgspec.json.decode(item.value, type=_StoredPreviousLeader)
     except msgspec.DecodeError as error:
         log.warning(
             "a leader's word on its grants can't be read: {}",
@@ -63,6 +66,8 @@
             extra={"peer": item.key, "revision": item.revision},
         )
         return None
-    return Former(
-        value=stored.value, is_settled=stored.is_settled, held_s=stored.held_s
+    return PreviousLeader(
+        value=stored.value,
+        earlier_grants_expired=stored.earlier_grants_expired,
+        held_s=stored.held_s,
     )
--- a/tests/builders_keyspace.py
+++ b/tests/builders_keyspace.py
@@ -27,7 +27,7 @@
 SHARDS = 1000
 SERVICE = "roster"
 LEADER_KEY = "leader"
-FORMER_KEY = "former"
+PREVIOUS_LEADER_KEY = "former"
 TABLE_PREFIX = "keys/"
 TABLE_KEY = TABLE_PREFIX + SERVICE
 TIMING = GrantTiming(longest_grant_s=10.0)
--- a/tests/builders_keyspace_hosts.py
+++ b/tests/builders_keyspace_hosts.py
@@ -26,8 +26,8 @@
     Store,
 )
 from tests.builders_keyspace import (
-    FORMER_KEY,
     LEADER_KEY,
+    PREVIOUS_LEADER_KEY,
     SERVICE,
     SHARDS,
     TABLE_KEY,
@@ -204,7 +204,7 @@
         self.leadership = Leadership(
             store=store,
             key=LEADER_KEY,
-            former_key=FORMER_KEY,
+            previous_leader_key=PREVIOUS_LEADER_KEY,
             value=self.name.encode(),
             now_s=clock.seconds,
             rng=Middle(),  # type: ignore[arg-type]
@@ -233,8 +233,8 @@
             return
         if key == LEADER_KEY:
             self.leadership.note_item(item)
-        elif key == FORMER_KEY:
-            self.leadership.note_former(item)
+        elif key == PREVIOUS_LEADER_KEY:
+            self.leadership.note_previous_leader(item)
         elif key == TABLE_KEY and item is not None:
             self.planner.note_table(item)
 
@@ -249,7 +249,7 @@
         assert self.way is not None
         self.way.is_cut = False
         self.hears_store = True
-        for key in (LEADER_KEY, FORMER_KEY, TABLE_KEY):
+        for key in (LEADER_KEY, PREVIOUS_LEADER_KEY, TABLE_KEY):
             self.note_item(key, self.store.items_by_key.get(key))
 
     def tick(self) -> None:
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -13,11 +13,11 @@
 from gentianwharf.entryhost._former_leader import FormerLeader
 from gentianwharf.entryhost._messages import AskedHolds, LeaderItem, ToldHolds
 from gentianwharf.keyspace import (
-    Former,
     GrantManager,
     Holder,
     KeyTable,
     Leadership,
+    PreviousLeader,
     Span,
 )
 from gentianwharf.keyspace._grant_manager import GRANT_TIMEOUT_S
@@ -41,10 +41,12 @@
     leadership: Leadership
     former: FormerLeader
 
-    def word(self, *, is_settled: bool = True) -> Former:
+    def word(self, *, is_settled: bool = True) -> PreviousLeader:
         """Return what it has left in the store."""
         value = msgspec.json.encode(self.name)
-        return Former(value=value, is_settled=is_settled, held_s=None)
+        return PreviousLeader(
+            value=value, earlier_grants_expired=is_settled, held_s=None
+        )
 
 
 class Place:
@@ -67,7 +69,7 @@
         leadership = Leadership(
             store=SimpleStore(clock),
             key="leader",
-            former_key="former",
+            previous_leader_key="former",
             value=msgspec.json.encode(name),
             now_s=clock.seconds,
             rng=Random(number),
--- a/tests/test_keyspace_leadership.py
+++ b/tests/test_keyspace_leadership.py
@@ -4,10 +4,10 @@
 from twisted.internet.task import Clock
 
 from gentianwharf.keyspace import decode_table
-from gentianwharf.keyspace._former import decode_former
+from gentianwharf.keyspace._previous_leader import decode_previous_leader
 from tests.builders_keyspace import (
-    FORMER_KEY,
     LEADER_KEY,
+    PREVIOUS_LEADER_KEY,
     SERVICE,
     SHARDS,
     TABLE_KEY,
@@ -148,7 +148,7 @@
     other.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
     run_hosts(clock, 5.0, other, look=lambda: one_each(servers))
     assert served(servers)
-    word = decode_former(store.items_by_key[FORMER_KEY])
+    word = decode_previous_leader(store.items_by_key[PREVIOUS_LEADER_KEY])
     assert word is not None
     assert word.value == other.leadership.value, "the first one's word is gone"
     assert word.held_s is None
--- a/tests/test_keyspace_model.py
+++ b/tests/test_keyspace_model.py
@@ -241,7 +241,9 @@
                     host.heard_s = self.clock.seconds()
                     host.manager.note_heard(host.heard_s)
                     assert self.word is not None
-                    self.word.is_settled |= host.manager.holders.is_settled()
+                    self.word.is_settled |= (
+                        host.manager.holders.earlier_grants_expired()
+                    )
                 host.manager.tick()
             self.clock.advance(TICK_S)
             self.look()
