--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -165,7 +165,7 @@
         peers.changes_after = self.mirror.changes_after
         peers.page = self.mirror.page
         peers.on_page = self.mirror.feed_page
-        peers.on_superseded = self.leadership.give_way
+        peers.on_superseded = self.leadership.step_down
         peers.on_asked = self._former.note_asked
         peers.on_told = self._former.note_told
         self.keys.on_request = peers.seen.note_request
@@ -267,7 +267,7 @@
         """Return up to where this host knows the store, None if it may not lead."""
         mirror = self.mirror
         is_sure = mirror.is_current and mirror.silent_s() == 0
-        if not is_sure or not self.leadership.may_change():
+        if not is_sure or not self.leadership.holds_lease():
             return None
         age_s = self._now_s() - mirror.heard_s
         return Known(revision=mirror.revision, age_s=age_s)
--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -107,7 +107,7 @@
         if term is not None and term.revision > question.revision:
             # Late: this host has taken the lead from the one that asked.
             return
-        self._leadership.give_way()
+        self._leadership.step_down()
         self._keeper.stop()
         holds = self._keeper.holders.remaining_grants()
         held = [
--- a/src/gentianwharf/entryhost/_host_list.py
+++ b/src/gentianwharf/entryhost/_host_list.py
@@ -55,7 +55,7 @@
     def tick(self) -> None:
         """Write the list where it is not what this leader knows."""
         now_s = self._now_s()
-        if now_s < self._due_s or not self._leadership.may_change():
+        if now_s < self._due_s or not self._leadership.holds_lease():
             return
         self._due_s = now_s + WRITE_EVERY_S
         if not self._roster.is_listed():
--- a/src/gentianwharf/keyspace/_leadership.py
+++ b/src/gentianwharf/keyspace/_leadership.py
@@ -84,7 +84,7 @@
         """Whether this host takes itself for the leader."""
         return self.term is not None
 
-    def may_change(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether the lease surely holds, so that nobody else leads."""
         return self.term is not None and self._now_s() < self.heard_s + LEADER_LEASE_S
 
@@ -139,7 +139,7 @@
         except GentianwharfError as error:
             log.info("not resigned, the lease will run out: {}", error.message)
 
-    def give_way(self) -> None:
+    def step_down(self) -> None:
         """Lead no more: another host does, and has said so."""
         if self.term is not None:
             self._lose("another host leads")
--- a/src/gentianwharf/keyspace/_planner.py
+++ b/src/gentianwharf/keyspace/_planner.py
@@ -222,7 +222,7 @@
 
     def tick(self) -> None:
         """Plan where that is due; to be called every 50 ms or so."""
-        if not self._leadership.may_change():
+        if not self._leadership.holds_lease():
             return
         now_s = self._now_s()
         if self._term is not self._leadership.term:
--- a/tests/test_entryhost_outages.py
+++ b/tests/test_entryhost_outages.py
@@ -67,7 +67,8 @@
         """Return the hosts that reach the store, or a leader that does."""
         well = [one for one in self.fleet.hosts if is_well(one)]
         leads = any(
-            one.control.leadership.may_change() and not self.is_cut(one) for one in well
+            one.control.leadership.holds_lease() and not self.is_cut(one)
+            for one in well
         )
         told = [one for one in self.fleet.hosts if leads and not self.is_cut(one)]
         return [*well, *(one for one in told if not is_well(one))]
