--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -107,7 +107,7 @@
             value=msgspec.json.encode(self.peers.name),
             now_s=now_s,
             rng=rng,
-            stand_back_s=SMALL_STAND_BACK_S * max(0.0, 1.0 - settings.cores),
+            campaign_delay_s=SMALL_STAND_BACK_S * max(0.0, 1.0 - settings.cores),
         )
         timing = GrantTiming(longest_grant_s=settings.agreements.longest_grant_s)
         self._keeper = GrantManager(
@@ -196,7 +196,7 @@
         """Let another host lead, and do not ask for it for a while."""
         held_s = self._keeper.holders.held_s()
         done = Deferred.fromCoroutine(
-            self.leadership.resign(held_s, stand_back_s=stand_back_s)
+            self.leadership.resign(held_s, campaign_pause_s=stand_back_s)
         )
         done.addErrback(lambda failure: log.error(failure.getTraceback()))
 
--- a/src/gentianwharf/keyspace/_leadership.py
+++ b/src/gentianwharf/keyspace/_leadership.py
@@ -39,13 +39,13 @@
 
 @final
 class Leadership:
-    """Gains and keeps the place of the leader; times are of a clock that counts pauses.
+    """Campaigns for the leadership and renews the lease that it depends on.
 
-    ``value`` is what the others should know of a leader; ``stand_back_s`` is how much
-    later than others this host asks for the place.
+    ``value`` identifies this host to the others while it leads. ``campaign_delay_s`` is
+    how much later than other hosts this one campaigns.
 
-    A clock that stands still while the host is suspended would let a host act on a
-    lease that has ended meanwhile.
+    ``now_s`` has to be a clock that goes on while the host is suspended. With one that
+    stops, a resumed host would act on a lease that has expired in the meantime.
     """
 
     def __init__(
@@ -57,13 +57,13 @@
         value: bytes,
         now_s: Clock,
         rng: Random,
-        stand_back_s: float = 0.0,
+        campaign_delay_s: float = 0.0,
     ) -> None:
         self.term: Term | None = None
         self.heard_s = float("-inf")
         self.on_gained: Callable[[PreviousLeader | None], None] = lambda previous: None
         self.on_lost: Callable[[], None] = lambda: None
-        self._stands_back_until_s = float("-inf")
+        self._campaign_pause_until_s = float("-inf")
         self._store = store
         self._key = key
         self._previous_leader_key = previous_leader_key
@@ -72,7 +72,7 @@
         self.value = value
         self._now_s = now_s
         self._rng = rng
-        self._stand_back_s = stand_back_s
+        self._campaign_delay_s = campaign_delay_s
         self._item: Item | None = None
         self._asking_lease_id = 0
         self._asked_s = 0.0
@@ -107,7 +107,7 @@
             return
         if self.term is not None:
             _start(self._renew(self.term, now_s))
-        elif self._campaigning or now_s < self._stands_back_until_s:
+        elif self._campaigning or now_s < self._campaign_pause_until_s:
             return
         elif self._item is None:
             self._campaigning = True
@@ -115,15 +115,15 @@
         else:
             self._due_s = None
 
-    async def resign(self, held_s: float, *, stand_back_s: float) -> None:
+    async def resign(self, held_s: float, *, campaign_pause_s: float) -> None:
         """Give the place up, so that another host takes it at once.
 
         ``held_s`` is for how long this host's grants may still hold. The next leader
         finds it beside the place, and puts its own word there when it takes the place:
         so it is never taken for the word of a leader in between, who was lost. For
-        ``stand_back_s`` this host does not ask for the place again.
+        ``campaign_pause_s`` this host does not ask for the place again.
         """
-        self._stands_back_until_s = self._now_s() + stand_back_s
+        self._campaign_pause_until_s = self._now_s() + campaign_pause_s
         term = self.term
         if term is None:
             return
@@ -244,7 +244,7 @@
 
     def _campaign_s(self) -> float:
         within_s = self._rng.random() * CAMPAIGN_WITHIN_S
-        return self._now_s() + self._stand_back_s + within_s
+        return self._now_s() + self._campaign_delay_s + within_s
 
     def _lose(self, reason: str) -> None:
         self.term = None
--- a/tests/test_keyspace_leadership.py
+++ b/tests/test_keyspace_leadership.py
@@ -126,7 +126,7 @@
     held_s = leader.manager.holders.held_s()
     # The last renewal is half a second old at the most, and may be on its way.
     assert TIMING.grant_s * 0.75 < held_s < TIMING.grant_s * 1.02 + 0.6
-    Deferred.fromCoroutine(leader.leadership.resign(held_s, stand_back_s=10.0))
+    Deferred.fromCoroutine(leader.leadership.resign(held_s, campaign_pause_s=10.0))
     run_hosts(clock, 0.3, first, second, look=lambda: one_each(servers))
     assert other.leads
 
@@ -143,7 +143,7 @@
     leader, other = (first, second) if first.leads else (second, first)
     servers[1].is_silent = True
     Deferred.fromCoroutine(
-        leader.leadership.resign(leader.manager.holders.held_s(), stand_back_s=60.0)
+        leader.leadership.resign(leader.manager.holders.held_s(), campaign_pause_s=60.0)
     )
     other.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
     run_hosts(clock, 5.0, other, look=lambda: one_each(servers))
@@ -181,7 +181,7 @@
     hosts = [first, second, third]
     leader = next(host for host in hosts if host.leads)
     Deferred.fromCoroutine(
-        leader.leadership.resign(leader.manager.holders.held_s(), stand_back_s=60.0)
+        leader.leadership.resign(leader.manager.holders.held_s(), campaign_pause_s=60.0)
     )
     others = [host for host in hosts if host is not leader]
     run_hosts(clock, 3.0, *others)
@@ -231,7 +231,7 @@
     for _ in range(5):
         clock = Clock()
         store, _, hosts = make_hosts(clock, "small", "large")
-        hosts[0].leadership._stand_back_s = 0.15
+        hosts[0].leadership._campaign_delay_s = 0.15
         hosts[0].leadership._due_s = None
         hosts[0].leadership.note_item(None)
         run_hosts(clock, 2.0, *hosts)
@@ -241,7 +241,7 @@
 def test_small_host_leads_where_there_is_no_other() -> None:
     clock = Clock()
     store, servers, hosts = make_hosts(clock, "small")
-    hosts[0].leadership._stand_back_s = 0.15
+    hosts[0].leadership._campaign_delay_s = 0.15
     hosts[0].leadership._due_s = None
     hosts[0].leadership.note_item(None)
     run_hosts(clock, 2.0, *hosts)
