--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -269,7 +269,7 @@
         is_sure = mirror.is_current and mirror.silent_s() == 0
         if not is_sure or not self.leadership.holds_lease():
             return None
-        age_s = self._now_s() - mirror.heard_s
+        age_s = self._now_s() - mirror.last_contact_s
         return Known(revision=mirror.revision, age_s=age_s)
 
     def _lacks_after(self) -> int | None:
--- a/src/gentianwharf/keyspace/_grant_manager.py
+++ b/src/gentianwharf/keyspace/_grant_manager.py
@@ -54,23 +54,24 @@
         self._now_s = now_s
         self._rows: dict[SpanKey, Row] = {}
         self.holders = HolderStates(timing=timing, now_s=now_s)
-        self._heard_s = 0.0
+        self._store_contact_s = 0.0
         self._grants_sent = 0
         self._on_their_way = 0
         self._leading = False
         self._listed: frozenset[Holder] = frozenset()
         self.on_granted: Callable[[str, Span], None] = lambda service, span: None
 
-    def take_over(self, heard_s: float, *, held_s: float | None = None) -> None:
-        """Begin to lead; earlier leaders may have granted anything until now.
+    def take_over(self, store_contact_s: float, *, held_s: float | None = None) -> None:
+        """Begin to lead; earlier leaders may have issued grants until now.
 
-        ``heard_s`` is when the store was last heard of. A leader that resigned has
-        told for how long its grants hold, ``held_s``; nothing is known of a lost one.
+        ``store_contact_s`` is the time of the last contact with the store. ``held_s``
+        is for how long the grants of a leader that resigned remain valid; None after
+        the loss of a leader, whose grants are unknown.
         """
         self._leading = True
-        self._heard_s = heard_s
+        self._store_contact_s = store_contact_s
         if held_s is None:
-            unknown_until_s = self._timing.unknown_until_s(took_over_s=heard_s)
+            unknown_until_s = self._timing.unknown_until_s(took_over_s=store_contact_s)
         else:
             unknown_until_s = self._now_s() + held_s
         self.holders.reset(unknown_until_s=unknown_until_s)
@@ -87,9 +88,9 @@
             for order in list(state.orders):
                 order.cancel()
 
-    def note_heard(self, heard_s: float) -> None:
+    def note_store_contact(self, store_contact_s: float) -> None:
         """Note that the store was heard of, so that this host still leads."""
-        self._heard_s = max(self._heard_s, heard_s)
+        self._store_contact_s = max(self._store_contact_s, store_contact_s)
 
     def follow(self, table: KeyTable) -> None:
         """Carry out a table that stands in the store."""
@@ -130,7 +131,7 @@
         if not self._leading:
             return
         now_s = self._now_s()
-        if now_s > self._heard_s + self._timing.leader_alone_s:
+        if now_s > self._store_contact_s + self._timing.leader_alone_s:
             # Another host may lead by now and wait for these grants to run out.
             return
         self._on_their_way = sum(
@@ -232,7 +233,7 @@
 
     def _is_replaced(self) -> bool:
         """Whether another host may lead by now."""
-        return self._now_s() >= self._heard_s + LEADER_LEASE_S
+        return self._now_s() >= self._store_contact_s + LEADER_LEASE_S
 
     def _start(self, row: Row, holder: Holder, order: Deferred[None]) -> None:
         row.ordering = True
@@ -300,7 +301,7 @@
         sent_s = self._now_s()
         spans = len(self._rows)
         duration_s = self._timing.duration_s(
-            store_silent_s=sent_s - self._heard_s, spans=spans
+            store_silent_s=sent_s - self._store_contact_s, spans=spans
         )
         grant = Grant(
             first=span.first,
--- a/src/gentianwharf/keyspace/_leadership.py
+++ b/src/gentianwharf/keyspace/_leadership.py
@@ -60,7 +60,7 @@
         campaign_delay_s: float = 0.0,
     ) -> None:
         self.term: Term | None = None
-        self.heard_s = float("-inf")
+        self.lease_renewed_s = float("-inf")
         self.on_gained: Callable[[PreviousLeader | None], None] = lambda previous: None
         self.on_lost: Callable[[], None] = lambda: None
         self._campaign_pause_until_s = float("-inf")
@@ -86,7 +86,10 @@
 
     def holds_lease(self) -> bool:
         """Whether the lease surely holds, so that nobody else leads."""
-        return self.term is not None and self._now_s() < self.heard_s + LEADER_LEASE_S
+        return (
+            self.term is not None
+            and self._now_s() < self.lease_renewed_s + LEADER_LEASE_S
+        )
 
     def note_item(self, item: Item | None) -> None:
         """Follow the leader's item in the store."""
@@ -229,12 +232,12 @@
             return
         if self.term is term:
             # The lease runs from the call's arrival, which is not before its sending.
-            self.heard_s = max(self.heard_s, now_s)
+            self.lease_renewed_s = max(self.lease_renewed_s, now_s)
 
     def _gain(self, revision: int) -> None:
         self.term = Term(lease_id=self._asking_lease_id, revision=revision)
         self._asking_lease_id = 0
-        self.heard_s = self._asked_s
+        self.lease_renewed_s = self._asked_s
         self._due_s = self._now_s() + RENEW_LEASE_EVERY_S
         held_s = (
             self._previous_leader.held_s if self._previous_leader is not None else None
--- a/src/gentianwharf/keyspace/_planner.py
+++ b/src/gentianwharf/keyspace/_planner.py
@@ -145,7 +145,7 @@
             # Nothing is granted without a table in the store.
             held_s = 0.0
         own = self._manager.holders.remaining_grants()
-        self._manager.take_over(self._leadership.heard_s, held_s=held_s)
+        self._manager.take_over(self._leadership.lease_renewed_s, held_s=held_s)
         if previous is not None and held_s is None:
             if previous.value == self._leadership.value:
                 self._manager.holders.note_remaining_grants(own)
@@ -229,7 +229,7 @@
             if now_s >= self._read_due_s:
                 self._read_tables()
             return
-        self._manager.note_heard(self._leadership.heard_s)
+        self._manager.note_store_contact(self._leadership.lease_renewed_s)
         if (
             not self._has_marked_expired
             and self._manager.holders.earlier_grants_expired()
--- a/src/gentianwharf/store/_mirror.py
+++ b/src/gentianwharf/store/_mirror.py
@@ -66,7 +66,7 @@
         self.pace: Callable[[], WatchPace] = lambda: usual_pace(1)
         self.items: dict[str, Item] = {}
         self.is_current = False
-        self.heard_s = float("-inf")
+        self.last_contact_s = float("-inf")
         self._began_s = float(reactor.seconds())
         self.lost_s: float | None = reactor.seconds()
         self.regained_s = float("-inf")
@@ -111,7 +111,7 @@
 
         ``silent_s`` stays 0 for as long as a watch may still be answered.
         """
-        since_s = max(self.heard_s, self._began_s)
+        since_s = max(self.last_contact_s, self._began_s)
         return float(self._reactor.seconds() - since_s)
 
     def take(self, key: str, item: Item | None) -> None:
@@ -128,7 +128,7 @@
         lacked_before = self._lacks_told()
         self._told_revision = max(self._told_revision, events.revision)
         if self.is_current and after_revision <= self.revision:
-            self._note_heard()
+            self._note_contact()
             self._apply(events)
         if not lacked_before:
             self._lacking_since_s = self._reactor.seconds()
@@ -141,7 +141,7 @@
     def feed_page(self, page: Page) -> None:
         """Take all that stands in the store, as another host has it."""
         if self._is_news(page):
-            self._note_heard()
+            self._note_contact()
             self._take_page(page)
 
     def page(self) -> Page | None:
@@ -208,7 +208,7 @@
     async def _read(self) -> None:
         silent_s, asked_s = self.silent_s(), self._reactor.seconds()
         page = await self._store.items(self._prefix)
-        self._note_heard()
+        self._note_contact()
         if silent_s > 0:
             events = Events(changes=page.items, revision=page.revision)
             self._log_caught_up(events, asked_s=asked_s, superseded=0)
@@ -243,7 +243,7 @@
         events = await self._asked(after_revision, pace)
         if events is None:
             return
-        self._note_heard()
+        self._note_contact()
         newest = _newest(events)
         if silent_s > 0:
             superseded = len(events.changes) - len(newest.changes)
@@ -330,14 +330,14 @@
                 revision=item.revision if item is not None else None,
             )
 
-    def _note_heard(self) -> None:
-        self.heard_s = self._reactor.seconds()
+    def _note_contact(self) -> None:
+        self.last_contact_s = self._reactor.seconds()
         self._failures = 0
         if self.lost_s is None:
             return
-        silent_s = self.heard_s - self.lost_s
+        silent_s = self.last_contact_s - self.lost_s
         self.lost_s = None
-        self.regained_s = self.heard_s
+        self.regained_s = self.last_contact_s
         log.info("store regained", extra={"silent_s": round(silent_s, 3)})
 
     def _note_failure(self, error: GentianwharfError) -> None:
--- a/tests/builders_keyspace.py
+++ b/tests/builders_keyspace.py
@@ -203,12 +203,12 @@
     duration_s: float,
     *,
     look: Callable[[], None] = lambda: None,
-    heard: bool = True,
+    store_contact: bool = True,
 ) -> None:
     """Let a manager work, with the store heard all the while unless told otherwise."""
     for _ in range(round(duration_s / 0.05)):
-        if heard:
-            manager.note_heard(clock.seconds())
+        if store_contact:
+            manager.note_store_contact(clock.seconds())
         manager.tick()
         look()
         clock.advance(0.05)
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -111,7 +111,7 @@
         begun_s = self.clock.seconds()
         while self.addresses.holders(SHARD) != [self.other]:
             assert self.clock.seconds() < begun_s + 30
-            host.keeper.note_heard(self.clock.seconds())
+            host.keeper.note_store_contact(self.clock.seconds())
             for one in (host, *others):
                 one.former.tick()
                 one.keeper.tick()
--- a/tests/test_keyspace_keeper.py
+++ b/tests/test_keyspace_keeper.py
@@ -125,10 +125,10 @@
     manager = manager_of(servers)
     manager.follow(table(span(0, 9, 1)))
     run_manager(manager, clock, 1.0)
-    run_manager(manager, clock, 20.0, heard=False)
+    run_manager(manager, clock, 20.0, store_contact=False)
     assert not servers[1].holds(5)
     renewals = len(servers[1].orders)
-    run_manager(manager, clock, 5.0, heard=False)
+    run_manager(manager, clock, 5.0, store_contact=False)
     assert len(servers[1].orders) == renewals
 
 
@@ -140,7 +140,11 @@
     manager.follow(table(span(0, 9, 1)))
     run_manager(manager, clock, 3.0)
     run_manager(
-        manager, clock, 12.0, heard=False, look=lambda: _assert_holds(servers[1], 5)
+        manager,
+        clock,
+        12.0,
+        store_contact=False,
+        look=lambda: _assert_holds(servers[1], 5),
     )
 
 
@@ -286,7 +290,7 @@
     for one in range(1, 86):
         servers[one].late_s = 0.01
     manager.follow(table(*spans))
-    manager.note_heard(clock.seconds())
+    manager.note_store_contact(clock.seconds())
     manager.tick()
     assert sum(len(servers[one].orders) for one in range(1, 86)) <= MOST_ORDERS
 
--- a/tests/test_keyspace_model.py
+++ b/tests/test_keyspace_model.py
@@ -239,7 +239,7 @@
             for number, host in enumerate(self.hosts):
                 if number == self.leader:
                     host.heard_s = self.clock.seconds()
-                    host.manager.note_heard(host.heard_s)
+                    host.manager.note_store_contact(host.heard_s)
                     assert self.word is not None
                     self.word.is_settled |= (
                         host.manager.holders.earlier_grants_expired()
--- a/tests/test_keyspace_order_of_news.py
+++ b/tests/test_keyspace_order_of_news.py
@@ -128,16 +128,18 @@
     former.take_over(clock.seconds())
     former.follow(_table(first_life, 1))
     run_manager(former, clock, 20.0)
-    run_manager(former, clock, 2.0, heard=False)
+    run_manager(former, clock, 2.0, store_contact=False)
     leader.take_over(clock.seconds())
     leader.follow(_table(first_life, 1))
     leader.follow(_table(other, 2, former=(first_life,)))
     run_manager(leader, clock, 0.2)
     assert addresses.holders(SHARD) == [other]
     addresses.end(X)
-    run_manager(former, clock, 1.0, heard=False)
+    run_manager(former, clock, 1.0, store_contact=False)
     addresses.start("a", X)
-    run_manager(former, clock, 1.5, heard=False, look=lambda: _assert_one(addresses))
+    run_manager(
+        former, clock, 1.5, store_contact=False, look=lambda: _assert_one(addresses)
+    )
 
 
 @pytest.mark.parametrize("passed_on", [1, 2], ids=["once", "twice"])
