--- a/src/gentianwharf/keyspace/_rows.py
+++ b/src/gentianwharf/keyspace/_states.py
@@ -1,4 +1,4 @@
-"""What the keeper knows of spans and of their holders, as rows of its tables."""
+"""What the manager knows of spans and of their holders, as rows of its tables."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -30,7 +30,7 @@
 
 @final
 @dataclass(kw_only=True, slots=True)
-class Life:
+class HolderState:
     """What one life of a server may hold, as far as this host knows."""
 
     held_until_s: float
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -12,11 +12,18 @@
 from gentianwharf.entryhost import _former_leader
 from gentianwharf.entryhost._former_leader import FormerLeader
 from gentianwharf.entryhost._messages import AskedHolds, LeaderItem, ToldHolds
-from gentianwharf.keyspace import Former, Holder, Keeper, KeyTable, Leadership, Span
-from gentianwharf.keyspace._keeper import GRANT_TIMEOUT_S
+from gentianwharf.keyspace import (
+    GrantManager,
+    Holder,
+    KeyTable,
+    Leadership,
+    PreviousLeader,
+    Span,
+)
+from gentianwharf.keyspace._grant_manager import GRANT_TIMEOUT_S
 from gentianwharf.keyspace._leadership import Term
 from gentianwharf.keyspace._timing import CLOCK_DRIFT, MARGIN_S
-from tests.builders_keyspace import SERVICE, TIMING, run_keeper
+from tests.builders_keyspace import SERVICE, TIMING, run_manager
 from tests.builders_keyspace_hosts import SimpleStore
 from tests.builders_lives import Addresses, Way
 from tests.builders_store import LinkNet
@@ -30,14 +37,16 @@
     """One host's keeper and its part as a former or a new leader."""
 
     name: LeaderItem
-    keeper: Keeper
+    keeper: GrantManager
     leadership: Leadership
     former: FormerLeader
 
-    def word(self, *, is_settled: bool = True) -> Former:
+    def word(self, *, is_settled: bool = True) -> PreviousLeader:
         """Return what it has left in the store."""
         value = msgspec.json.encode(self.name)
-        return Former(value=value, is_settled=is_settled, held_s=None)
+        return PreviousLeader(
+            value=value, earlier_grants_expired=is_settled, held_s=None
+        )
 
 
 class Place:
@@ -60,12 +69,14 @@
         leadership = Leadership(
             store=SimpleStore(clock),
             key="leader",
-            former_key="former",
+            previous_leader_key="former",
             value=msgspec.json.encode(name),
             now_s=clock.seconds,
             rng=Random(number),
         )
-        keeper = Keeper(orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds)
+        keeper = GrantManager(
+            orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds
+        )
         former = FormerLeader(
             name=name,
             keeper=keeper,
@@ -100,7 +111,7 @@
         begun_s = self.clock.seconds()
         while self.addresses.holders(SHARD) != [self.other]:
             assert self.clock.seconds() < begun_s + 30
-            host.keeper.note_heard(self.clock.seconds())
+            host.keeper.note_store_contact(self.clock.seconds())
             for one in (host, *others):
                 one.former.tick()
                 one.keeper.tick()
@@ -124,7 +135,7 @@
     """Return a leader that hears the store no more, and the next one."""
     former, leader = place.host(1), place.host(2)
     place.lead(former, revision=5)
-    run_keeper(former.keeper, place.clock, 20.0)
+    run_manager(former.keeper, place.clock, 20.0)
     place.addresses.living[place.lost.address].is_silent = True
     return former, leader
 
@@ -185,8 +196,8 @@
     place.lead(leader, revision=9)
     leader.former.ask(former.word())
     assert former.leadership.leads
-    run_keeper(former.keeper, place.clock, 0.1)
-    assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
+    run_manager(former.keeper, place.clock, 0.1)
+    assert leader.keeper.holders.held_s() > TIMING.longest_grant_s
 
 
 def test_answer_of_another_process_than_was_asked_counts_for_nothing(
@@ -197,7 +208,7 @@
     place.net.cut.add(former.name.address)
     leader.former.ask(former.word())
     leader.former.note_told(ToldHolds(7, 9, None))
-    assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
+    assert leader.keeper.holders.held_s() > TIMING.longest_grant_s
 
 
 def test_late_answer_to_an_earlier_question_counts_for_nothing(place: Place) -> None:
@@ -211,4 +222,4 @@
     place.net.cut.add(former.name.address)
     leader.former.ask(former.word())
     leader.former.note_told(ToldHolds(former.name.process, 9, None))
-    assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
+    assert leader.keeper.holders.held_s() > TIMING.longest_grant_s
