--- a/src/gentianwharf/daemon/_views.py
+++ b/src/gentianwharf/daemon/_views.py
@@ -11,7 +11,7 @@
 from gentianwharf.errors import InputError, OutcomeUnknownError
 from gentianwharf.infra import HostList, ListedHost
 from gentianwharf.keys import shard_of
-from gentianwharf.load import Gate, ServerSnapshot, Standing
+from gentianwharf.load import Gate, HealthStatus, ServerSnapshot
 from gentianwharf.logs import log
 from gentianwharf.ownership import (
     Assignment,
@@ -225,12 +225,12 @@
         if server.id in self._hosts.leaving_servers or self._control.is_draining(
             server.id
         ):
-            return str(Standing.LEAVING)
+            return str(HealthStatus.LEAVING)
         if snapshot is None:
             return "gone"
         if server.service in self._keyed and self._control.is_suspect(server.id):
-            return str(Standing.SUSPECT)
-        return str(snapshot.standing)
+            return str(HealthStatus.SUSPECT)
+        return str(snapshot.health)
 
     async def drain(self, server: str, author: str) -> ServerStatus:
         """Tell ``server`` that it is leaving; its shards move away."""
--- a/src/gentianwharf/load/__init__.py
+++ b/src/gentianwharf/load/__init__.py
@@ -19,7 +19,7 @@
     Ticket,
     Wait,
 )
-from ._server_state import Standing
+from ._server_state import HealthStatus
 from ._snapshot import ClassSnapshot, GateSnapshot, PoolSnapshot, ServerSnapshot
 
 __all__ = [
@@ -31,6 +31,7 @@
     "Discipline",
     "Gate",
     "GateSnapshot",
+    "HealthStatus",
     "IdempotencyMemory",
     "Outcome",
     "OutcomeKind",
@@ -39,7 +40,6 @@
     "RefuseReason",
     "RequestClass",
     "ServerSnapshot",
-    "Standing",
     "Start",
     "Ticket",
     "Wait",
--- a/src/gentianwharf/load/_flights.py
+++ b/src/gentianwharf/load/_flights.py
@@ -15,7 +15,7 @@
 from ._class_state import ClassState
 from ._pool import Pool
 from ._requests import Start, Ticket
-from ._server_state import Flight, ServerState, Standing
+from ._server_state import Flight, HealthStatus, ServerState
 
 # An answer of a suspect is worth a second request when it takes longer than some 9 of
 # 10 do: three medians.
@@ -41,7 +41,7 @@
         now_s: float,
     ) -> Start:
         """Note that a request is sent."""
-        probe = state.standing is Standing.SUSPECT
+        probe = state.health is HealthStatus.SUSPECT
         flight = Flight(
             ticket=ticket,
             server=state.server.id,
--- a/src/gentianwharf/load/_health.py
+++ b/src/gentianwharf/load/_health.py
@@ -26,7 +26,7 @@
 ...         gate.finished(one.ticket_id, ended, now_s + ended.elapsed_s)
 >>> serve(now_s=0.0, slow_s=0.02)
 >>> serve(now_s=1.0, slow_s=0.2)
->>> [one.standing.value for one in gate.snapshot().servers]
+>>> [one.health.value for one in gate.snapshot().servers]
 ['suspect', 'active']
 """
 
@@ -42,8 +42,8 @@
     MOST_RATIO,
     OVERDUE_RATIO,
     Flight,
+    HealthStatus,
     ServerState,
-    Standing,
 )
 
 # What a server that sheds without naming a time is given.
@@ -87,7 +87,7 @@
         _judge(pool, state, flight, MOST_RATIO, now_s)
     elif kind in (OutcomeKind.OK, OutcomeKind.SLOW):
         state.answered_s = now_s
-        if pool.pinned and state.standing is Standing.SUSPECT:
+        if pool.pinned and state.health is HealthStatus.SUSPECT:
             # Its keys can be served nowhere else, so slow is better than not at all.
             state.come_back(now_s)
         ratio = class_state.note_answer(outcome.elapsed_s)
@@ -163,7 +163,7 @@
     refused at once as not run, their callers can come back when the owner does or
     the keys have moved.
     """
-    if state.standing is not Standing.ACTIVE or not state.owes_since(flight):
+    if state.health is not HealthStatus.ACTIVE or not state.owes_since(flight):
         return False
     return now_s - flight.started_s > FROZEN_S
 
--- a/src/gentianwharf/load/_pool.py
+++ b/src/gentianwharf/load/_pool.py
@@ -43,7 +43,7 @@
 from ._long_servers import LongDemand, in_common_order
 from ._pace import Pace
 from ._requests import RequestClass, Ticket
-from ._server_state import Flight, ServerState, Standing
+from ._server_state import Flight, HealthStatus, ServerState
 
 # A light caller may exceed the limit by this factor, so that it need not wait for the
 # slots of a busy one: servers then hold some requests more for a moment, which the
@@ -123,7 +123,7 @@
     def takes_any(self, ticket: Ticket, now_s: float) -> bool:
         """Whether some server could run the request, now or after a wait."""
         for state in self.states:
-            if state.standing is Standing.ACTIVE:
+            if state.health is HealthStatus.ACTIVE:
                 return True
             if state.takes_probe(now_s, repeatable=ticket.repeatable):
                 return True
@@ -142,7 +142,9 @@
 
     def note_suspects(self) -> None:
         """Follow which servers are suspects; most of the time there are none."""
-        self.suspects = [one for one in self.states if one.standing is Standing.SUSPECT]
+        self.suspects = [
+            one for one in self.states if one.health is HealthStatus.SUSPECT
+        ]
 
     def rests(self) -> bool:
         """Whether nothing happens at an owner of keys, so that no tick is needed.
--- a/src/gentianwharf/load/_server_state.py
+++ b/src/gentianwharf/load/_server_state.py
@@ -67,7 +67,7 @@
 QUEUE_MEMORY_S = 0.5
 
 
-class Standing(StrEnum):
+class HealthStatus(StrEnum):
     """How a server is treated."""
 
     ACTIVE = "active"
@@ -105,7 +105,7 @@
     local: bool
     most_connections: int
     flights: dict[str, Flight] = field(default_factory=dict)
-    standing: Standing = Standing.ACTIVE
+    health: HealthStatus = HealthStatus.ACTIVE
     ratio: float = USUAL_RATIO
     ramp_from_s: float | None = None
     probe_at_s: float = 0.0
@@ -137,7 +137,7 @@
 
     def has_room(self, now_s: float) -> bool:
         """Whether one more request may be sent, as far as the server goes."""
-        if self.standing is not Standing.ACTIVE or now_s < self.shed_until_s:
+        if self.health is not HealthStatus.ACTIVE or now_s < self.shed_until_s:
             return False
         in_flight = len(self.flights)
         if in_flight >= self.most_connections:
@@ -148,13 +148,13 @@
 
     def takes_pinned(self, now_s: float) -> bool:
         """Whether a request that can go nowhere else may be sent."""
-        if self.standing is Standing.LEAVING:
+        if self.health is HealthStatus.LEAVING:
             return now_s < self.leaving_since_s + LEAVING_GRACE_S
-        return self.standing is Standing.ACTIVE
+        return self.health is HealthStatus.ACTIVE
 
     def takes_probe(self, now_s: float, *, repeatable: bool) -> bool:
         """Whether the next request should find out if a suspect has recovered."""
-        if self.standing is not Standing.SUSPECT or now_s < self.probe_at_s:
+        if self.health is not HealthStatus.SUSPECT or now_s < self.probe_at_s:
             return False
         if repeatable or max(self.answered_s, self.reported_s) > self.suspect_since_s:
             return True
@@ -168,7 +168,7 @@
         """Judge an answer by how long it took against the pool's median."""
         ratio = min(ratio, MOST_RATIO)
         self.answers += 1
-        if self.standing is Standing.SUSPECT:
+        if self.health is HealthStatus.SUSPECT:
             if probe:
                 self._note_probe_answer(ratio, now_s)
             return
@@ -189,7 +189,7 @@
     def is_too_slow(self) -> bool:
         """Whether its answers make it a suspect."""
         most = SUSPECT_RATIO if self.ramp_from_s is None else COLD_SUSPECT_RATIO
-        return self.standing is Standing.ACTIVE and self.ratio > most
+        return self.health is HealthStatus.ACTIVE and self.ratio > most
 
     def owes_since(self, flight: Flight) -> bool:
         """Whether nothing came back since this request was sent."""
@@ -202,7 +202,7 @@
 
     def suspect(self, now_s: float) -> None:
         """Stop sending work to it, but for probes."""
-        self.standing = Standing.SUSPECT
+        self.health = HealthStatus.SUSPECT
         self.suspect_since_s = now_s
         self.probe_wait_s = FIRST_PROBE_S
         self.probe_at_s = now_s + self.probe_wait_s
@@ -238,15 +238,15 @@
 
     def _follow_leaving(self, now_s: float) -> None:
         leaving = self.draining or not self.listed
-        if leaving and self.standing is not Standing.LEAVING:
-            self.standing = Standing.LEAVING
+        if leaving and self.health is not HealthStatus.LEAVING:
+            self.health = HealthStatus.LEAVING
             self.leaving_since_s = now_s
-        elif not leaving and self.standing is Standing.LEAVING:
+        elif not leaving and self.health is HealthStatus.LEAVING:
             self.come_back(now_s)
 
     def come_back(self, now_s: float) -> None:
         """Take work again, beginning with little."""
-        self.standing = Standing.ACTIVE
+        self.health = HealthStatus.ACTIVE
         self.ratio = USUAL_RATIO
         self.ramp_from_s = now_s
 
--- a/src/gentianwharf/load/_snapshot.py
+++ b/src/gentianwharf/load/_snapshot.py
@@ -6,7 +6,7 @@
 from ._class_state import ClassState
 from ._pool import Pool
 from ._requests import RefuseReason
-from ._server_state import ServerState, Standing
+from ._server_state import HealthStatus, ServerState
 
 
 @final
@@ -41,7 +41,7 @@
 
     id: str
     service: str
-    standing: Standing
+    health: HealthStatus
     in_flight: int
     slowness: float
     ramping: bool
@@ -91,7 +91,7 @@
     return ServerSnapshot(
         id=state.server.id,
         service=state.server.service,
-        standing=state.standing,
+        health=state.health,
         in_flight=len(state.flights),
         slowness=state.ratio,
         ramping=state.ramp_from_s is not None,
--- a/tests/test_load_health.py
+++ b/tests/test_load_health.py
@@ -5,11 +5,11 @@
 from gentianwharf.infra import ServerReport
 from gentianwharf.load import (
     Gate,
+    HealthStatus,
     Outcome,
     OutcomeKind,
     Refuse,
     RefuseReason,
-    Standing,
     Start,
 )
 
@@ -46,11 +46,11 @@
     """Let the first server answer a batch ten times too late."""
     slow = {"inscription-0": 10 * USUAL_S}
     serve(gate, 12, now_s=now_s, took_s=slow, at_once=12)
-    assert standing_of(gate, "inscription-0") is Standing.SUSPECT
+    assert health_of(gate, "inscription-0") is HealthStatus.SUSPECT
 
 
-def standing_of(gate: Gate, server: str) -> Standing:
-    return next(one.standing for one in gate.snapshot().servers if one.id == server)
+def health_of(gate: Gate, server: str) -> HealthStatus:
+    return next(one.health for one in gate.snapshot().servers if one.id == server)
 
 
 def report(*, draining: bool = False, healthy: bool = True) -> ServerReport:
@@ -103,7 +103,7 @@
     ]
     assert 3 <= sum(probes) <= 6
     back = [serve(gate, 3, now_s=float(second)) for second in range(20, 40)]
-    assert standing_of(gate, "inscription-0") is Standing.ACTIVE
+    assert health_of(gate, "inscription-0") is HealthStatus.ACTIVE
     assert sum(one.get("inscription-0", 0) for one in back) > 5
 
 
@@ -118,8 +118,8 @@
     servers = {f"inscription-{number}": 0.0005 for number in range(3)}
     serve(gate, 1, now_s=0.0, took_s=servers)
     serve(gate, 100, now_s=1.0)
-    standings = {one.standing for one in gate.snapshot().servers}
-    assert standings == {Standing.ACTIVE}
+    statuses = {one.health for one in gate.snapshot().servers}
+    assert statuses == {HealthStatus.ACTIVE}
 
 
 def test_work_that_becomes_slower_everywhere_accuses_at_most_half() -> None:
@@ -127,8 +127,8 @@
     serve(gate, 60, now_s=0.0)
     slow = {f"inscription-{number}": 20 * USUAL_S for number in range(4)}
     serve(gate, 40, now_s=1.0, took_s=slow)
-    standings = [one.standing for one in gate.snapshot().servers]
-    assert standings.count(Standing.SUSPECT) <= 2
+    statuses = [one.health for one in gate.snapshot().servers]
+    assert statuses.count(HealthStatus.SUSPECT) <= 2
 
 
 def test_frozen_owner_is_refused_as_not_run_until_a_probe_comes_back() -> None:
@@ -199,7 +199,7 @@
     gate.set_servers("inscription", servers, 1.0)
     assert "inscription-0" not in serve(gate, 30, now_s=2.0)
     gate.report("inscription-0", report(), 3.0)
-    assert standing_of(gate, "inscription-0") is Standing.ACTIVE
+    assert health_of(gate, "inscription-0") is HealthStatus.ACTIVE
 
 
 def test_server_that_joins_gets_little_at_first() -> None:
@@ -227,7 +227,7 @@
     gate = build.gate()
     serve(gate, 60, now_s=0.0)
     serve(gate, 12, now_s=1.0, failing={"inscription-0": kind}, at_once=12)
-    assert standing_of(gate, "inscription-0") is Standing.SUSPECT
+    assert health_of(gate, "inscription-0") is HealthStatus.SUSPECT
 
 
 def test_shed_is_believed() -> None:
@@ -280,5 +280,5 @@
     for one in flying:
         gate.finished(one, build.ok(1.04), now_s)
     assert isinstance(gate.submit(build.ticket("after"), now_s), Start)
-    standings = {one.standing for one in gate.snapshot().servers}
-    assert standings == {Standing.ACTIVE}
+    statuses = {one.health for one in gate.snapshot().servers}
+    assert statuses == {HealthStatus.ACTIVE}
