--- a/src/gentianwharf/load/__init__.py
+++ b/src/gentianwharf/load/__init__.py
@@ -1,11 +1,11 @@
 """Decisions under load; nothing here knows of a network.
 
 ``Gate`` decides whom to serve, who waits, who is refused and where work goes;
-``IdempotencyMemory`` joins repeated requests. See ``docs/design/load.md``.
+``IdempotencyCache`` joins repeated requests. See ``docs/design/load.md``.
 """
 
 from ._gate import Gate
-from ._idempotency import Claim, Claimed, IdempotencyMemory
+from ._idempotency import Claim, ClaimResult, IdempotencyCache
 from ._requests import (
     PROVES_NOT_RUN,
     Decision,
@@ -25,14 +25,14 @@
 __all__ = [
     "PROVES_NOT_RUN",
     "Claim",
-    "Claimed",
+    "ClaimResult",
     "ClassSnapshot",
     "Decision",
     "Discipline",
     "Gate",
     "GateSnapshot",
     "HealthStatus",
-    "IdempotencyMemory",
+    "IdempotencyCache",
     "Outcome",
     "OutcomeKind",
     "PoolSnapshot",
--- a/src/gentianwharf/relay/_repeats.py
+++ b/src/gentianwharf/relay/_repeats.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
-from gentianwharf.load import Claim, IdempotencyMemory
+from gentianwharf.load import Claim, IdempotencyCache
 from gentianwharf.runs import Run
 
 from ._problem import Problem
@@ -79,7 +79,7 @@
 
     def __init__(self, *, now_s: Callable[[], float]) -> None:
         self._now_s = now_s
-        self._memory: IdempotencyMemory[KeptAnswer] = IdempotencyMemory()
+        self._memory: IdempotencyCache[KeptAnswer] = IdempotencyCache()
         self._joined: dict[tuple[str, str], list[Deferred[None]]] = {}
 
     async def claim(self, repeat: RepeatKey, request_id: str) -> KeptAnswer | None:
@@ -106,7 +106,7 @@
 
     def settle(self, repeat: RepeatKey, answer: KeptAnswer | None) -> None:
         """Note that the request was answered; None when its outcome is unknown."""
-        self._memory.settle(
+        self._memory.complete(
             scope=repeat.scope,
             key=repeat.key,
             now_s=self._now_s(),
@@ -117,7 +117,7 @@
 
     def forget(self, repeat: RepeatKey) -> None:
         """Note that the request provably did not run: it may be sent again."""
-        self._memory.forget(scope=repeat.scope, key=repeat.key)
+        self._memory.discard(scope=repeat.scope, key=repeat.key)
         self._wake(repeat, _NOT_RUN)
 
     def _join(self, repeat: RepeatKey) -> Deferred[None]:
--- a/tests/test_load_idempotency.py
+++ b/tests/test_load_idempotency.py
@@ -1,29 +1,29 @@
-"""One Idempotency-Key runs at most once on a daemon; the memory is bounded."""
+"""One Idempotency-Key runs at most once on a daemon; the cache is bounded."""
 
 import pytest
 
-from gentianwharf.load import Claim, IdempotencyMemory
+from gentianwharf.load import Claim, IdempotencyCache
 
 SCOPE = "ledger/round-rock"
 
 
 def claim(
-    memory: IdempotencyMemory[str], key: str, now_s: float = 0.0, body: str = "POST /"
+    cache: IdempotencyCache[str], key: str, now_s: float = 0.0, body: str = "POST /"
 ) -> Claim:
-    return memory.claim(
+    return cache.claim(
         scope=SCOPE, key=key, request_id=f"r-{key}", fingerprint=body, now_s=now_s
     ).claim
 
 
 def settle(
-    memory: IdempotencyMemory[str],
+    cache: IdempotencyCache[str],
     key: str,
     *,
     now_s: float = 0.0,
     answer: str | None = "done",
     answer_bytes: int = 4,
 ) -> None:
-    memory.settle(
+    cache.complete(
         scope=SCOPE, key=key, now_s=now_s, answer=answer, answer_bytes=answer_bytes
     )
 
@@ -31,13 +31,13 @@
 def test_repeated_request_joins_the_one_in_flight_then_gets_its_answer() -> None:
     """A treasurer's client posts the same dues again before the answer is there.
 
-    Without the memory both were sent on, and a server that remembers no keys
+    Without the cache both were sent on, and a server that remembers no keys
     charged twice.
     """
-    memory = IdempotencyMemory[str]()
-    assert [claim(memory, "a"), claim(memory, "a")] == [Claim.RUN, Claim.JOIN]
-    settle(memory, "a")
-    assert claim(memory, "a") is Claim.REPLAY
+    cache = IdempotencyCache[str]()
+    assert [claim(cache, "a"), claim(cache, "a")] == [Claim.RUN, Claim.JOIN]
+    settle(cache, "a")
+    assert claim(cache, "a") is Claim.REPLAY
 
 
 @pytest.mark.parametrize(
@@ -50,51 +50,51 @@
 def test_request_without_kept_answer_is_not_sent_again(
     answer: str | None, answer_bytes: int
 ) -> None:
-    memory = IdempotencyMemory[str]()
-    claim(memory, "a")
-    settle(memory, "a", answer=answer, answer_bytes=answer_bytes)
-    assert claim(memory, "a") is Claim.UNKNOWN
-    assert memory.kept_bytes == 0
+    cache = IdempotencyCache[str]()
+    claim(cache, "a")
+    settle(cache, "a", answer=answer, answer_bytes=answer_bytes)
+    assert claim(cache, "a") is Claim.UNKNOWN
+    assert cache.answer_bytes_total == 0
 
 
 def test_request_proved_not_run_may_be_sent_again() -> None:
-    memory = IdempotencyMemory[str]()
-    claim(memory, "a")
-    memory.forget(scope=SCOPE, key="a")
-    assert claim(memory, "a") is Claim.RUN
+    cache = IdempotencyCache[str]()
+    claim(cache, "a")
+    cache.discard(scope=SCOPE, key="a")
+    assert claim(cache, "a") is Claim.RUN
 
 
 def test_key_of_another_request_or_caller_gives_no_answer_away() -> None:
-    memory = IdempotencyMemory[str]()
-    claim(memory, "a")
-    settle(memory, "a")
-    assert claim(memory, "a", body="POST /other") is Claim.MISMATCH
-    other = memory.claim(
+    cache = IdempotencyCache[str]()
+    claim(cache, "a")
+    settle(cache, "a")
+    assert claim(cache, "a", body="POST /other") is Claim.MISMATCH
+    other = cache.claim(
         scope="ledger/austin", key="a", request_id="x", fingerprint="POST /", now_s=0.0
     )
     assert other.claim is Claim.RUN
 
 
 @pytest.mark.parametrize(
-    ("memory", "kept"),
+    ("cache", "kept"),
     [
-        pytest.param(IdempotencyMemory[str](most_kept=3), 3, id="count"),
-        pytest.param(IdempotencyMemory[str](most_kept_bytes=8), 2, id="bytes"),
-        pytest.param(IdempotencyMemory[str](kept_s=2.5), 3, id="time"),
+        pytest.param(IdempotencyCache[str](max_entries=3), 3, id="count"),
+        pytest.param(IdempotencyCache[str](max_bytes=8), 2, id="bytes"),
+        pytest.param(IdempotencyCache[str](retention_s=2.5), 3, id="time"),
     ],
 )
 def test_memory_is_bounded_and_drops_the_oldest(
-    memory: IdempotencyMemory[str], kept: int
+    cache: IdempotencyCache[str], kept: int
 ) -> None:
     for number in range(6):
-        claim(memory, str(number), now_s=float(number))
-        settle(memory, str(number), now_s=float(number))
-    claims = [claim(memory, str(number), now_s=5.0) for number in range(6)]
+        claim(cache, str(number), now_s=float(number))
+        settle(cache, str(number), now_s=float(number))
+    claims = [claim(cache, str(number), now_s=5.0) for number in range(6)]
     assert claims.count(Claim.REPLAY) == kept
     assert claims[-kept:] == [Claim.REPLAY] * kept
 
 
 def test_full_memory_refuses_instead_of_dropping_what_is_in_flight() -> None:
-    memory = IdempotencyMemory[str](most_in_flight=2)
-    claims = [claim(memory, key) for key in "abca"]
+    cache = IdempotencyCache[str](max_in_flight=2)
+    claims = [claim(cache, key) for key in "abca"]
     assert claims == [Claim.RUN, Claim.RUN, Claim.FULL, Claim.JOIN]
