--- a/src/gentianwharf/admission/__init__.py
+++ b/src/gentianwharf/admission/__init__.py
@@ -1,5 +1,5 @@
 """The gate's decisions as the relay awaits them."""
 
-from ._gate_admission import GateAdmission, first_in_rendezvous
+from ._gate_admission import GateAdmission, rendezvous_server
 
-__all__ = ["GateAdmission", "first_in_rendezvous"]
+__all__ = ["GateAdmission", "rendezvous_server"]
--- a/src/gentianwharf/admission/_gate_admission.py
+++ b/src/gentianwharf/admission/_gate_admission.py
@@ -26,7 +26,7 @@
 Clock = Callable[[], float]
 LoadListener = Callable[[BackendServer, ServerLoad, float | None], None]
 """Told what a server said of its load, and how long its answer took if it ran one."""
-Evidence = Callable[[str, bool, float | None], None]
+ServerOutcomeListener = Callable[[str, bool, float | None], None]
 """Told of a server's id, whether it answered, and how long a run kept it busy."""
 
 
@@ -40,14 +40,14 @@
         gate: load.Gate,
         servers: Mapping[str, BackendServer],
         now_s: Clock,
-        on_evidence: Evidence,
+        on_server_outcome: ServerOutcomeListener,
     ) -> None:
         self.servers = dict(servers)
         self.on_load: LoadListener = _ignore_load
-        self.on_unanswered: Callable[[BackendServer], None] = lambda server: None
+        self.on_timeout: Callable[[BackendServer], None] = lambda server: None
         self._gate = gate
         self._now_s = now_s
-        self._on_evidence = on_evidence
+        self._on_server_outcome = on_server_outcome
         self._listed: dict[str, tuple[BackendServer, ...]] = {}
         for server in self.servers.values():
             before = self._listed.get(server.service, ())
@@ -89,10 +89,10 @@
     ) -> None:
         """Note how a leg ended, and let others go."""
         if outcome is Outcome.TIMED_OUT:
-            self.on_unanswered(server)
+            self.on_timeout(server)
         if outcome is not Outcome.CANCELLED:
             busy_s = elapsed_s if outcome is Outcome.ANSWERED else None
-            self._on_evidence(server.id, outcome in _SIGNS_OF_LIFE, busy_s)
+            self._on_server_outcome(server.id, outcome in _SIGNS_OF_LIFE, busy_s)
         ended = load.Outcome(
             kind=_KINDS[outcome], elapsed_s=elapsed_s, retry_after_s=retry_after_s
         )
@@ -105,7 +105,7 @@
         same list within seconds, and a change of it moves only the lost one's keys.
         """
         listed = self._listed.get(service, ())
-        return first_in_rendezvous(key, listed)
+        return rendezvous_server(key, listed)
 
     def tick(self) -> None:
         """Let the gate refuse what has waited too long and hedge what is late."""
@@ -185,7 +185,7 @@
     """Do nothing: where servers report their load elsewhere."""
 
 
-def first_in_rendezvous(
+def rendezvous_server(
     key: str, servers: tuple[BackendServer, ...]
 ) -> BackendServer | None:
     """Return the server of ``key`` by rendezvous hashing, None without servers."""
--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_parts.py
@@ -200,7 +200,7 @@
             gate=self.gate,
             servers=self.servers,
             now_s=self.reactor.seconds,
-            on_evidence=self._on_evidence,
+            on_server_outcome=self._on_evidence,
         )
 
     def _on_evidence(self, server: str, ok: bool, busy_s: float | None) -> None:
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -104,10 +104,10 @@
             gate=self._gate,
             servers={},
             now_s=reactor.seconds,
-            on_evidence=lambda server, answered, busy_s: None,
+            on_server_outcome=lambda server, answered, busy_s: None,
         )
         self._admission.on_load = self._control.note_server_load
-        self._admission.on_unanswered = self._control.note_unanswered
+        self._admission.on_timeout = self._control.note_unanswered
         self.metrics = HostMetrics()
         self.relay = RelayApp(
             rules=self._control.rules,
--- a/tests/test_admission_tickets.py
+++ b/tests/test_admission_tickets.py
@@ -60,7 +60,7 @@
         gate=gate,
         servers=SERVERS,
         now_s=lambda: 1.0,
-        on_evidence=lambda server, answered, busy_s: None,
+        on_server_outcome=lambda server, answered, busy_s: None,
     )
     sent: list[Any] = []
     for serial in (1, 2):
