--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_parts.py
@@ -92,7 +92,7 @@
         )
 
     def _on_report(self, server: str, report: ServerReport) -> None:
-        self.gate.report(server, report, self.reactor.seconds())
+        self.gate.apply_server_report(server, report, self.reactor.seconds())
 
     def _build_links(self) -> None:
         self.mesh = PeerMesh(
--- a/src/gentianwharf/load/_gate.py
+++ b/src/gentianwharf/load/_gate.py
@@ -195,7 +195,9 @@
                 waiting=waiting, slots=slots, wanted_more=pool.waiting > 0
             )
 
-    def report(self, server_id: str, report: "ServerReport", now_s: float) -> None:
+    def apply_server_report(
+        self, server_id: str, report: "ServerReport", now_s: float
+    ) -> None:
         """Take a server's own word as a hint; only "draining" is believed at once."""
         state = self._registry.servers.get(server_id)
         if state is None:
--- a/tests/test_load_health.py
+++ b/tests/test_load_health.py
@@ -194,11 +194,11 @@
     Each reading of the list brought it back, and new work was cut off when it went.
     """
     gate = build.gate()
-    gate.report("inscription-0", report(draining=True), 0.0)
+    gate.apply_server_report("inscription-0", report(draining=True), 0.0)
     servers = [build.server(number) for number in range(3)]
     gate.set_servers("inscription", servers, 1.0)
     assert "inscription-0" not in serve(gate, 30, now_s=2.0)
-    gate.report("inscription-0", report(), 3.0)
+    gate.apply_server_report("inscription-0", report(), 3.0)
     assert health_of(gate, "inscription-0") is HealthStatus.ACTIVE
 
 
