--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -57,7 +57,7 @@
 
 
 def _at_most(limit: AdaptiveLimit, *args: object, **kwargs: object) -> None:
-    limit.value = limit.most
+    limit.value = limit.maximum
 
 
 MECHANISMS: Mapping[str, tuple[Off, ...]] = {
--- a/src/gentianwharf/load/_choose.py
+++ b/src/gentianwharf/load/_choose.py
@@ -13,7 +13,7 @@
 ...         server=BackendServer(id=f"ledger-{number}", service="ledger",
 ...                              domain="hall-a", address="127.0.0.1:9200", slots=3,
 ...                              connections=120),
-...         local=number == 1, most_connections=10)
+...         local=number == 1, max_connections=10)
 ...     for number in (1, 2))
 >>> choose_server([near, far], now_s=0.0, rng=Random(1)).server.id
 'ledger-1'
@@ -118,4 +118,4 @@
         return state
     if not state.takes_pinned(now_s) or now_s < state.shed_until_s:
         return None
-    return state if len(state.flights) < state.most_connections else None
+    return state if len(state.flights) < state.max_connections else None
--- a/src/gentianwharf/load/_limit.py
+++ b/src/gentianwharf/load/_limit.py
@@ -59,7 +59,7 @@
     Servers that tell their queue with each answer need no guess from how long answers
     take: ``note_queue`` follows them within a few answers.
 
-    >>> limit = AdaptiveLimit(fair=4.0, most=48.0)
+    >>> limit = AdaptiveLimit(fair_share=4.0, maximum=48.0)
     >>> def answers(count, elapsed_s):
     ...     for _ in range(count):
     ...         limit.note_answer(elapsed_s=elapsed_s, wanted_more=True)
@@ -79,17 +79,19 @@
         "_wanted_more",
         "_window",
         "_window_answers",
-        "fair",
-        "most",
+        "fair_share",
+        "maximum",
         "value",
     )
 
-    def __init__(self, *, fair: float, most: float, owner: bool = False) -> None:
+    def __init__(
+        self, *, fair_share: float, maximum: float, owner: bool = False
+    ) -> None:
         self._owner = owner
         self._window_answers = OWNER_WINDOW_ANSWERS if owner else WINDOW_ANSWERS
-        self.fair = max(1.0, fair)
-        self.most = max(self.fair, most)
-        self.value = self.fair
+        self.fair_share = max(1.0, fair_share)
+        self.maximum = max(self.fair_share, maximum)
+        self.value = self.fair_share
         self._quickest_s = 0.0
         self._usual_s = 0.0
         self._window: list[float] = []
@@ -97,15 +99,15 @@
         self._quick_s = 0.0
         self._growth = GROWTH if owner else FIRST_GROWTH
 
-    def resize(self, *, fair: float, most: float) -> None:
+    def resize(self, *, fair_share: float, maximum: float) -> None:
         """Follow servers that join or leave."""
-        self.fair = max(1.0, fair)
-        self.most = max(self.fair, most)
-        self.value = min(self.most, max(self.fair, self.value))
+        self.fair_share = max(1.0, fair_share)
+        self.maximum = max(self.fair_share, maximum)
+        self.value = min(self.maximum, max(self.fair_share, self.value))
 
     def borrow(self, value: float) -> None:
         """Begin above the fair share, until answers say otherwise."""
-        self.value = min(self.most, max(self.value, value))
+        self.value = min(self.maximum, max(self.value, value))
 
     def note_answer(self, *, elapsed_s: float, wanted_more: bool) -> None:
         """Count an answer of a short class; adapt at the end of a window."""
@@ -126,11 +128,11 @@
             self._growth = GROWTH
             self.value = max(1.0, self.value * QUEUE_FACTOR)
         elif not waiting and wanted_more:
-            self.value = min(self.most, self.value + QUEUE_GROWTH)
+            self.value = min(self.maximum, self.value + QUEUE_GROWTH)
 
     def note_shed(self) -> None:
         """Lower the limit: a server said that it is full."""
-        self.value = max(self.fair / 2, 1.0, self.value * SHED_FACTOR)
+        self.value = max(self.fair_share / 2, 1.0, self.value * SHED_FACTOR)
 
     def _adapt(self) -> None:
         self._window.sort()
@@ -146,11 +148,11 @@
         waited_s = quick_s - self._quickest_s
         if waited_s > self._usual_s * TOLERATED_WAIT:
             self._growth = GROWTH
-            self.value = max(self.fair, self.value * SLOWER_FACTOR)
-            if self.value <= self.fair:
+            self.value = max(self.fair_share, self.value * SLOWER_FACTOR)
+            if self.value <= self.fair_share:
                 self._quickest_s += waited_s * DRIFT
                 self._usual_s += (mean_s - self._usual_s) * DRIFT
         elif self._wanted_more:
             self.value = min(
-                self.most, self.value + max(1.0, self.value * self._growth)
+                self.maximum, self.value + max(1.0, self.value * self._growth)
             )
--- a/src/gentianwharf/load/_owner.py
+++ b/src/gentianwharf/load/_owner.py
@@ -21,7 +21,7 @@
 >>> look_up = RequestClass.from_deadline(name="look-up", deadline_ms=2000, weight=8)
 >>> server = BackendServer(id="ledger-1", service="ledger", domain="hall-a",
 ...                        address="127.0.0.1:9200", slots=3, connections=120)
->>> owner = ServerState(server=server, local=True, most_connections=10)
+>>> owner = ServerState(server=server, local=True, max_connections=10)
 >>> pool = Pool(service="ledger", states=[owner], classes={"look-up": look_up},
 ...             daemons=12, rng=Random(1), pinned=True)
 >>> takes_long(pool, owner, 1.0)  # Nobody looks anything up.
--- a/src/gentianwharf/load/_pool.py
+++ b/src/gentianwharf/load/_pool.py
@@ -16,7 +16,7 @@
 >>> look_up = RequestClass.from_deadline(name="look-up", deadline_ms=2000, weight=8)
 >>> server = BackendServer(id="ledger-1", service="ledger", domain="hall-a",
 ...                        address="127.0.0.1:9200", slots=3, connections=120)
->>> state = ServerState(server=server, local=True, most_connections=10)
+>>> state = ServerState(server=server, local=True, max_connections=10)
 >>> pool = Pool(service="ledger", states=[state], classes={"look-up": look_up},
 ...             daemons=1, rng=Random(1), pinned=False)
 >>> row = pool.classes["look-up"]
@@ -95,7 +95,7 @@
         self.short_states: list[ServerState] = []
         self.long_states: list[ServerState] = []
         self.pace = Pace()
-        self.limit = AdaptiveLimit(fair=1.0, most=1.0, owner=pinned)
+        self.limit = AdaptiveLimit(fair_share=1.0, maximum=1.0, owner=pinned)
         self.set_states(states)
         if pinned:
             # One owner of many: most of the time the other hosts leave it alone.
@@ -107,7 +107,7 @@
         """Follow servers that join or leave."""
         self.states = in_common_order(states)
         slots = sum(one.server.slots for one in states)
-        self.limit.resize(fair=slots / self._daemons, most=float(slots))
+        self.limit.resize(fair_share=slots / self._daemons, maximum=float(slots))
         self.note_suspects()
         self._divide_servers()
 
--- a/src/gentianwharf/load/_registry.py
+++ b/src/gentianwharf/load/_registry.py
@@ -88,7 +88,7 @@
         """Follow the number of daemons that share the servers."""
         self._daemons = max(1, daemons)
         for state in self.servers.values():
-            state.most_connections = self._share_of_connections(state.server)
+            state.max_connections = self._share_of_connections(state.server)
         for pool in self.pools.values():
             pool.set_daemons(self._daemons)
 
@@ -128,7 +128,7 @@
         state = ServerState(
             server=server,
             local=server.domain == self._domain,
-            most_connections=self._share_of_connections(server),
+            max_connections=self._share_of_connections(server),
         )
         self.servers[server.id] = state
         self._file(state)
@@ -151,7 +151,7 @@
         del self._by_service[state.server.service][server.id]
         state.server = server
         state.local = server.domain == self._domain
-        state.most_connections = self._share_of_connections(server)
+        state.max_connections = self._share_of_connections(server)
         self._file(state)
 
     def _make_pool(
--- a/src/gentianwharf/load/_server_state.py
+++ b/src/gentianwharf/load/_server_state.py
@@ -11,7 +11,7 @@
 
 >>> server = BackendServer(id="ledger-1", service="ledger", domain="hall-a",
 ...                        address="127.0.0.1:9200", slots=3, connections=120)
->>> state = ServerState(server=server, local=True, most_connections=10)
+>>> state = ServerState(server=server, local=True, max_connections=10)
 >>> for _ in range(3):
 ...     state.note_ratio(10.0, 1.0, probe=False)
 >>> state.is_too_slow()
@@ -103,7 +103,7 @@
 
     server: BackendServer
     local: bool
-    most_connections: int
+    max_connections: int
     flights: dict[str, Flight] = field(default_factory=dict)
     health: HealthStatus = HealthStatus.ACTIVE
     ratio: float = USUAL_RATIO
@@ -140,7 +140,7 @@
         if self.health is not HealthStatus.ACTIVE or now_s < self.shed_until_s:
             return False
         in_flight = len(self.flights)
-        if in_flight >= self.most_connections:
+        if in_flight >= self.max_connections:
             return False
         if self.ramp_from_s is None:
             return True
--- a/tests/test_entryhost_servers.py
+++ b/tests/test_entryhost_servers.py
@@ -90,9 +90,9 @@
     after = replace(before, slots=8, connections=80)
     pool = registry.set_servers(before.service, [after], 1.0)
     assert registry.servers[before.id] is state
-    assert (state.server.slots, state.most_connections) == (8, 40)
+    assert (state.server.slots, state.max_connections) == (8, 40)
     assert pool is not None
-    assert pool.limit.most == 8.0
+    assert pool.limit.maximum == 8.0
 
 
 def at_another_address(server: BackendServer) -> BackendServer:
