--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -20,7 +20,7 @@
 from gentianwharf.load._fair_queue import FairQueue
 from gentianwharf.load._gate import Gate
 from gentianwharf.load._limit import AdaptiveLimit
-from gentianwharf.load._pace import Pace
+from gentianwharf.load._pacer import Pacer
 from gentianwharf.load._server_state import ServerState
 
 SCENARIOS = (
@@ -63,21 +63,25 @@
 MECHANISMS: Mapping[str, tuple[Off, ...]] = {
     "adaptive limit": (
         Off(owner=AdaptiveLimit, name="_adapt", instead=_at_most),
-        Off(owner=AdaptiveLimit, name="note_shed", instead=_at_most),
-        Off(owner=AdaptiveLimit, name="note_queue", instead=_at_most),
+        Off(owner=AdaptiveLimit, name="record_shed", instead=_at_most),
+        Off(owner=AdaptiveLimit, name="record_queue", instead=_at_most),
     ),
-    "second sends": (Off(owner=Gate, name="_hedge_late", instead=_always([])),),
+    "second sends": (Off(owner=Gate, name="_send_hedges", instead=_always([])),),
     "probes of suspects": (
-        Off(owner=ServerState, name="takes_probe", instead=_always(False)),
+        Off(owner=ServerState, name="accepts_probe", instead=_always(False)),
     ),
     "slow servers set apart": (
         Off(owner=ServerState, name="is_too_slow", instead=_always(False)),
     ),
-    "cold starts": (Off(owner=_server_state, name="RAMP_S", instead=1e-6),),
-    "places to wait": (Off(owner=FairQueue, name="has_place", instead=_always(False)),),
+    "cold starts": (Off(owner=_server_state, name="RAMP_UP_S", instead=1e-6),),
+    "places to wait": (
+        Off(owner=FairQueue, name="can_enqueue", instead=_always(False)),
+    ),
     "fair rounds": (Off(owner=FairQueue, name="round_of", instead=_always(1)),),
-    "pacing at an owner": (Off(owner=Pace, name="is_open", instead=_always(True)),),
-    "own failure domain first": (Off(owner=_choose, name="FAR_COST", instead=0.0),),
+    "pacing at an owner": (Off(owner=Pacer, name="may_start", instead=_always(True)),),
+    "own failure domain first": (
+        Off(owner=_choose, name="OTHER_DOMAIN_COST", instead=0.0),
+    ),
     "retry budget": (Off(owner=RetryBudget, name="take", instead=_always(True)),),
 }
 
--- a/src/gentianwharf/load/_choose.py
+++ b/src/gentianwharf/load/_choose.py
@@ -35,7 +35,7 @@
 # large service a look at all servers would cost too much: this many are compared.
 MOST_COMPARED = 16
 # A server of another domain is 1 ms farther, of some 10 ms; half a request in flight.
-FAR_COST = 0.5
+OTHER_DOMAIN_COST = 0.5
 # A near server with nothing of ours in flight: no other can be better.
 LEAST_COST = 1.0
 # Whoever owes an answer for long is busy with a long job or stuck: its other slots
@@ -55,7 +55,7 @@
     cost = load * max(1.0, state.ratio / USUAL_RATIO)
     if state.ramp_from_s is not None:
         cost += (1.0 - state.share(now_s)) * COLD_COST
-    return cost if state.local else cost + FAR_COST
+    return cost if state.local else cost + OTHER_DOMAIN_COST
 
 
 def choose_server(
@@ -106,7 +106,7 @@
         states = pool.long_states or pool.states
         return choose_server(states, now_s=now_s, rng=rng, avoid=avoid)
     for state in pool.suspects:
-        if state.takes_probe(now_s, repeatable=ticket.repeatable):
+        if state.accepts_probe(now_s, repeatable=ticket.repeatable):
             return state
     return choose_server(pool.short_states, now_s=now_s, rng=rng, avoid=avoid)
 
@@ -114,8 +114,8 @@
 def _place_at_owner(
     state: ServerState, ticket: Ticket, now_s: float
 ) -> ServerState | None:
-    if state.takes_probe(now_s, repeatable=ticket.repeatable):
+    if state.accepts_probe(now_s, repeatable=ticket.repeatable):
         return state
-    if not state.takes_pinned(now_s) or now_s < state.shed_until_s:
+    if not state.accepts_pinned(now_s) or now_s < state.shed_until_s:
         return None
     return state if len(state.flights) < state.max_connections else None
--- a/src/gentianwharf/load/_fair_queue.py
+++ b/src/gentianwharf/load/_fair_queue.py
@@ -128,7 +128,7 @@
         """Remove a request that waits no longer; return it if it waited here."""
         return self._take_out(ticket_id) if ticket_id in self._places else None
 
-    def has_place(self, ticket: Ticket, *, places: int, most: int) -> bool:
+    def can_enqueue(self, ticket: Ticket, *, places: int, most: int) -> bool:
         """Whether ``ticket`` may wait in a queue of ``places``.
 
         Up to ``most`` for a newcomer where one flow alone fills half of the places:
--- a/src/gentianwharf/load/_gate.py
+++ b/src/gentianwharf/load/_gate.py
@@ -168,7 +168,7 @@
             pool.tick(now_s)
             decisions += self._refuse_late(pool, now_s)
             decisions += self._serve_waiting(pool, now_s)
-            decisions += self._hedge_late(pool, now_s)
+            decisions += self._send_hedges(pool, now_s)
         self._registry.drop_idle_pools()
         return decisions
 
@@ -188,10 +188,10 @@
         state = self._registry.servers.get(server_id)
         if state is None:
             return
-        state.note_queue(waiting, now_s)
+        state.record_queue(waiting, now_s)
         pool = self._registry.pools.get((state.server.service, server_id))
         if pool is not None and pool.pinned:
-            pool.limit.note_queue(
+            pool.limit.record_queue(
                 waiting=waiting, slots=slots, wanted_more=pool.waiting > 0
             )
 
@@ -258,7 +258,7 @@
         state = self._registry.servers.get(ticket.server)
         if state is None or state.server.service != ticket.service:
             return False
-        return state.takes_pinned(now_s) or state.takes_probe(
+        return state.accepts_pinned(now_s) or state.accepts_probe(
             now_s, repeatable=ticket.repeatable
         )
 
@@ -267,15 +267,15 @@
     ) -> Decision:
         share = pool.turn_share(class_state)
         rate_per_s = pool.turn_rate_per_s(class_state, share)
-        has_place = not pool.pinned or may_wait(pool, class_state, now_s)
-        if has_place:
+        can_enqueue = not pool.pinned or may_wait(pool, class_state, now_s)
+        if can_enqueue:
             most = most_places(class_state.longest_wait_s, rate_per_s)
             now = places(most, class_state.refused_share, share)
             if pool.is_beside_busy(ticket):
                 now = most
-            has_place = class_state.queue.has_place(ticket, places=now, most=most)
-        class_state.note_decision(refused=not has_place)
-        if not has_place:
+            can_enqueue = class_state.queue.can_enqueue(ticket, places=now, most=most)
+        class_state.note_decision(refused=not can_enqueue)
+        if not can_enqueue:
             return self._refusals.refuse_busy(ticket, class_state, rate_per_s, now_s)
         wait_s = len(class_state.queue) / rate_per_s
         if now_s + wait_s + class_state.mean_s > ticket.deadline_s:
@@ -340,7 +340,7 @@
                     decisions.append(self._refuse(ticket, reason, now_s))
         return decisions
 
-    def _hedge_late(self, pool: Pool, now_s: float) -> list[Decision]:
+    def _send_hedges(self, pool: Pool, now_s: float) -> list[Decision]:
         decisions: list[Decision] = []
         for late in self._flights.late(pool, now_s):
             if not self._registry.budgets[pool.service].take():
--- a/src/gentianwharf/load/_health.py
+++ b/src/gentianwharf/load/_health.py
@@ -74,13 +74,13 @@
         state.answered_s = now_s
         return
     if kind is OutcomeKind.SHED:
-        pool.limit.note_shed()
-        state.note_shed(now_s, outcome.retry_after_s or DEFAULT_SHED_S)
+        pool.limit.record_shed()
+        state.record_shed(now_s, outcome.retry_after_s or DEFAULT_SHED_S)
     elif kind is OutcomeKind.TIMEOUT and outcome.elapsed_s < RESET_S:
         # Some servers reset connections when they are full. What they reset may have
         # run: a request that must not repeat is better refused here for a moment.
-        pool.limit.note_shed()
-        state.note_shed(now_s, RESET_SHED_S)
+        pool.limit.record_shed()
+        state.record_shed(now_s, RESET_SHED_S)
     elif kind in (OutcomeKind.CONNECT_FAILED, OutcomeKind.TIMEOUT):
         if kind is OutcomeKind.TIMEOUT:
             _note_owed(pool, flight, outcome.elapsed_s)
@@ -93,7 +93,7 @@
         ratio = class_state.note_answer(outcome.elapsed_s)
         if not flight.long:
             has_queue = state.queue_now(now_s) > state.server.slots * FULL_QUEUE
-            pool.pace.note_answer(elapsed_s=outcome.elapsed_s, has_queue=has_queue)
+            pool.pacer.note_answer(elapsed_s=outcome.elapsed_s, has_queue=has_queue)
             state.short_answers.note(ratio, flight.started_s, now_s)
             wanted_more = pool.waiting > 0
             pool.limit.note_answer(elapsed_s=outcome.elapsed_s, wanted_more=wanted_more)
@@ -153,7 +153,7 @@
 def _note_owed(pool: Pool, flight: Flight, waited_s: float) -> None:
     """Let the owner of keys have less; elsewhere others take the work."""
     if pool.pinned and not flight.long:
-        pool.pace.note_owed(waited_s)
+        pool.pacer.note_owed(waited_s)
 
 
 def _is_frozen(state: ServerState, flight: Flight, now_s: float) -> bool:
--- a/src/gentianwharf/load/_limit.py
+++ b/src/gentianwharf/load/_limit.py
@@ -57,7 +57,7 @@
     """A limit between the fair share and all slots.
 
     Servers that tell their queue with each answer need no guess from how long answers
-    take: ``note_queue`` follows them within a few answers.
+    take: ``record_queue`` follows them within a few answers.
 
     >>> limit = AdaptiveLimit(fair_share=4.0, maximum=48.0)
     >>> def answers(count, elapsed_s):
@@ -118,7 +118,7 @@
             self._window.clear()
             self._wanted_more = False
 
-    def note_queue(self, *, waiting: int, slots: int, wanted_more: bool) -> None:
+    def record_queue(self, *, waiting: int, slots: int, wanted_more: bool) -> None:
         """Follow what a server says of its queue.
 
         More than ``FULL_QUEUE`` times its slots waiting there is a wait of about one
@@ -130,7 +130,7 @@
         elif not waiting and wanted_more:
             self.value = min(self.maximum, self.value + QUEUE_GROWTH)
 
-    def note_shed(self) -> None:
+    def record_shed(self) -> None:
         """Lower the limit: a server said that it is full."""
         self.value = max(self.fair_share / 2, 1.0, self.value * SHED_FACTOR)
 
--- a/src/gentianwharf/load/_owner.py
+++ b/src/gentianwharf/load/_owner.py
@@ -29,7 +29,7 @@
 >>> owner.short_answers.note(ratio=5.0, sent_s=0.9, now_s=1.0)
 >>> takes_long(pool, owner, 1.0), may_wait(pool, pool.classes["look-up"], 1.0)
 (False, True)
->>> owner.note_shed(1.0, wait_s=0.05)
+>>> owner.record_shed(1.0, wait_s=0.05)
 >>> may_wait(pool, pool.classes["look-up"], 1.0)
 False
 """
@@ -55,7 +55,7 @@
     state = pool.states[0]
     if now_s < state.shed_until_s:
         return False
-    if pool.pace.left_s(now_s) > class_state.longest_wait_s:
+    if pool.pacer.left_s(now_s) > class_state.longest_wait_s:
         return False
     flight = _oldest_short(state)
     return flight is None or now_s - flight.started_s <= class_state.longest_wait_s
--- a/src/gentianwharf/load/_pace.py
+++ b/src/gentianwharf/load/_pacer.py
@@ -9,14 +9,14 @@
 in vain, and more with each that follows; answers of a server without a long queue
 shorten the time again. What comes meanwhile is refused at once.
 
->>> pace = Pace()
->>> pace.note_owed(1.2)
->>> pace.note_owed(1.2)
->>> pace.note_start(10.0)
->>> pace.is_open(11.0), pace.is_open(12.5)
+>>> pacer = Pacer()
+>>> pacer.note_owed(1.2)
+>>> pacer.note_owed(1.2)
+>>> pacer.note_start(10.0)
+>>> pacer.may_start(11.0), pacer.may_start(12.5)
 (False, True)
->>> pace.note_answer(elapsed_s=0.6, has_queue=False)
->>> round(pace.gap_s, 2)
+>>> pacer.note_answer(elapsed_s=0.6, has_queue=False)
+>>> round(pacer.gap_s, 2)
 2.04
 """
 
@@ -46,7 +46,7 @@
 
 
 @final
-class Pace:
+class Pacer:
     """The time between two requests of this host to one owner; 0 while all is well."""
 
     __slots__ = ("_owed", "_started_s", "gap_s")
@@ -56,7 +56,7 @@
         self._owed = 0
         self._started_s = float("-inf")
 
-    def is_open(self, now_s: float) -> bool:
+    def may_start(self, now_s: float) -> bool:
         """Whether the next request may start."""
         return now_s >= self._started_s + self.gap_s
 
--- a/src/gentianwharf/load/_pool.py
+++ b/src/gentianwharf/load/_pool.py
@@ -41,7 +41,7 @@
 from ._flows import LEAST_BUSY, FlowCounts
 from ._limit import AdaptiveLimit
 from ._long_servers import LongDemand, in_common_order
-from ._pace import Pace
+from ._pacer import Pacer
 from ._requests import RequestClass, Ticket
 from ._server_state import Flight, HealthStatus, ServerState
 
@@ -94,7 +94,7 @@
         self.suspects: list[ServerState] = []
         self.short_states: list[ServerState] = []
         self.long_states: list[ServerState] = []
-        self.pace = Pace()
+        self.pacer = Pacer()
         self.limit = AdaptiveLimit(fair_share=1.0, maximum=1.0, owner=pinned)
         self.set_states(states)
         if pinned:
@@ -118,14 +118,14 @@
 
     def is_gone(self, now_s: float) -> bool:
         """Whether waiting is in vain: the only server is frozen or has left."""
-        return self.pinned and not self.states[0].takes_pinned(now_s)
+        return self.pinned and not self.states[0].accepts_pinned(now_s)
 
     def takes_any(self, ticket: Ticket, now_s: float) -> bool:
         """Whether some server could run the request, now or after a wait."""
         for state in self.states:
             if state.health is HealthStatus.ACTIVE:
                 return True
-            if state.takes_probe(now_s, repeatable=ticket.repeatable):
+            if state.accepts_probe(now_s, repeatable=ticket.repeatable):
                 return True
         return False
 
@@ -185,7 +185,7 @@
 
         ``light``: see ``is_light``.
         """
-        if not self.pace.is_open(now_s):
+        if not self.pacer.may_start(now_s):
             return False
         limit = self.limit.value
         share = state.request_class.slot_share
@@ -238,7 +238,7 @@
 
     def turn_rate_per_s(self, state: ClassState, share: float) -> float:
         """Return how many of the class can start a second with this turn share."""
-        each_s = max(state.mean_s, self.pace.gap_s, LEAST_MEAN_S)
+        each_s = max(state.mean_s, self.pacer.gap_s, LEAST_MEAN_S)
         return max(1.0, self.limit.value * share) / each_s
 
     def turn_share(self, state: ClassState) -> float:
@@ -288,7 +288,7 @@
     def note_start(self, state: ClassState, flight: Flight, now_s: float) -> None:
         """Count a request that is sent."""
         state.in_flight += 1
-        self.pace.note_start(now_s)
+        self.pacer.note_start(now_s)
         self._callers.add(flight.ticket.caller)
         if flight.ticket.key is not None:
             self._keys.add(flight.ticket.key)
--- a/src/gentianwharf/load/_server_state.py
+++ b/src/gentianwharf/load/_server_state.py
@@ -17,7 +17,7 @@
 >>> state.is_too_slow()
 True
 >>> state.suspect(1.0)
->>> state.has_room(1.1), state.takes_probe(1.6, repeatable=True)
+>>> state.has_room(1.1), state.accepts_probe(1.6, repeatable=True)
 (False, True)
 """
 
@@ -58,7 +58,7 @@
 FROZEN_S = 1.0
 # A request that must not repeat is no probe unless the server has shown life since.
 BLIND_PROBE_S = 30.0
-RAMP_S = 5.0
+RAMP_UP_S = 5.0
 RAMP_FLOOR = 0.35
 # A leaving server's shards need this long to move; other work stops at once.
 LEAVING_GRACE_S = 3.0
@@ -129,7 +129,7 @@
         """Return the part of its usual work that the server gets, above 0 to 1."""
         if self.ramp_from_s is None:
             return 1.0
-        part = (now_s - self.ramp_from_s) / RAMP_S
+        part = (now_s - self.ramp_from_s) / RAMP_UP_S
         if part >= 1.0:
             self.ramp_from_s = None
             return 1.0
@@ -146,13 +146,13 @@
             return True
         return in_flight + 1 <= max(1.0, self.server.slots * self.share(now_s))
 
-    def takes_pinned(self, now_s: float) -> bool:
+    def accepts_pinned(self, now_s: float) -> bool:
         """Whether a request that can go nowhere else may be sent."""
         if self.health is HealthStatus.LEAVING:
             return now_s < self.leaving_since_s + LEAVING_GRACE_S
         return self.health is HealthStatus.ACTIVE
 
-    def takes_probe(self, now_s: float, *, repeatable: bool) -> bool:
+    def accepts_probe(self, now_s: float, *, repeatable: bool) -> bool:
         """Whether the next request should find out if a suspect has recovered."""
         if self.health is not HealthStatus.SUSPECT or now_s < self.probe_at_s:
             return False
@@ -208,7 +208,7 @@
         self.probe_at_s = now_s + self.probe_wait_s
         self.good_probes = 0
 
-    def note_queue(self, waiting: int, now_s: float) -> None:
+    def record_queue(self, waiting: int, now_s: float) -> None:
         """Note how many requests the server said to have waiting."""
         self.queued = waiting
         self.queued_s = now_s
@@ -218,7 +218,7 @@
         left = 1.0 - (now_s - self.queued_s) / QUEUE_MEMORY_S
         return self.queued * left if left > 0 else 0.0
 
-    def note_shed(self, now_s: float, wait_s: float) -> None:
+    def record_shed(self, now_s: float, wait_s: float) -> None:
         """Believe a server that says it is full, for a bounded time."""
         self.shed_until_s = now_s + min(wait_s, LONGEST_SHED_S)
 
