--- a/src/gentianwharf/load/_budget.py
+++ b/src/gentianwharf/load/_budget.py
@@ -11,39 +11,39 @@
 # figure in common use (Google SRE book, ch. 21, "Handling Overload").
 RETRIES_PER_REQUEST = 0.1
 # Lets a service with little traffic retry a short burst, e.g. one lost server.
-MOST_SAVED_RETRIES = 10.0
+MAX_SAVED_RETRIES = 10.0
 
 
 @final
 class RetryBudget:
     """A token bucket that first sends fill and repeated sends empty.
 
-    >>> budget = RetryBudget(saved=0.0)
+    >>> budget = RetryBudget(tokens=0.0)
     >>> for _ in range(10):
-    ...     budget.note_request()
+    ...     budget.record_request()
     >>> budget.take(), budget.take()
     (True, False)
     """
 
-    __slots__ = ("_saved",)
+    __slots__ = ("_tokens",)
 
-    def __init__(self, *, saved: float = MOST_SAVED_RETRIES) -> None:
-        self._saved = saved
+    def __init__(self, *, tokens: float = MAX_SAVED_RETRIES) -> None:
+        self._tokens = tokens
 
     @property
-    def saved(self) -> float:
+    def tokens(self) -> float:
         """How many sends could be repeated now."""
-        return self._saved
+        return self._tokens
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Count a request that is sent for the first time."""
         # Ten times a tenth must make one: rounding may not lose the last one.
-        saved = round(self._saved + RETRIES_PER_REQUEST, 9)
-        self._saved = min(MOST_SAVED_RETRIES, saved)
+        saved = round(self._tokens + RETRIES_PER_REQUEST, 9)
+        self._tokens = min(MAX_SAVED_RETRIES, saved)
 
     def take(self) -> bool:
         """Spend one repeated send if the budget has one."""
-        if self._saved < 1.0:
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
--- a/src/gentianwharf/load/_choose.py
+++ b/src/gentianwharf/load/_choose.py
@@ -26,18 +26,18 @@
 from random import Random
 
 from ._class_state import ClassState
-from ._owner import takes_long
+from ._owner import may_start_long
 from ._pool import Pool
 from ._requests import Ticket
 from ._server_state import USUAL_RATIO, ServerState
 
 # A tie between nearly equal servers must not send all hosts to the same one, and in a
 # large service a look at all servers would cost too much: this many are compared.
-MOST_COMPARED = 16
+MAX_COMPARED = 16
 # A server of another domain is 1 ms farther, of some 10 ms; half a request in flight.
 OTHER_DOMAIN_COST = 0.5
 # A near server with nothing of ours in flight: no other can be better.
-LEAST_COST = 1.0
+MIN_COST = 1.0
 # Whoever owes an answer for long is busy with a long job or stuck: its other slots
 # are used when the other servers have some of our requests in flight too.
 OVERDUE_COST = 2.0
@@ -51,10 +51,10 @@
 def cost_of(state: ServerState, now_s: float) -> float:
     """Return the expected delay, in units of one usual answer."""
     load = len(state.flights) + 1.0 + state.overdue * OVERDUE_COST
-    load += state.queue_now(now_s) * QUEUE_COST
-    cost = load * max(1.0, state.ratio / USUAL_RATIO)
-    if state.ramp_from_s is not None:
-        cost += (1.0 - state.share(now_s)) * COLD_COST
+    load += state.estimated_queue(now_s) * QUEUE_COST
+    cost = load * max(1.0, state.latency_ratio / USUAL_RATIO)
+    if state.ramp_started_s is not None:
+        cost += (1.0 - state.ramp_share(now_s)) * COLD_COST
     return cost if state.local else cost + OTHER_DOMAIN_COST
 
 
@@ -75,19 +75,19 @@
     first = int(rng.random() * total)
     best: ServerState | None = None
     best_cost = 0.0
-    for step in range(min(total, MOST_COMPARED)):
+    for step in range(min(total, MAX_COMPARED)):
         state = states[(first + step) % total]
-        if not state.has_room(now_s) or state.server.id == avoid:
+        if not state.has_capacity(now_s) or state.server.id == avoid:
             continue
         cost = cost_of(state, now_s)
-        if cost <= LEAST_COST:
+        if cost <= MIN_COST:
             return state
         if best is None or cost < best_cost:
             best, best_cost = state, cost
     return best
 
 
-def place(
+def select_server(
     pool: Pool,
     class_state: ClassState,
     ticket: Ticket,
@@ -99,9 +99,9 @@
     """Return where the pool sends a request now, or None while it must wait."""
     if pool.pinned:
         state = pool.states[0]
-        if class_state.request_class.long and not takes_long(pool, state, now_s):
+        if class_state.request_class.long and not may_start_long(pool, state, now_s):
             return None
-        return _place_at_owner(state, ticket, now_s)
+        return _select_owner(state, ticket, now_s)
     if class_state.request_class.long:
         states = pool.long_states or pool.states
         return choose_server(states, now_s=now_s, rng=rng, avoid=avoid)
@@ -111,7 +111,7 @@
     return choose_server(pool.short_states, now_s=now_s, rng=rng, avoid=avoid)
 
 
-def _place_at_owner(
+def _select_owner(
     state: ServerState, ticket: Ticket, now_s: float
 ) -> ServerState | None:
     if state.accepts_probe(now_s, repeatable=ticket.repeatable):
--- a/src/gentianwharf/load/_class_state.py
+++ b/src/gentianwharf/load/_class_state.py
@@ -5,10 +5,10 @@
 job hides what follows. The median moves a small step with each answer.
 
 >>> look_up = RequestClass.from_deadline(name="look-up", deadline_ms=2000, weight=8)
->>> state = class_state(look_up, Random(1))
+>>> state = make_class_state(look_up, Random(1))
 >>> for _ in range(9):
-...     ratio = state.note_answer(0.02)
->>> state.note_answer(0.2)
+...     ratio = state.record_answer(0.02)
+>>> state.record_answer(0.2)
 10.0
 >>> round(state.median_s, 4)
 0.0208
@@ -21,11 +21,11 @@
 
 from ._fair_queue import FairQueue
 from ._requests import RequestClass
-from ._return_times import ReturnTimes
+from ._retry_schedule import RetrySchedule
 
 # Before the first answer: the class's longest wait, divided by this, stands for the
 # time that a request takes (10 ms for a consultation with a deadline of 2 s).
-UNKNOWN_MEAN_DIVISOR = 10.0
+INITIAL_MEAN_DIVISOR = 10.0
 MEAN_SMOOTHING = 0.05
 # Some fifty requests: a quarter of a second of today's load on one host.
 REFUSED_SMOOTHING = 0.02
@@ -34,7 +34,7 @@
 MEDIAN_STEP = 0.04
 # The median begins with that many answers and judges none before: when it began with
 # the first, a lucky one of 0.5 ms made all servers look slow to one host for seconds.
-FIRST_ANSWERS = 9
+MEDIAN_WARM_UP_ANSWERS = 9
 
 
 @final
@@ -44,8 +44,8 @@
 
     request_class: RequestClass
     queue: FairQueue
-    return_times: ReturnTimes
-    longest_wait_s: float
+    retry_schedule: RetrySchedule
+    max_wait_s: float
     mean_s: float
     median_s: float = 0.0
     in_flight: int = 0
@@ -53,16 +53,16 @@
     refused_share: float = 0.0
     _first_answers: list[float] = field(default_factory=list)
 
-    def note_decision(self, *, refused: bool) -> None:
+    def record_decision(self, *, refused: bool) -> None:
         """Follow the share of requests that find no place."""
         self.refused_share += (refused - self.refused_share) * REFUSED_SMOOTHING
 
-    def note_answer(self, elapsed_s: float) -> float:
+    def record_answer(self, elapsed_s: float) -> float:
         """Learn from an answer; return how it compares with the median before it."""
         self.mean_s += (elapsed_s - self.mean_s) * MEAN_SMOOTHING
         if self.median_s == 0.0:
             self._first_answers.append(elapsed_s)
-            if len(self._first_answers) == FIRST_ANSWERS:
+            if len(self._first_answers) == MEDIAN_WARM_UP_ANSWERS:
                 self.median_s = median(self._first_answers)
                 self._first_answers.clear()
             return 1.0
@@ -71,13 +71,13 @@
         return ratio
 
 
-def class_state(request_class: RequestClass, rng: Random) -> ClassState:
+def make_class_state(request_class: RequestClass, rng: Random) -> ClassState:
     """Return the row of a class that has seen no request yet."""
-    longest_wait_s = request_class.max_wait_ms / 1000
+    max_wait_s = request_class.max_wait_ms / 1000
     return ClassState(
         request_class=request_class,
         queue=FairQueue(discipline=request_class.discipline),
-        return_times=ReturnTimes(rng=rng),
-        longest_wait_s=longest_wait_s,
-        mean_s=longest_wait_s / UNKNOWN_MEAN_DIVISOR,
+        retry_schedule=RetrySchedule(rng=rng),
+        max_wait_s=max_wait_s,
+        mean_s=max_wait_s / INITIAL_MEAN_DIVISOR,
     )
--- a/src/gentianwharf/load/_fair_queue.py
+++ b/src/gentianwharf/load/_fair_queue.py
@@ -73,7 +73,7 @@
         # Waiting requests by round, each round in order of arrival.
         self._rounds: dict[int, dict[str, Ticket]] = {}
         self._places: dict[str, int] = {}
-        self._since_s: dict[str, float] = {}
+        self._enqueued_s: dict[str, float] = {}
         self._sequence = count()
         self._round = 0
         self._next_rounds: dict[Flow, int] = {}
@@ -105,10 +105,10 @@
         sequence = next(self._sequence)
         heappush(self._heap, (place, self._order(ticket, sequence), sequence, ticket))
         self._places[ticket.id] = place
-        self._since_s[ticket.id] = now_s
+        self._enqueued_s[ticket.id] = now_s
         self._rounds.setdefault(place, {})[ticket.id] = ticket
         if len(self._next_rounds) > 2 * len(self._places) + FLOW_TABLE_SLACK:
-            self._forget_idle_flows()
+            self._drop_idle_flows()
 
     def peek(self) -> Ticket:
         """Return the next request; raises ``IndexError`` when empty."""
@@ -122,11 +122,11 @@
         """Remove and return the next request; raises ``IndexError`` when empty."""
         ticket = self.peek()
         self._round = heappop(self._heap)[0]
-        return self._take_out(ticket.id)
+        return self._remove(ticket.id)
 
     def remove(self, ticket_id: str) -> Ticket | None:
         """Remove a request that waits no longer; return it if it waited here."""
-        return self._take_out(ticket_id) if ticket_id in self._places else None
+        return self._remove(ticket_id) if ticket_id in self._places else None
 
     def can_enqueue(self, ticket: Ticket, *, places: int, most: int) -> bool:
         """Whether ``ticket`` may wait in a queue of ``places``.
@@ -135,16 +135,16 @@
         it may have taken them when there were more, or have nobody to lend them to.
         """
         waiting = len(self._places)
-        own = self._count_of(ticket)
+        own = self._busiest_count(ticket)
         if waiting < places:
             return own < places - waiting
         if own or waiting >= most:
             return False
         return max(self._counts.values(), default=0) * 2 > places
 
-    def since_s(self, ticket: Ticket) -> float:
+    def enqueued_s(self, ticket: Ticket) -> float:
         """Return when a waiting request came."""
-        return self._since_s[ticket.id]
+        return self._enqueued_s[ticket.id]
 
     def waiting(self) -> list[Ticket]:
         """Return all waiting requests, by round."""
@@ -152,16 +152,16 @@
             ticket for tickets in self._rounds.values() for ticket in tickets.values()
         ]
 
-    def _count_of(self, ticket: Ticket) -> int:
+    def _busiest_count(self, ticket: Ticket) -> int:
         """Return how many the busier of the ticket's flows has waiting."""
         count = self._counts.get(("caller", ticket.caller), 0)
         if ticket.key is None:
             return count
         return max(count, self._counts.get(("key", ticket.key), 0))
 
-    def _take_out(self, ticket_id: str) -> Ticket:
+    def _remove(self, ticket_id: str) -> Ticket:
         place = self._places.pop(ticket_id)
-        del self._since_s[ticket_id]
+        del self._enqueued_s[ticket_id]
         tickets = self._rounds[place]
         ticket = tickets.pop(ticket_id)
         for flow in _flows_of(ticket):
@@ -182,7 +182,7 @@
             heapify(self._heap)
         return ticket
 
-    def _forget_idle_flows(self) -> None:
+    def _drop_idle_flows(self) -> None:
         self._next_rounds = {
             flow: place
             for flow, place in self._next_rounds.items()
--- a/src/gentianwharf/load/_flights.py
+++ b/src/gentianwharf/load/_flights.py
@@ -51,11 +51,11 @@
         )
         state.flights[ticket.id] = flight
         self._first[ticket.id] = flight
-        pool.note_start(class_state, flight, now_s)
+        pool.record_start(class_state, flight, now_s)
         if probe:
-            state.note_probe(now_s)
+            state.record_probe(now_s)
             # A server that still owes its last answers may owe this one for long.
-            pool.note_end(class_state, flight)
+            pool.record_end(class_state, flight)
         self.started += 1
         return Start(ticket_id=ticket.id, server=state.server.id)
 
@@ -73,11 +73,11 @@
         )
         state.flights[ticket.id] = flight
         self._second[ticket.id] = flight
-        pool.note_start(pool.classes[ticket.request_class], flight, now_s)
+        pool.record_start(pool.classes[ticket.request_class], flight, now_s)
         self.hedged += 1
         return Start(ticket_id=ticket.id, server=state.server.id, hedge=True)
 
-    def take(self, ticket_id: str, server: str | None) -> Flight | None:
+    def pop(self, ticket_id: str, server: str | None) -> Flight | None:
         """Remove and return the send to ``server``, any if that is None."""
         for table in (self._first, self._second):
             flight = table.get(ticket_id)
@@ -85,21 +85,21 @@
                 return table.pop(ticket_id)
         return None
 
-    def of(self, ticket_id: str) -> list[Flight]:
+    def of_request(self, ticket_id: str) -> list[Flight]:
         """Return a request's sends."""
         found = (self._first.get(ticket_id), self._second.get(ticket_id))
         return [flight for flight in found if flight is not None]
 
-    def late(self, pool: Pool, now_s: float) -> Iterator[Flight]:
+    def hedge_candidates(self, pool: Pool, now_s: float) -> Iterator[Flight]:
         """Yield what a second server should be asked for."""
         if pool.pinned:
             return
         for state in pool.suspects:
             for flight in list(state.flights.values()):
-                if self._is_late(pool, flight, now_s):
+                if self._needs_hedge(pool, flight, now_s):
                     yield flight
 
-    def _is_late(self, pool: Pool, flight: Flight, now_s: float) -> bool:
+    def _needs_hedge(self, pool: Pool, flight: Flight, now_s: float) -> bool:
         ticket = flight.ticket
         class_state = pool.classes[ticket.request_class]
         if flight.hedge or not ticket.repeatable or ticket.id in self._second:
--- a/src/gentianwharf/load/_flows.py
+++ b/src/gentianwharf/load/_flows.py
@@ -13,7 +13,7 @@
 
 # Of some hundred callers one in twenty has a second request at a host by chance. Held
 # back like a hot one's, those made the p99 at a load of 1.0 171 ms instead of 157 ms.
-LEAST_BUSY = 2
+MIN_BUSY = 2
 # A busy flow has more than this part of all. On a host that has half of the load the
 # busiest of 200 equal callers has three requests by chance, and is no hot caller.
 BUSY_SHARE = 1 / 3
@@ -35,15 +35,22 @@
     (3, 2, True)
     """
 
-    __slots__ = ("_counts", "_flows_with", "_least_busy", "_most", "_total", "_waiting")
-
-    def __init__(self, *, least_busy: int = LEAST_BUSY) -> None:
-        self._least_busy = least_busy
+    __slots__ = (
+        "_counts",
+        "_flows_with",
+        "_min_busy",
+        "_max_count",
+        "_total",
+        "_waiting",
+    )
+
+    def __init__(self, *, min_busy: int = MIN_BUSY) -> None:
+        self._min_busy = min_busy
         self._counts: dict[str, int] = {}
         self._waiting: dict[str, int] = {}
         # How many flows have each count, so that the busiest is known at once.
         self._flows_with: dict[int, int] = {}
-        self._most = 0
+        self._max_count = 0
         self._total = 0
 
     def __len__(self) -> int:
@@ -92,16 +99,17 @@
         ``own`` of its requests are left out: the one that is asked for, if counted.
         """
         count = self._counts.get(flow, 0)
-        if count <= own or count < self._most:
+        if count <= own or count < self._max_count:
             return True
         if count == self._total:
             return False
-        return count - own < self._least_busy or count <= self._total * BUSY_SHARE
+        return count - own < self._min_busy or count <= self._total * BUSY_SHARE
 
     def has_busy(self) -> bool:
         """Whether the flow with the most has much of all."""
         return (
-            self._most > self._least_busy and self._most >= self._total * BUSIEST_SHARE
+            self._max_count > self._min_busy
+            and self._max_count >= self._total * BUSIEST_SHARE
         )
 
     def _move(self, before: int, after: int) -> None:
@@ -115,8 +123,8 @@
                 del flows_with[before]
         if after:
             flows_with[after] = flows_with.get(after, 0) + 1
-        if after > self._most:
-            self._most = after
-        elif before == self._most and before not in flows_with:
+        if after > self._max_count:
+            self._max_count = after
+        elif before == self._max_count and before not in flows_with:
             # The flow that had the most now has one less: nobody has more than that.
-            self._most = after
+            self._max_count = after
--- a/src/gentianwharf/load/_gate.py
+++ b/src/gentianwharf/load/_gate.py
@@ -10,20 +10,20 @@
 from random import Random
 from typing import TYPE_CHECKING, final
 
-from gentianwharf.pauses import TickGap
+from gentianwharf.pauses import PauseDetector
 from gentianwharf.topology import BackendServer, Service
 
 if TYPE_CHECKING:
     # For its type alone: the adapters beside it take 20 MB and a third of a second.
     from gentianwharf.infra import ServerReport
 
-from ._choose import choose_server, place
+from ._choose import choose_server, select_server
 from ._class_state import ClassState
 from ._flights import Flights
-from ._health import judge_all, learn
-from ._owner import may_wait
-from ._places import most_places, places
+from ._health import evaluate_servers, record_outcome
+from ._owner import may_queue
 from ._pool import Pool
+from ._queue_capacity import max_queue_capacity, queue_capacity
 from ._refusals import Refusals
 from ._registry import Registry
 from ._requests import (
@@ -74,7 +74,7 @@
         self._registry = Registry(
             services=services, classes=classes, domain=domain, rng=rng, daemons=daemons
         )
-        self._tick_gap = TickGap()
+        self._pause_detector = PauseDetector()
         self._flights = Flights()
         self._refusals = Refusals(rng=rng)
         self._waiting: dict[str, Pool] = {}
@@ -97,7 +97,7 @@
         """Decide on a new request."""
         budget = self._registry.budgets.get(ticket.service)
         if budget is not None:
-            budget.note_request()
+            budget.record_request()
         return self._admit(ticket, now_s, avoid=None)
 
     def finished(
@@ -108,7 +108,7 @@
         ``server`` tells a hedged request's two sends apart. An outcome for a request
         that is not in flight (any more) changes nothing.
         """
-        flight = self._flights.take(ticket_id, server)
+        flight = self._flights.pop(ticket_id, server)
         if flight is None:
             return []
         state = self._registry.servers[flight.server]
@@ -116,19 +116,19 @@
         class_state = pool.classes[flight.ticket.request_class]
         del state.flights[ticket_id]
         state.overdue -= flight.overdue
-        pool.note_end(class_state, flight)
-        learn(pool, class_state, state, flight, outcome, now_s)
-        self._registry.drop_if_gone(state)
+        pool.record_end(class_state, flight)
+        record_outcome(pool, class_state, state, flight, outcome, now_s)
+        self._registry.drop_if_unlisted(state)
         return self._serve_waiting(pool, now_s)
 
     def cancel(self, ticket_id: str, now_s: float) -> list[Decision]:
         """Forget a request whose caller has gone, waiting or in flight."""
         pool = self._waiting.pop(ticket_id, None)
         if pool is not None:
-            pool.forget(ticket_id)
+            pool.remove(ticket_id)
             return []
         decisions: list[Decision] = []
-        for flight in self._flights.of(ticket_id):
+        for flight in self._flights.of_request(ticket_id):
             elapsed_s = now_s - flight.started_s
             outcome = Outcome(kind=OutcomeKind.CANCELLED, elapsed_s=elapsed_s)
             decisions += self.finished(ticket_id, outcome, now_s, flight.server)
@@ -158,15 +158,15 @@
     def tick(self, now_s: float) -> list[Decision]:
         """Refuse waiters that have become too late, find silent servers, hedge."""
         decisions: list[Decision] = []
-        paused_s = self._tick_gap.note_tick(now_s)
-        judge_all(
+        paused_s = self._pause_detector.record_tick(now_s)
+        evaluate_servers(
             self._registry.servers.values(), self._registry.pool_of, paused_s, now_s
         )
         for pool in list(self._registry.pools.values()):
-            if pool.rests():
+            if pool.is_idle():
                 continue
             pool.tick(now_s)
-            decisions += self._refuse_late(pool, now_s)
+            decisions += self._refuse_expired(pool, now_s)
             decisions += self._serve_waiting(pool, now_s)
             decisions += self._send_hedges(pool, now_s)
         self._registry.drop_idle_pools()
@@ -192,7 +192,7 @@
         pool = self._registry.pools.get((state.server.service, server_id))
         if pool is not None and pool.pinned:
             pool.limit.record_queue(
-                waiting=waiting, slots=slots, wanted_more=pool.waiting > 0
+                waiting=waiting, slots=slots, has_backlog=pool.waiting > 0
             )
 
     def apply_server_report(
@@ -202,11 +202,11 @@
         state = self._registry.servers.get(server_id)
         if state is None:
             return
-        state.note_draining(report.draining, now_s)
-        if report.cold and state.answers == 0 and state.ramp_from_s is None:
-            state.ramp_from_s = now_s
+        state.set_draining(report.draining, now_s)
+        if report.cold and state.answer_count == 0 and state.ramp_started_s is None:
+            state.ramp_started_s = now_s
         if report.healthy:
-            state.reported_s = now_s
+            state.last_report_s = now_s
 
     def snapshot(self) -> GateSnapshot:
         """Return the state for metrics."""
@@ -221,8 +221,8 @@
             started=self._flights.started,
             retried=self._retried,
             hedged=self._flights.hedged,
-            retries_saved={
-                name: one.saved for name, one in self._registry.budgets.items()
+            retry_budgets={
+                name: one.tokens for name, one in self._registry.budgets.items()
             },
         )
 
@@ -238,7 +238,7 @@
         if self._may_start(pool, class_state, ticket, now_s):
             started = self._start(pool, class_state, ticket, now_s, avoid=avoid)
             if started is not None:
-                class_state.note_decision(refused=False)
+                class_state.record_decision(refused=False)
                 return started
         return self._wait(pool, class_state, ticket, now_s)
 
@@ -247,14 +247,14 @@
     ) -> bool:
         light = pool.is_light(ticket)
         waiting = len(class_state.queue) > 0
-        if waiting and (not light or pool.passes_first(class_state, now_s)):
+        if waiting and (not light or pool.head_has_priority(class_state, now_s)):
             return False
-        return pool.has_room(class_state, now_s, light=light)
+        return pool.has_capacity(class_state, now_s, light=light)
 
     def _can_be_served(self, ticket: Ticket, now_s: float) -> bool:
         if ticket.server is None:
             pool = self._registry.pools.get((ticket.service, None))
-            return pool is not None and pool.takes_any(ticket, now_s)
+            return pool is not None and pool.can_serve(ticket, now_s)
         state = self._registry.servers.get(ticket.server)
         if state is None or state.server.service != ticket.service:
             return False
@@ -265,22 +265,24 @@
     def _wait(
         self, pool: Pool, class_state: ClassState, ticket: Ticket, now_s: float
     ) -> Decision:
-        share = pool.turn_share(class_state)
-        rate_per_s = pool.turn_rate_per_s(class_state, share)
-        can_enqueue = not pool.pinned or may_wait(pool, class_state, now_s)
+        share = pool.class_share(class_state)
+        rate_per_s = pool.service_rate_per_s(class_state, share)
+        can_enqueue = not pool.pinned or may_queue(pool, class_state, now_s)
         if can_enqueue:
-            most = most_places(class_state.longest_wait_s, rate_per_s)
-            now = places(most, class_state.refused_share, share)
-            if pool.is_beside_busy(ticket):
+            most = max_queue_capacity(class_state.max_wait_s, rate_per_s)
+            now = queue_capacity(most, class_state.refused_share, share)
+            if pool.has_other_busy_caller(ticket):
                 now = most
             can_enqueue = class_state.queue.can_enqueue(ticket, places=now, most=most)
-        class_state.note_decision(refused=not can_enqueue)
+        class_state.record_decision(refused=not can_enqueue)
         if not can_enqueue:
-            return self._refusals.refuse_busy(ticket, class_state, rate_per_s, now_s)
+            return self._refusals.refuse_overload(
+                ticket, class_state, rate_per_s, now_s
+            )
         wait_s = len(class_state.queue) / rate_per_s
         if now_s + wait_s + class_state.mean_s > ticket.deadline_s:
             return self._refuse(ticket, RefuseReason.DEADLINE, now_s)
-        pool.push(class_state, ticket, now_s)
+        pool.enqueue(class_state, ticket, now_s)
         self._waiting[ticket.id] = pool
         return Wait(ticket_id=ticket.id)
 
@@ -299,7 +301,7 @@
         *,
         avoid: str | None = None,
     ) -> Start | None:
-        state = place(
+        state = select_server(
             pool, class_state, ticket, now_s=now_s, rng=self._rng, avoid=avoid
         )
         if state is None:
@@ -319,22 +321,22 @@
             if started is None and not late:
                 blocked.add(class_state.request_class.name)
                 continue
-            pool.pop(class_state)
+            pool.dequeue(class_state)
             del self._waiting[ticket.id]
             decisions.append(
                 started or self._refuse(ticket, RefuseReason.DEADLINE, now_s)
             )
         return decisions
 
-    def _refuse_late(self, pool: Pool, now_s: float) -> list[Decision]:
+    def _refuse_expired(self, pool: Pool, now_s: float) -> list[Decision]:
         decisions: list[Decision] = []
         if not pool.waiting:
             return decisions
-        gone = pool.is_gone(now_s)
+        gone = pool.is_unavailable(now_s)
         for class_state in pool.classes.values():
             for ticket in class_state.queue.waiting():
                 if gone or now_s + class_state.mean_s > ticket.deadline_s:
-                    pool.forget(ticket.id)
+                    pool.remove(ticket.id)
                     del self._waiting[ticket.id]
                     reason = RefuseReason.NO_SERVER if gone else RefuseReason.DEADLINE
                     decisions.append(self._refuse(ticket, reason, now_s))
@@ -342,7 +344,7 @@
 
     def _send_hedges(self, pool: Pool, now_s: float) -> list[Decision]:
         decisions: list[Decision] = []
-        for late in self._flights.late(pool, now_s):
+        for late in self._flights.hedge_candidates(pool, now_s):
             if not self._registry.budgets[pool.service].take():
                 break
             state = choose_server(
--- a/src/gentianwharf/load/_health.py
+++ b/src/gentianwharf/load/_health.py
@@ -33,13 +33,13 @@
 from collections.abc import Callable, Iterable
 
 from ._class_state import ClassState
-from ._limit import FULL_QUEUE
+from ._limit import LONG_QUEUE_RATIO
 from ._pool import Pool
 from ._requests import Outcome, OutcomeKind, Ticket
 from ._server_state import (
     FROZEN_S,
-    LEAST_OVERDUE_S,
-    MOST_RATIO,
+    MAX_RATIO,
+    MIN_OVERDUE_S,
     OVERDUE_RATIO,
     Flight,
     HealthStatus,
@@ -56,7 +56,7 @@
 PoolOf = Callable[[Ticket], Pool]
 
 
-def learn(
+def record_outcome(
     pool: Pool,
     class_state: ClassState,
     state: ServerState,
@@ -71,7 +71,7 @@
     """
     kind = outcome.kind
     if flight.paused and kind is not OutcomeKind.SHED:
-        state.answered_s = now_s
+        state.last_answer_s = now_s
         return
     if kind is OutcomeKind.SHED:
         pool.limit.record_shed()
@@ -83,37 +83,41 @@
         state.record_shed(now_s, RESET_SHED_S)
     elif kind in (OutcomeKind.CONNECT_FAILED, OutcomeKind.TIMEOUT):
         if kind is OutcomeKind.TIMEOUT:
-            _note_owed(pool, flight, outcome.elapsed_s)
-        _judge(pool, state, flight, MOST_RATIO, now_s)
+            _record_timeout(pool, flight, outcome.elapsed_s)
+        _evaluate(pool, state, flight, MAX_RATIO, now_s)
     elif kind in (OutcomeKind.OK, OutcomeKind.SLOW):
-        state.answered_s = now_s
+        state.last_answer_s = now_s
         if pool.pinned and state.health is HealthStatus.SUSPECT:
             # Its keys can be served nowhere else, so slow is better than not at all.
-            state.come_back(now_s)
-        ratio = class_state.note_answer(outcome.elapsed_s)
+            state.reactivate(now_s)
+        ratio = class_state.record_answer(outcome.elapsed_s)
         if not flight.long:
-            has_queue = state.queue_now(now_s) > state.server.slots * FULL_QUEUE
-            pool.pacer.note_answer(elapsed_s=outcome.elapsed_s, has_queue=has_queue)
-            state.short_answers.note(ratio, flight.started_s, now_s)
-            wanted_more = pool.waiting > 0
-            pool.limit.note_answer(elapsed_s=outcome.elapsed_s, wanted_more=wanted_more)
-            _judge(pool, state, flight, ratio, now_s)
-
-
-def judge_all(
+            has_queue = (
+                state.estimated_queue(now_s) > state.server.slots * LONG_QUEUE_RATIO
+            )
+            pool.pacer.record_answer(elapsed_s=outcome.elapsed_s, has_queue=has_queue)
+            state.short_answers.record(ratio, flight.started_s, now_s)
+            has_backlog = pool.waiting > 0
+            pool.limit.record_answer(
+                elapsed_s=outcome.elapsed_s, has_backlog=has_backlog
+            )
+            _evaluate(pool, state, flight, ratio, now_s)
+
+
+def evaluate_servers(
     states: Iterable[ServerState], pool_of: PoolOf, paused_s: float, now_s: float
 ) -> None:
     """Judge every server at a tick, after a pause of ``paused_s`` of this host."""
     for state in states:
-        state.forget(now_s)
+        state.decay_ratio(now_s)
         if not state.flights:
             continue
         if paused_s:
-            _note_pause(state, paused_s)
-        _judge_overdue(state, pool_of, now_s)
+            _discount_pause(state, paused_s)
+        _evaluate_overdue(state, pool_of, now_s)
 
 
-def _note_pause(state: ServerState, paused_s: float) -> None:
+def _discount_pause(state: ServerState, paused_s: float) -> None:
     """Leave the time in which this host stood still out of what its servers owe.
 
     A host that was paused finds every answer overdue at once, while they wait unread
@@ -125,7 +129,7 @@
         flight.paused = True
 
 
-def _judge_overdue(state: ServerState, pool_of: PoolOf, now_s: float) -> None:
+def _evaluate_overdue(state: ServerState, pool_of: PoolOf, now_s: float) -> None:
     """Count answers that are owed for too long before they come.
 
     A frozen server gives no answers that could be judged: its callers would wait for
@@ -137,23 +141,23 @@
         pool = pool_of(flight.ticket)
         if flight.overdue and _is_frozen(state, flight, now_s):
             _suspect(pool, state, now_s)
-        if flight.judged:
+        if flight.evaluated:
             continue
         class_state = pool.classes[flight.ticket.request_class]
-        overdue_s = max(LEAST_OVERDUE_S, OVERDUE_RATIO * class_state.median_s)
+        overdue_s = max(MIN_OVERDUE_S, OVERDUE_RATIO * class_state.median_s)
         if not class_state.median_s or now_s - flight.started_s <= overdue_s:
             continue
         state.overdue += 1
         flight.overdue = True
         # It may never come back and must not hold the limit until then.
-        pool.note_end(class_state, flight)
-        _judge(pool, state, flight, MOST_RATIO, now_s)
+        pool.record_end(class_state, flight)
+        _evaluate(pool, state, flight, MAX_RATIO, now_s)
 
 
-def _note_owed(pool: Pool, flight: Flight, waited_s: float) -> None:
+def _record_timeout(pool: Pool, flight: Flight, waited_s: float) -> None:
     """Let the owner of keys have less; elsewhere others take the work."""
     if pool.pinned and not flight.long:
-        pool.pacer.note_owed(waited_s)
+        pool.pacer.record_timeout(waited_s)
 
 
 def _is_frozen(state: ServerState, flight: Flight, now_s: float) -> bool:
@@ -163,19 +167,19 @@
     refused at once as not run, their callers can come back when the owner does or
     the keys have moved.
     """
-    if state.health is not HealthStatus.ACTIVE or not state.owes_since(flight):
+    if state.health is not HealthStatus.ACTIVE or not state.is_silent_since(flight):
         return False
     return now_s - flight.started_s > FROZEN_S
 
 
-def _judge(
+def _evaluate(
     pool: Pool, state: ServerState, flight: Flight, ratio: float, now_s: float
 ) -> None:
-    if flight.judged:
+    if flight.evaluated:
         return
-    flight.judged = True
-    state.note_ratio(ratio, now_s, probe=flight.probe)
-    # The only server of a pool: refusing all would be worse than its slowness.
+    flight.evaluated = True
+    state.record_latency_ratio(ratio, now_s, probe=flight.probe)
+    # A pinned pool has one server: refusing everything is worse than slow answers.
     if pool.pinned or not state.is_too_slow():
         return
     if state.is_silent() or pool.may_suspect_slow():
@@ -184,8 +188,8 @@
 
 def _suspect(pool: Pool, state: ServerState, now_s: float) -> None:
     state.suspect(now_s)
-    pool.note_suspects()
+    pool.update_suspects()
     # What it owes must not hold the pool's limit while others are free.
     for flight in state.flights.values():
         if (flight.ticket.server is None) is not pool.pinned:
-            pool.note_end(pool.classes[flight.ticket.request_class], flight)
+            pool.record_end(pool.classes[flight.ticket.request_class], flight)
--- a/src/gentianwharf/load/_limit.py
+++ b/src/gentianwharf/load/_limit.py
@@ -31,10 +31,10 @@
 OWNER_WINDOW_ANSWERS = 24
 # The mean with the window before counts: the best of single windows is luck as well,
 # and kept the limit of two busy hosts at two thirds of what they needed.
-QUICK_SHARE = 0.1
-SLOWER_FACTOR = 0.85
+QUICK_QUANTILE = 0.1
+SLOWDOWN_FACTOR = 0.85
 SHED_FACTOR = 0.7
-FULL_QUEUE = 0.67
+LONG_QUEUE_RATIO = 0.67
 """A queue of two thirds of the slots is met in two thirds of a service time; a third of
 what callers hope for is left for the work itself."""
 
@@ -46,10 +46,10 @@
 GROWTH = 0.1
 # Until answers become slow the limit may double (slow start, as in TCP): two busy hosts
 # of twelve refused some in the second in which they grew by a tenth at a time.
-FIRST_GROWTH = 1.0
+SLOW_START_GROWTH = 1.0
 # At the fair share the servers can't be full of ours: if answers stay slow there, the
 # work itself has become slower. The references follow by this part a window.
-DRIFT = 0.05
+REFERENCE_DRIFT = 0.05
 
 
 @final
@@ -62,7 +62,7 @@
     >>> limit = AdaptiveLimit(fair_share=4.0, maximum=48.0)
     >>> def answers(count, elapsed_s):
     ...     for _ in range(count):
-    ...         limit.note_answer(elapsed_s=elapsed_s, wanted_more=True)
+    ...         limit.record_answer(elapsed_s=elapsed_s, has_backlog=True)
     ...     return round(limit.value, 3)
     >>> answers(48, 0.010), answers(48, 0.010)
     (8.0, 16.0)
@@ -73,10 +73,10 @@
     __slots__ = (
         "_growth",
         "_owner",
-        "_quick_s",
-        "_quickest_s",
-        "_usual_s",
-        "_wanted_more",
+        "_smoothed_quick_s",
+        "_reference_quick_s",
+        "_reference_mean_s",
+        "_had_backlog",
         "_window",
         "_window_answers",
         "fair_share",
@@ -92,12 +92,12 @@
         self.fair_share = max(1.0, fair_share)
         self.maximum = max(self.fair_share, maximum)
         self.value = self.fair_share
-        self._quickest_s = 0.0
-        self._usual_s = 0.0
+        self._reference_quick_s = 0.0
+        self._reference_mean_s = 0.0
         self._window: list[float] = []
-        self._wanted_more = False
-        self._quick_s = 0.0
-        self._growth = GROWTH if owner else FIRST_GROWTH
+        self._had_backlog = False
+        self._smoothed_quick_s = 0.0
+        self._growth = GROWTH if owner else SLOW_START_GROWTH
 
     def resize(self, *, fair_share: float, maximum: float) -> None:
         """Follow servers that join or leave."""
@@ -105,29 +105,29 @@
         self.maximum = max(self.fair_share, maximum)
         self.value = min(self.maximum, max(self.fair_share, self.value))
 
-    def borrow(self, value: float) -> None:
+    def raise_to(self, value: float) -> None:
         """Begin above the fair share, until answers say otherwise."""
         self.value = min(self.maximum, max(self.value, value))
 
-    def note_answer(self, *, elapsed_s: float, wanted_more: bool) -> None:
+    def record_answer(self, *, elapsed_s: float, has_backlog: bool) -> None:
         """Count an answer of a short class; adapt at the end of a window."""
         self._window.append(elapsed_s)
-        self._wanted_more = self._wanted_more or wanted_more
+        self._had_backlog = self._had_backlog or has_backlog
         if len(self._window) >= self._window_answers:
             self._adapt()
             self._window.clear()
-            self._wanted_more = False
+            self._had_backlog = False
 
-    def record_queue(self, *, waiting: int, slots: int, wanted_more: bool) -> None:
+    def record_queue(self, *, waiting: int, slots: int, has_backlog: bool) -> None:
         """Follow what a server says of its queue.
 
-        More than ``FULL_QUEUE`` times its slots waiting there is a wait of about one
-        service time for whatever is sent now, and soon the server turns requests away.
+        Once more than ``LONG_QUEUE_RATIO`` times its slots are waiting, a request sent
+        now waits for about one service time, and the server soon sheds requests.
         """
-        if waiting > slots * FULL_QUEUE:
+        if waiting > slots * LONG_QUEUE_RATIO:
             self._growth = GROWTH
             self.value = max(1.0, self.value * QUEUE_FACTOR)
-        elif not waiting and wanted_more:
+        elif not waiting and has_backlog:
             self.value = min(self.maximum, self.value + QUEUE_GROWTH)
 
     def record_shed(self) -> None:
@@ -136,23 +136,25 @@
 
     def _adapt(self) -> None:
         self._window.sort()
-        quick_s = self._window[int(len(self._window) * QUICK_SHARE)]
-        if self._quick_s and not self._owner:
-            quick_s = (self._quick_s + quick_s) / 2
-        self._quick_s = quick_s
+        quick_s = self._window[int(len(self._window) * QUICK_QUANTILE)]
+        if self._smoothed_quick_s and not self._owner:
+            quick_s = (self._smoothed_quick_s + quick_s) / 2
+        self._smoothed_quick_s = quick_s
         mean_s = sum(self._window) / len(self._window)
-        if not self._usual_s:
-            self._quickest_s, self._usual_s = quick_s, mean_s
-        self._quickest_s = min(self._quickest_s, quick_s)
-        self._usual_s = min(self._usual_s, mean_s)
-        waited_s = quick_s - self._quickest_s
-        if waited_s > self._usual_s * TOLERATED_WAIT:
+        if not self._reference_mean_s:
+            self._reference_quick_s, self._reference_mean_s = quick_s, mean_s
+        self._reference_quick_s = min(self._reference_quick_s, quick_s)
+        self._reference_mean_s = min(self._reference_mean_s, mean_s)
+        waited_s = quick_s - self._reference_quick_s
+        if waited_s > self._reference_mean_s * TOLERATED_WAIT:
             self._growth = GROWTH
-            self.value = max(self.fair_share, self.value * SLOWER_FACTOR)
+            self.value = max(self.fair_share, self.value * SLOWDOWN_FACTOR)
             if self.value <= self.fair_share:
-                self._quickest_s += waited_s * DRIFT
-                self._usual_s += (mean_s - self._usual_s) * DRIFT
-        elif self._wanted_more:
+                self._reference_quick_s += waited_s * REFERENCE_DRIFT
+                self._reference_mean_s += (
+                    mean_s - self._reference_mean_s
+                ) * REFERENCE_DRIFT
+        elif self._had_backlog:
             self.value = min(
                 self.maximum, self.value + max(1.0, self.value * self._growth)
             )
--- a/src/gentianwharf/load/_long_servers.py
+++ b/src/gentianwharf/load/_long_servers.py
@@ -17,13 +17,13 @@
 
 # Long work is remembered for about this long, so that its servers stay its own
 # between two uploads.
-LONG_MEMORY_S = 10.0
+LONG_DECAY_S = 10.0
 # More of it counts sooner, but not at once: by the most at any moment, uploads of a
 # fifth of the load took half of the servers, and look-ups had a p99 of 129 ms on the
 # others instead of 117 ms.
 LONG_GROWTH_S = 2.5
 # Below this many long requests in flight none needs a server of its own.
-LEAST_LONG_DEMAND = 0.05
+MIN_LONG_DEMAND = 0.05
 
 
 @final
@@ -31,31 +31,31 @@
     """How many long jobs this daemon has, slow to forget.
 
     >>> demand = LongDemand()
-    >>> demand.note(2, 0.0)
-    >>> demand.note(0, 5.0)
+    >>> demand.update(2, 0.0)
+    >>> demand.update(0, 5.0)
     >>> demand.value
     1.0
     """
 
-    __slots__ = ("_noted_s", "value")
+    __slots__ = ("_updated_s", "value")
 
     def __init__(self) -> None:
         self.value = 0.0
-        self._noted_s = 0.0
+        self._updated_s = 0.0
 
-    def note(self, demand: int, now_s: float) -> None:
+    def update(self, demand: int, now_s: float) -> None:
         """Follow what runs and waits now."""
-        if self.value < LEAST_LONG_DEMAND:
+        if self.value < MIN_LONG_DEMAND:
             self.value = demand
         else:
-            memory_s = LONG_GROWTH_S if demand > self.value else LONG_MEMORY_S
-            part = min(1.0, max(0.0, now_s - self._noted_s) / memory_s)
+            memory_s = LONG_GROWTH_S if demand > self.value else LONG_DECAY_S
+            part = min(1.0, max(0.0, now_s - self._updated_s) / memory_s)
             self.value += (demand - self.value) * part
-        self._noted_s = now_s
+        self._updated_s = now_s
 
     def count_servers(self, states: list[ServerState], daemons: int) -> int:
         """Return how many of a pool's servers long jobs need: at most half."""
-        if len(states) < 2 or self.value < LEAST_LONG_DEMAND:
+        if len(states) < 2 or self.value < MIN_LONG_DEMAND:
             return 0
         needed = ceil(self.value * daemons / states[0].server.slots)
         return max(1, min(needed, len(states) // 2))
--- a/src/gentianwharf/load/_owner.py
+++ b/src/gentianwharf/load/_owner.py
@@ -24,13 +24,13 @@
 >>> owner = ServerState(server=server, local=True, max_connections=10)
 >>> pool = Pool(service="ledger", states=[owner], classes={"look-up": look_up},
 ...             daemons=12, rng=Random(1), pinned=True)
->>> takes_long(pool, owner, 1.0)  # Nobody looks anything up.
+>>> may_start_long(pool, owner, 1.0)  # Nobody looks anything up.
 True
->>> owner.short_answers.note(ratio=5.0, sent_s=0.9, now_s=1.0)
->>> takes_long(pool, owner, 1.0), may_wait(pool, pool.classes["look-up"], 1.0)
+>>> owner.short_answers.record(ratio=5.0, sent_s=0.9, now_s=1.0)
+>>> may_start_long(pool, owner, 1.0), may_queue(pool, pool.classes["look-up"], 1.0)
 (False, True)
 >>> owner.record_shed(1.0, wait_s=0.05)
->>> may_wait(pool, pool.classes["look-up"], 1.0)
+>>> may_queue(pool, pool.classes["look-up"], 1.0)
 False
 """
 
@@ -40,25 +40,25 @@
 from ._short_answers import QUICK_RATIO
 
 
-def takes_long(pool: Pool, state: ServerState, now_s: float) -> bool:
+def may_start_long(pool: Pool, state: ServerState, now_s: float) -> bool:
     """Whether the owner has a slot to spare for a long job, by its short answers."""
-    if state.overdue or not state.short_answers.leave_room(now_s):
+    if state.overdue or not state.short_answers.allow_long_job(now_s):
         return False
     flight = _oldest_short(state)
     return flight is None or not _is_slow(pool, flight, now_s)
 
 
-def may_wait(pool: Pool, class_state: ClassState, now_s: float) -> bool:
+def may_queue(pool: Pool, class_state: ClassState, now_s: float) -> bool:
     """Whether waiting for the owner promises an answer within the class's wait."""
     if class_state.request_class.long:
         return True
     state = pool.states[0]
     if now_s < state.shed_until_s:
         return False
-    if pool.pacer.left_s(now_s) > class_state.longest_wait_s:
+    if pool.pacer.remaining_s(now_s) > class_state.max_wait_s:
         return False
     flight = _oldest_short(state)
-    return flight is None or now_s - flight.started_s <= class_state.longest_wait_s
+    return flight is None or now_s - flight.started_s <= class_state.max_wait_s
 
 
 def _oldest_short(state: ServerState) -> Flight | None:
@@ -66,9 +66,9 @@
 
     Flights stand in the order in which they were sent.
     """
-    answered_s = state.short_answers.sent_s
+    last_sent_s = state.short_answers.last_sent_s
     for flight in state.flights.values():
-        if not flight.long and flight.started_s > answered_s:
+        if not flight.long and flight.started_s > last_sent_s:
             return flight
     return None
 
--- a/src/gentianwharf/load/_pool.py
+++ b/src/gentianwharf/load/_pool.py
@@ -25,10 +25,10 @@
 ...                   caller=caller, deadline_s=2.0)
 >>> for _ in range(4):
 ...     sent = Flight(ticket=ask("hot"), server="ledger-1", started_s=0.0, long=False)
-...     pool.note_start(row, sent, 0.0)
+...     pool.record_start(row, sent, 0.0)
 >>> pool.is_light(ask("hot")), pool.is_light(ask("other"))
 (False, True)
->>> pool.has_room(row, 0.0, light=False), pool.has_room(row, 0.0, light=True)
+>>> pool.has_capacity(row, 0.0, light=False), pool.has_capacity(row, 0.0, light=True)
 (False, True)
 """
 
@@ -36,9 +36,9 @@
 from random import Random
 from typing import final
 
-from ._class_rows import ClassRows
 from ._class_state import ClassState
-from ._flows import LEAST_BUSY, FlowCounts
+from ._class_table import ClassTable
+from ._flows import MIN_BUSY, FlowCounts
 from ._limit import AdaptiveLimit
 from ._long_servers import LongDemand, in_common_order
 from ._pacer import Pacer
@@ -49,19 +49,19 @@
 # slots of a busy one: servers then hold some requests more for a moment, which the
 # limit, being lowered by slower answers, allows for. With 2.5 the p99 at ten times the
 # load is 198 ms instead of 178 ms.
-LIGHT_ROOM = 2.0
+LIGHT_LIMIT_FACTOR = 2.0
 # A busy caller leaves the last quarter of the limit to the others while there are any.
 # Without that the others' p99 beside a caller of 20 times their load grew 1.27 times.
-BUSY_ROOM = 0.75
+BUSY_LIMIT_FACTOR = 0.75
 # A busy caller's request waits this long before light ones pass it no more: 250 ms,
 # a posting's longest wait, made the p99 of the hot caller's class 262 ms.
-LONGEST_PASSED_S = 0.1
+MAX_OVERTAKEN_S = 0.1
 # With the fair share, one request at a time, a hot owner's queue at the router was
 # full at 60 % load while the owner had free slots.
-FIRST_OWNER_SHARE = 0.34
+INITIAL_OWNER_SHARE = 0.34
 # At an owner a host holds one or two requests: one of a hot key is busy already.
-LEAST_BUSY_AT_OWNER = 1
-LEAST_MEAN_S = 1e-6
+MIN_BUSY_AT_OWNER = 1
+MIN_MEAN_S = 1e-6
 
 
 @final
@@ -80,13 +80,13 @@
     ) -> None:
         self.service = service
         self.pinned = pinned
-        self.classes = ClassRows(classes=classes, rng=rng)
+        self.classes = ClassTable(classes=classes, rng=rng)
         self.short_in_flight = 0
         self.long_in_flight = 0
         self.waiting = 0
-        least_busy = LEAST_BUSY_AT_OWNER if pinned else LEAST_BUSY
-        self._callers = FlowCounts(least_busy=least_busy)
-        self._keys = FlowCounts(least_busy=least_busy)
+        min_busy = MIN_BUSY_AT_OWNER if pinned else MIN_BUSY
+        self._callers = FlowCounts(min_busy=min_busy)
+        self._keys = FlowCounts(min_busy=min_busy)
         self._daemons = daemons
         self._long_demand = LongDemand()
         self._virtual_time = 0.0
@@ -99,7 +99,7 @@
         self.set_states(states)
         if pinned:
             # One owner of many: most of the time the other hosts leave it alone.
-            self.limit.borrow(states[0].server.slots * FIRST_OWNER_SHARE)
+            self.limit.raise_to(states[0].server.slots * INITIAL_OWNER_SHARE)
 
     # Servers.
 
@@ -108,7 +108,7 @@
         self.states = in_common_order(states)
         slots = sum(one.server.slots for one in states)
         self.limit.resize(fair_share=slots / self._daemons, maximum=float(slots))
-        self.note_suspects()
+        self.update_suspects()
         self._divide_servers()
 
     def set_daemons(self, daemons: int) -> None:
@@ -116,11 +116,11 @@
         self._daemons = daemons
         self.set_states(self.states)
 
-    def is_gone(self, now_s: float) -> bool:
+    def is_unavailable(self, now_s: float) -> bool:
         """Whether waiting is in vain: the only server is frozen or has left."""
         return self.pinned and not self.states[0].accepts_pinned(now_s)
 
-    def takes_any(self, ticket: Ticket, now_s: float) -> bool:
+    def can_serve(self, ticket: Ticket, now_s: float) -> bool:
         """Whether some server could run the request, now or after a wait."""
         for state in self.states:
             if state.health is HealthStatus.ACTIVE:
@@ -137,16 +137,16 @@
         set all apart would refuse everything, and have no answers to learn better
         from. So at most half; servers that do not answer at all are not counted.
         """
-        self.note_suspects()
+        self.update_suspects()
         return (len(self.suspects) + 1) * 2 <= len(self.states)
 
-    def note_suspects(self) -> None:
+    def update_suspects(self) -> None:
         """Follow which servers are suspects; most of the time there are none."""
         self.suspects = [
             one for one in self.states if one.health is HealthStatus.SUSPECT
         ]
 
-    def rests(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing happens at an owner of keys, so that no tick is needed.
 
         A host has a pool for each owner, most of them idle. With 16 of them a tick took
@@ -159,16 +159,16 @@
 
     def tick(self, now_s: float) -> None:
         """Follow how much long work there is."""
-        self.note_suspects()
-        self._note_long(now_s)
+        self.update_suspects()
+        self._update_long_demand(now_s)
         self._divide_servers()
 
-    def _note_long(self, now_s: float) -> None:
+    def _update_long_demand(self, now_s: float) -> None:
         waiting = sum(
             len(one.queue) for one in self.classes.values() if one.request_class.long
         )
         demand = self.long_in_flight + waiting
-        self._long_demand.note(demand, now_s)
+        self._long_demand.update(demand, now_s)
         if demand and not self.long_states:
             self._divide_servers()
 
@@ -180,7 +180,7 @@
 
     # Room and turns.
 
-    def has_room(self, state: ClassState, now_s: float, *, light: bool) -> bool:
+    def has_capacity(self, state: ClassState, now_s: float, *, light: bool) -> bool:
         """Whether the limits let one more request of this class start.
 
         ``light``: see ``is_light``.
@@ -193,9 +193,9 @@
             return state.in_flight < max(1.0, limit * share)
         lent_to_long = min(self.long_in_flight, limit / 2)
         if light:
-            limit *= LIGHT_ROOM
+            limit *= LIGHT_LIMIT_FACTOR
         elif len(self._callers) > 1:
-            limit = max(1.0, limit * BUSY_ROOM)
+            limit = max(1.0, limit * BUSY_LIMIT_FACTOR)
         return self.short_in_flight + lent_to_long < limit
 
     def is_light(self, ticket: Ticket, *, waits: bool = False) -> bool:
@@ -208,19 +208,19 @@
             return False
         return ticket.key is None or self._keys.is_light(ticket.key, own=own)
 
-    def is_beside_busy(self, ticket: Ticket) -> bool:
+    def has_other_busy_caller(self, ticket: Ticket) -> bool:
         """Whether a caller is busy, and it is not the one that asks."""
         return self._callers.has_busy() and self.is_light(ticket)
 
-    def passes_first(self, state: ClassState, now_s: float) -> bool:
+    def head_has_priority(self, state: ClassState, now_s: float) -> bool:
         """Whether the first waiting request counts as light, so that none passes it.
 
         Light newcomers may pass a busy caller's request, but not for ever: they alone
         can keep the limit exceeded, and it would wait until its deadline.
         """
         ticket = state.queue.peek()
-        waited_s = now_s - state.queue.since_s(ticket)
-        longest_s = min(LONGEST_PASSED_S, state.longest_wait_s)
+        waited_s = now_s - state.queue.enqueued_s(ticket)
+        longest_s = min(MAX_OVERTAKEN_S, state.max_wait_s)
         return waited_s > longest_s or self.is_light(ticket, waits=True)
 
     def next_class(self, blocked: set[str], now_s: float) -> ClassState | None:
@@ -229,19 +229,19 @@
         for name, state in self.classes.items():
             if name in blocked or not len(state.queue):
                 continue
-            light = self.passes_first(state, now_s)
-            if not self.has_room(state, now_s, light=light):
+            light = self.head_has_priority(state, now_s)
+            if not self.has_capacity(state, now_s, light=light):
                 continue
             if best is None or state.virtual_time < best.virtual_time:
                 best = state
         return best
 
-    def turn_rate_per_s(self, state: ClassState, share: float) -> float:
+    def service_rate_per_s(self, state: ClassState, share: float) -> float:
         """Return how many of the class can start a second with this turn share."""
-        each_s = max(state.mean_s, self.pacer.gap_s, LEAST_MEAN_S)
+        each_s = max(state.mean_s, self.pacer.gap_s, MIN_MEAN_S)
         return max(1.0, self.limit.value * share) / each_s
 
-    def turn_share(self, state: ClassState) -> float:
+    def class_share(self, state: ClassState) -> float:
         """Return the class's part of the limit while the others wait as now."""
         weight = state.request_class.weight
         total = weight
@@ -253,7 +253,7 @@
 
     # What waits.
 
-    def push(self, state: ClassState, ticket: Ticket, now_s: float) -> None:
+    def enqueue(self, state: ClassState, ticket: Ticket, now_s: float) -> None:
         """Let a request wait."""
         if not len(state.queue):
             # An idle class gets no credit for the time in which it asked nothing.
@@ -266,18 +266,18 @@
         state.queue.push(ticket, now_s=now_s, in_flight=in_flight)
         self.waiting += 1
 
-    def pop(self, state: ClassState) -> None:
+    def dequeue(self, state: ClassState) -> None:
         """Take the first request of a class out of its queue."""
-        self._note_left(state.queue.pop())
+        self._record_dequeued(state.queue.pop())
 
-    def forget(self, ticket_id: str) -> None:
+    def remove(self, ticket_id: str) -> None:
         """Take out a request that waits no longer, wherever it stands."""
         for state in self.classes.values():
             ticket = state.queue.remove(ticket_id)
             if ticket is not None:
-                self._note_left(ticket)
+                self._record_dequeued(ticket)
 
-    def _note_left(self, ticket: Ticket) -> None:
+    def _record_dequeued(self, ticket: Ticket) -> None:
         self.waiting -= 1
         self._callers.remove_waiting(ticket.caller)
         if ticket.key is not None:
@@ -285,22 +285,22 @@
 
     # What is in flight.
 
-    def note_start(self, state: ClassState, flight: Flight, now_s: float) -> None:
+    def record_start(self, state: ClassState, flight: Flight, now_s: float) -> None:
         """Count a request that is sent."""
         state.in_flight += 1
-        self.pacer.note_start(now_s)
+        self.pacer.record_start(now_s)
         self._callers.add(flight.ticket.caller)
         if flight.ticket.key is not None:
             self._keys.add(flight.ticket.key)
         if flight.long:
             self.long_in_flight += 1
-            self._note_long(now_s)
+            self._update_long_demand(now_s)
         else:
             self.short_in_flight += 1
         state.virtual_time += state.mean_s / state.request_class.weight
         self._virtual_time = max(self._virtual_time, state.virtual_time)
 
-    def note_end(self, state: ClassState, flight: Flight) -> None:
+    def record_end(self, state: ClassState, flight: Flight) -> None:
         """Stop counting a request that ended, or whose server is suspect."""
         if not flight.counted:
             return
--- a/src/gentianwharf/load/_places.py
+++ b/src/gentianwharf/load/_queue_capacity.py
@@ -13,28 +13,28 @@
 
 # A slot may run empty in 5 % of the time, while the servers hold some requests more.
 LOG_EMPTY_SHARE = log(0.05)
-LEAST_SERVED = 0.01
+MIN_SERVED_SHARE = 0.01
 # Answers end at random: without a place or two a slot stays empty until somebody asks.
-LEAST_PLACES = 2
+MIN_CAPACITY = 2
 
 
-def most_places(longest_wait_s: float, rate_per_s: float) -> int:
+def max_queue_capacity(max_wait_s: float, rate_per_s: float) -> int:
     """Return how many are served within the class's longest wait.
 
-    >>> most_places(0.1, 200.0), most_places(0.1, 5.0)
+    >>> max_queue_capacity(0.1, 200.0), max_queue_capacity(0.1, 5.0)
     (20, 2)
     """
-    return max(LEAST_PLACES, int(longest_wait_s * rate_per_s))
+    return max(MIN_CAPACITY, int(max_wait_s * rate_per_s))
 
 
-def places(most: int, refused_share: float, turn_share: float) -> int:
-    """Return how many may wait now, ``turn_share`` being the class's part of all.
+def queue_capacity(most: int, refused_share: float, class_share: float) -> int:
+    """Return how many may wait now, ``class_share`` being the class's part of all.
 
-    >>> [places(20, refused, 1.0) for refused in (0.0, 0.1, 0.3, 0.66, 0.9)]
+    >>> [queue_capacity(20, refused, 1.0) for refused in (0.0, 0.1, 0.3, 0.66, 0.9)]
     [20, 20, 8, 2, 2]
     """
-    served = max(LEAST_SERVED, 1.0 - refused_share)
+    served = max(MIN_SERVED_SHARE, 1.0 - refused_share)
     if served == 1.0:
         return most
-    needed = LOG_EMPTY_SHARE / log(served) * turn_share
-    return max(LEAST_PLACES, int(min(most, needed)))
+    needed = LOG_EMPTY_SHARE / log(served) * class_share
+    return max(MIN_CAPACITY, int(min(most, needed)))
--- a/src/gentianwharf/load/_refusals.py
+++ b/src/gentianwharf/load/_refusals.py
@@ -42,16 +42,18 @@
                 ticket_id=ticket.id, reason=reason, retry_after_s=retry_after_s
             )
         class_state = pool.classes[ticket.request_class]
-        rate_per_s = pool.turn_rate_per_s(class_state, pool.turn_share(class_state))
-        return self._book(ticket, reason, class_state, rate_per_s, now_s)
+        rate_per_s = pool.service_rate_per_s(class_state, pool.class_share(class_state))
+        return self._refuse(ticket, reason, class_state, rate_per_s, now_s)
 
-    def refuse_busy(
+    def refuse_overload(
         self, ticket: Ticket, class_state: ClassState, rate_per_s: float, now_s: float
     ) -> Refuse:
         """Return the refusal of a request that finds no place in its class's queue."""
-        return self._book(ticket, RefuseReason.OVERLOAD, class_state, rate_per_s, now_s)
+        return self._refuse(
+            ticket, RefuseReason.OVERLOAD, class_state, rate_per_s, now_s
+        )
 
-    def _book(
+    def _refuse(
         self,
         ticket: Ticket,
         reason: RefuseReason,
@@ -60,7 +62,7 @@
         now_s: float,
     ) -> Refuse:
         self.counts[reason] += 1
-        retry_after_s = class_state.return_times.retry_after_s(
+        retry_after_s = class_state.retry_schedule.retry_after_s(
             backlog=len(class_state.queue), rate_per_s=rate_per_s, now_s=now_s
         )
         return Refuse(ticket_id=ticket.id, reason=reason, retry_after_s=retry_after_s)
--- a/src/gentianwharf/load/_registry.py
+++ b/src/gentianwharf/load/_registry.py
@@ -59,15 +59,15 @@
         """Follow a service's servers; return the pool that they share, if any."""
         wanted = {one.id: one for one in servers}
         for state in self._states_of(service):
-            state.note_listed(state.server.id in wanted, now_s)
+            state.set_listed(state.server.id in wanted, now_s)
         for server in wanted.values():
             known = self.servers.get(server.id)
             if known is None:
-                self._add_server(server).ramp_from_s = now_s
+                self._add_server(server).ramp_started_s = now_s
             elif known.server != server:
-                self._follow_server(known, server, now_s)
+                self._update_server(known, server, now_s)
         for state in self._states_of(service):
-            self.drop_if_gone(state)
+            self.drop_if_unlisted(state)
         pool = self.pools.get((service, None))
         if pool is not None:
             pool.set_states(self._states_of(service))
@@ -97,7 +97,7 @@
         # its own and asks nobody.
         return max(1, server.connections // self._daemons)
 
-    def drop_if_gone(self, state: ServerState) -> None:
+    def drop_if_unlisted(self, state: ServerState) -> None:
         """Drop the row of a server that has left, once nothing is in flight there."""
         if state.listed or state.flights or state.server.id not in self.servers:
             return
@@ -131,10 +131,10 @@
             max_connections=self._share_of_connections(server),
         )
         self.servers[server.id] = state
-        self._file(state)
+        self._index(state)
         return state
 
-    def _file(self, state: ServerState) -> None:
+    def _index(self, state: ServerState) -> None:
         """Put a row where its service and the server's own pool find it."""
         server = state.server
         self._by_service.setdefault(server.service, {})[server.id] = state
@@ -143,16 +143,16 @@
             # It was here before, and requests may still wait for it.
             pool.set_states([state])
 
-    def _follow_server(
+    def _update_server(
         self, state: ServerState, server: BackendServer, now_s: float
     ) -> None:
         """Take what is now known of a server: it may have started again elsewhere."""
-        state.note_listed(True, now_s)
+        state.set_listed(True, now_s)
         del self._by_service[state.server.service][server.id]
         state.server = server
         state.local = server.domain == self._domain
         state.max_connections = self._share_of_connections(server)
-        self._file(state)
+        self._index(state)
 
     def _make_pool(
         self, service: str, states: list[ServerState], *, pinned: bool = False
--- a/src/gentianwharf/load/_short_answers.py
+++ b/src/gentianwharf/load/_short_answers.py
@@ -16,9 +16,9 @@
 QUICK_ANSWERS = 2
 # As evidence a quick answer is old after some three service times: another host may
 # have sent a long job meanwhile.
-FRESH_S = 0.05
+MAX_EVIDENCE_AGE_S = 0.05
 # Without short requests for so long there is nobody whom a long job would keep waiting.
-QUIET_S = 1.0
+IDLE_S = 1.0
 
 
 @final
@@ -26,34 +26,36 @@
 class ShortAnswers:
     """The latest answers of short requests of one server.
 
-    ``sent_s`` is when the latest of the requests that were answered was sent: one sent
-    before it and not answered is at work, one sent after it may be waiting.
+    ``last_sent_s`` is when the latest answered request was sent. A request that was
+    sent before it and has no answer is being run; one sent after it may be waiting.
 
     >>> answers = ShortAnswers()
-    >>> answers.leave_room(0.0)
+    >>> answers.allow_long_job(0.0)
     True
-    >>> answers.note(5.0, 9.9, 10.0)
-    >>> answers.leave_room(10.0), answers.leave_room(12.0)
+    >>> answers.record(5.0, 9.9, 10.0)
+    >>> answers.allow_long_job(10.0), answers.allow_long_job(12.0)
     (False, True)
-    >>> answers.note(0.9, 11.98, 12.0)
-    >>> answers.note(1.1, 12.08, 12.1)
-    >>> answers.leave_room(12.12), answers.leave_room(12.2)
+    >>> answers.record(0.9, 11.98, 12.0)
+    >>> answers.record(1.1, 12.08, 12.1)
+    >>> answers.allow_long_job(12.12), answers.allow_long_job(12.2)
     (True, False)
     """
 
-    answered_s: float = float("-inf")
-    sent_s: float = float("-inf")
-    quick_in_a_row: int = 0
+    last_answer_s: float = float("-inf")
+    last_sent_s: float = float("-inf")
+    consecutive_quick: int = 0
 
-    def note(self, ratio: float, sent_s: float, now_s: float) -> None:
+    def record(self, ratio: float, sent_s: float, now_s: float) -> None:
         """Note an answer that took ``ratio`` times the median."""
-        self.answered_s = now_s
-        self.sent_s = max(self.sent_s, sent_s)
-        self.quick_in_a_row = self.quick_in_a_row + 1 if ratio <= QUICK_RATIO else 0
+        self.last_answer_s = now_s
+        self.last_sent_s = max(self.last_sent_s, sent_s)
+        self.consecutive_quick = (
+            self.consecutive_quick + 1 if ratio <= QUICK_RATIO else 0
+        )
 
-    def leave_room(self, now_s: float) -> bool:
+    def allow_long_job(self, now_s: float) -> bool:
         """Whether a long job may be added, as far as short requests can tell."""
-        age_s = now_s - self.answered_s
-        if age_s > QUIET_S:
+        age_s = now_s - self.last_answer_s
+        if age_s > IDLE_S:
             return True
-        return self.quick_in_a_row >= QUICK_ANSWERS and age_s <= FRESH_S
+        return self.consecutive_quick >= QUICK_ANSWERS and age_s <= MAX_EVIDENCE_AGE_S
--- a/src/gentianwharf/load/_snapshot.py
+++ b/src/gentianwharf/load/_snapshot.py
@@ -43,7 +43,7 @@
     service: str
     health: HealthStatus
     in_flight: int
-    slowness: float
+    latency_ratio: float
     ramping: bool
 
 
@@ -58,7 +58,7 @@
     started: int
     retried: int
     hedged: int
-    retries_saved: dict[str, float]
+    retry_budgets: dict[str, float]
 
 
 def pool_snapshot(key: tuple[str, str | None], pool: Pool) -> PoolSnapshot:
@@ -83,7 +83,7 @@
 
 
 def _expected_wait_s(pool: Pool, state: ClassState) -> float:
-    return len(state.queue) / pool.turn_rate_per_s(state, pool.turn_share(state))
+    return len(state.queue) / pool.service_rate_per_s(state, pool.class_share(state))
 
 
 def server_snapshot(state: ServerState) -> ServerSnapshot:
@@ -93,6 +93,6 @@
         service=state.server.service,
         health=state.health,
         in_flight=len(state.flights),
-        slowness=state.ratio,
-        ramping=state.ramp_from_s is not None,
+        latency_ratio=state.latency_ratio,
+        ramping=state.ramp_started_s is not None,
     )
--- a/src/gentianwharf/pauses.py
+++ b/src/gentianwharf/pauses.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any, final
 
-PAUSE_S = 0.15
+PAUSE_THRESHOLD_S = 0.15
 """A timer this late is this host's own doing. Ticks are due every 10 to 100 ms, and a
 busy loop runs some tens of ms late; a pause of a virtual machine is longer."""
 
@@ -18,22 +18,22 @@
 
 
 @final
-class TickGap:
+class PauseDetector:
     """Measures the time between ticks.
 
-    >>> gap = TickGap()
-    >>> gap.note_tick(0.0), gap.note_tick(0.02), gap.note_tick(1.02)
+    >>> gap = PauseDetector()
+    >>> gap.record_tick(0.0), gap.record_tick(0.02), gap.record_tick(1.02)
     (0.0, 0.0, 1.0)
     """
 
     def __init__(self) -> None:
         self._ticked_s: float | None = None
 
-    def note_tick(self, now_s: float) -> float:
+    def record_tick(self, now_s: float) -> float:
         """Return for how long this host stood still since the last tick."""
         gap_s = now_s - self._ticked_s if self._ticked_s is not None else 0.0
         self._ticked_s = now_s
-        return gap_s if gap_s > PAUSE_S else 0.0
+        return gap_s if gap_s > PAUSE_THRESHOLD_S else 0.0
 
 
 @final
@@ -60,7 +60,7 @@
             self._call.cancel()
 
     def _is_due(self) -> None:
-        if self._clock.seconds() - self._due_s > PAUSE_S:
+        if self._clock.seconds() - self._due_s > PAUSE_THRESHOLD_S:
             self._call = self._clock.callLater(GRACE_S, self._end)
             return
         self._end()
--- a/tests/test_load_many_services.py
+++ b/tests/test_load_many_services.py
@@ -5,8 +5,8 @@
 import pytest
 
 from gentianwharf.load import Gate, RequestClass
-from gentianwharf.load._class_rows import ClassRows
-from gentianwharf.load._return_times import ReturnTimes
+from gentianwharf.load._class_table import ClassTable
+from gentianwharf.load._retry_schedule import RetrySchedule
 from gentianwharf.topology import BackendServer, Service
 from tests.builders_counting import MOST_GROWTH, CountedText
 
@@ -56,13 +56,13 @@
     service's requests have few of them: 300 classes and 1,219 services took 5.4 s and
     331 MB, and classes that changed with each version of the rules were added up.
     """
-    made: list[ReturnTimes] = []
+    made: list[RetrySchedule] = []
 
-    def counted(*, rng: Random) -> ReturnTimes:
-        made.append(ReturnTimes(rng=rng))
+    def counted(*, rng: Random) -> RetrySchedule:
+        made.append(RetrySchedule(rng=rng))
         return made[-1]
 
-    monkeypatch.setattr("gentianwharf.load._class_state.ReturnTimes", counted)
+    monkeypatch.setattr("gentianwharf.load._class_state.RetrySchedule", counted)
     gate = empty_gate()
     gate.add(
         services=[Service(name=f"s{n}", keyed=False, shards=0) for n in range(20)],
@@ -80,7 +80,7 @@
         name: RequestClass.from_deadline(name=name, deadline_ms=1000, weight=1)
         for name in ("first", "second", "third")
     }
-    rows = ClassRows(classes=classes, rng=Random(1))
+    rows = ClassTable(classes=classes, rng=Random(1))
     for name in ("third", "first"):
         assert rows[name].request_class.name == name
     assert list(rows) == ["first", "third"]
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -3,14 +3,14 @@
 import pytest
 from twisted.internet.task import Clock
 
-from gentianwharf.pauses import GRACE_S, PAUSE_S, Timeout
+from gentianwharf.pauses import GRACE_S, PAUSE_THRESHOLD_S, Timeout
 
 
 @pytest.mark.parametrize(
     ("late_s", "expired_at_s"),
     [
         pytest.param(0.0, 1.0, id="in-time"),
-        pytest.param(PAUSE_S / 2, 1.0 + PAUSE_S / 2, id="busy"),
+        pytest.param(PAUSE_THRESHOLD_S / 2, 1.0 + PAUSE_THRESHOLD_S / 2, id="busy"),
         pytest.param(5.0, 6.0 + GRACE_S, id="paused"),
     ],
 )
