--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_parts.py
@@ -92,7 +92,7 @@
         )
 
     def _on_report(self, server: str, report: ServerReport) -> None:
-        self.gate.report(server, report, self.reactor.seconds())
+        self.gate.apply_server_report(server, report, self.reactor.seconds())
 
     def _build_links(self) -> None:
         self.mesh = PeerMesh(
@@ -200,7 +200,7 @@
             gate=self.gate,
             servers=self.servers,
             now_s=self.reactor.seconds,
-            on_evidence=self._on_evidence,
+            on_server_outcome=self._on_evidence,
         )
 
     def _on_evidence(self, server: str, ok: bool, busy_s: float | None) -> None:
