--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -123,7 +123,7 @@
             keyed=self._control.keyed,
             reactor=reactor,
             rng=self._rng,
-            dialect=PlatformDialect(),
+            codec=PlatformDialect(),
         )
         self._site = CallerSite(
             resource=self.relay.resource(), reactor=reactor, limits=ConnectionLimits()
--- a/src/gentianwharf/platform/_dialect.py
+++ b/src/gentianwharf/platform/_dialect.py
@@ -30,18 +30,18 @@
         values = headers.getRawHeaders(ATTEMPT_ID)
         return values[0].decode("latin-1") if values else None
 
-    def time_left_s(self, headers: Headers) -> float | None:
+    def caller_timeout_s(self, headers: Headers) -> float | None:
         """Return for how long the client will wait, counted from now."""
         values = headers.getRawHeaders(DEADLINE_MS)
         if not values or not values[0].isdigit():
             return None
         return int(values[0]) / 1000
 
-    def is_passed_on(self, name: bytes) -> bool:
+    def is_forwarded(self, name: bytes) -> bool:
         """Pass every end-to-end header on."""
         return True
 
-    def sent_fields(
+    def request_fields(
         self,
         ticket: Ticket,
         server: BackendServer,
@@ -58,7 +58,7 @@
             EXPECTED_INSTANCE: [server.id.encode()],
         }
 
-    def echoed_id(self, headers: Headers) -> bytes | None:
+    def echoed_request_id(self, headers: Headers) -> bytes | None:
         """Return which attempt a server's answer belongs to."""
         values = headers.getRawHeaders(ATTEMPT_ID)
         return b", ".join(values) if values else None
--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -8,7 +8,7 @@
 from ._caller_site import CallerSite
 from ._connections import ServerConnections
 from ._deadline import Remaining
-from ._dialect import Dialect, OwnDialect, ServerRefusal
+from ._header_codec import DefaultHeaderCodec, HeaderCodec, ServerRefusal
 from ._ports import (
     Admission,
     Answered,
@@ -30,11 +30,11 @@
     "CallerRequest",
     "CallerSite",
     "ConnectionLimits",
-    "Dialect",
+    "DefaultHeaderCodec",
+    "HeaderCodec",
     "Hedge",
     "Observer",
     "Outcome",
-    "OwnDialect",
     "Owner",
     "Ownership",
     "Problem",
--- a/src/gentianwharf/relay/_answer.py
+++ b/src/gentianwharf/relay/_answer.py
@@ -13,7 +13,7 @@
 from gentianwharf.errors import PeerMismatchError
 
 from ._caller_request import CallerRequest
-from ._dialect import Dialect
+from ._header_codec import HeaderCodec
 from ._headers import CONTENT_LENGTH, answered_with, set_fields
 
 DATE = b"Date"
@@ -92,13 +92,13 @@
 
 
 def check_request_id(
-    response: Response, request_id: str, *, dialect: Dialect, peer: str
+    response: Response, request_id: str, *, codec: HeaderCodec, peer: str
 ) -> None:
     """Raise ``PeerMismatchError`` if the answer names another request.
 
     An answer that arrives crossed would hand one caller's data to another.
     """
-    echoed = dialect.echoed_id(response.headers)
+    echoed = codec.echoed_request_id(response.headers)
     if echoed is not None and echoed != request_id.encode("latin-1"):
         raise PeerMismatchError(
             f"expected the answer to request {request_id}, got"
@@ -123,12 +123,12 @@
 
 
 def write_head(
-    request: CallerRequest, response: Response, *, request_id: str, dialect: Dialect
+    request: CallerRequest, response: Response, *, request_id: str, codec: HeaderCodec
 ) -> None:
     """Write the answer's status and headers to the caller."""
     request.setResponseCode(response.code, response.phrase)
-    fields = answered_with(response.headers, dialect.is_passed_on)
-    fields[dialect.request_id_header] = [request_id.encode("latin-1")]
+    fields = answered_with(response.headers, codec.is_forwarded)
+    fields[codec.request_id_header] = [request_id.encode("latin-1")]
     if response.length is not UNKNOWN_LENGTH and not _has_no_body(request, response):
         fields[CONTENT_LENGTH] = [str(response.length).encode()]
     if DATE not in fields:
--- a/src/gentianwharf/relay/_app.py
+++ b/src/gentianwharf/relay/_app.py
@@ -17,8 +17,8 @@
 
 from ._caller_request import CallerRequest, EveryPath
 from ._connections import ServerConnections
-from ._dialect import Dialect, OwnDialect
 from ._exchange import FAULT, STOPPING_NOT_RUN, Exchange
+from ._header_codec import DefaultHeaderCodec, HeaderCodec
 from ._headers import KEY_HEADER, connection_options, facts_of
 from ._ports import Admission, Observer, Ownership, Rules, Ticket
 from ._problem import Problem, write_problem
@@ -72,7 +72,7 @@
         keyed: AbstractSet[str],
         reactor: Any,
         rng: Random,
-        dialect: Dialect | None = None,
+        codec: HeaderCodec | None = None,
     ) -> None:
         self.rules = rules
         self.in_flight: set[Exchange] = set()
@@ -88,7 +88,7 @@
         self._reactor = reactor
         self._rng = rng
         self._served = 0
-        self._dialect = dialect or OwnDialect()
+        self._codec = codec or DefaultHeaderCodec()
         self.splitter = Splitter()
         self._repeats = Repeats(now_s=reactor.seconds)
 
@@ -97,7 +97,7 @@
         return _RelayResource(begin=self._serve)
 
     def _serve(self, caller_request: CallerRequest) -> Any:
-        request_id = self._dialect.request_id(caller_request.requestHeaders)
+        request_id = self._codec.request_id(caller_request.requestHeaders)
         if request_id is None:
             request_id = f"{self._rng.getrandbits(REQUEST_ID_BITS):024x}"
         try:
@@ -128,7 +128,7 @@
         self, request: CallerRequest, request_id: str, problem: Problem
     ) -> None:
         self._observer.refused(request_id, problem)
-        write_problem(request, problem, request_id=request_id, dialect=self._dialect)
+        write_problem(request, problem, request_id=request_id, codec=self._codec)
 
     def _ended(self, result: Any, exchange: Exchange) -> Any:
         self.in_flight.discard(exchange)
@@ -174,7 +174,7 @@
             admission=self._admission,
             connections=self.connections,
             observer=self._observer,
-            dialect=self._dialect,
+            codec=self._codec,
             repeats=self._repeats,
             repeat=_repeat_key(request, match),
             reactor=self._reactor,
@@ -186,7 +186,7 @@
         deadline_ms = match.rule.then.deadline_ms or self._deadlines_ms.get(
             match.request_class, DEFAULT_DEADLINE_MS
         )
-        left_s = self._dialect.time_left_s(request.requestHeaders)
+        left_s = self._codec.caller_timeout_s(request.requestHeaders)
         if left_s is not None:
             deadline_ms = min(deadline_ms, int(left_s * 1000))
         self._served += 1
--- a/src/gentianwharf/relay/_exchange.py
+++ b/src/gentianwharf/relay/_exchange.py
@@ -14,7 +14,7 @@
 from ._answer import AnswerBody, write_head
 from ._caller_request import CallerRequest
 from ._connections import ServerConnections
-from ._dialect import Dialect
+from ._header_codec import HeaderCodec
 from ._headers import answered_with
 from ._leg import FinalError, Leg, LegError, NotRunError
 from ._ports import Admission, Answered, Observer, Outcome, Owner, Ownership, Ticket
@@ -79,7 +79,7 @@
         admission: Admission,
         connections: dict[str, ServerConnections],
         observer: Observer,
-        dialect: Dialect,
+        codec: HeaderCodec,
         repeats: Repeats,
         repeat: RepeatKey | None,
         reactor: Any,
@@ -91,7 +91,7 @@
         self._admission = admission
         self._connections = connections
         self._observer = observer
-        self._dialect = dialect
+        self._codec = codec
         self._repeats = repeats
         self._repeat = repeat
         self._kept: KeptAnswer | None = None
@@ -184,7 +184,7 @@
         for name, values in kept.headers:
             request.responseHeaders.setRawHeaders(name, values)
         request.setHeader(
-            self._dialect.request_id_header, self.ticket.request_id.encode("latin-1")
+            self._codec.request_id_header, self.ticket.request_id.encode("latin-1")
         )
         request.setHeader(b"Content-Length", str(len(kept.body)).encode())
         request.write(kept.body)
@@ -216,7 +216,7 @@
                 self.request,
                 problem,
                 request_id=self.ticket.request_id,
-                dialect=self._dialect,
+                codec=self._codec,
             )
         self._record(
             status=problem.status,
@@ -292,7 +292,7 @@
             owner=self._owner,
             connections=self._connections[server.id],
             admission=self._admission,
-            dialect=self._dialect,
+            codec=self._codec,
             reactor=self._reactor,
             fresh=fresh,
         )
@@ -336,7 +336,7 @@
             request,
             response,
             request_id=self.ticket.request_id,
-            dialect=self._dialect,
+            codec=self._codec,
         )
         body = AnswerBody(
             request=request, clock=self._reactor, keep=self._repeat is not None
@@ -353,7 +353,7 @@
             self._record(status=response.code, run=Run.RUN, reason="answer-cut")
             return False
         if body.kept is not None:
-            self._kept = _kept(response, bytes(body.kept), self._dialect)
+            self._kept = _kept(response, bytes(body.kept), self._codec)
         if not request._disconnected:
             request.send_now()
             request.finish()
@@ -381,14 +381,14 @@
         )
 
 
-def _kept(response: Response, body: bytes, dialect: Dialect) -> KeptAnswer:
+def _kept(response: Response, body: bytes, codec: HeaderCodec) -> KeptAnswer:
     return KeptAnswer(
         status=response.code,
         phrase=response.phrase,
         headers=tuple(
             (name, tuple(values))
             for name, values in answered_with(
-                response.headers, dialect.is_passed_on
+                response.headers, codec.is_forwarded
             ).items()
         ),
         body=body,
--- a/src/gentianwharf/relay/_dialect.py
+++ b/src/gentianwharf/relay/_header_codec.py
@@ -1,7 +1,7 @@
-"""How requests, answers and refusals are spelled on the wire, and the router's own way.
+"""The header fields that carry the relay's data, and the router's own set of them.
 
-The relay decides by what a message says; a ``Dialect`` knows by which headers it says
-so. A platform with conventions of its own brings another one.
+The relay decides by the content of a message; a ``HeaderCodec`` reads and writes the
+headers that carry it. A platform with conventions of its own supplies another codec.
 """
 
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
     retry_after_s: float | None = None
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """The spelling of what the router and its neighbours tell each other."""
 
     request_id_header: bytes
@@ -42,13 +42,13 @@
     def request_id(self, headers: Headers) -> str | None:
         """Return the id that the caller gave its request, None to make one up."""
 
-    def time_left_s(self, headers: Headers) -> float | None:
+    def caller_timeout_s(self, headers: Headers) -> float | None:
         """Return for how long the caller waits, None when it does not say."""
 
-    def is_passed_on(self, name: bytes) -> bool:
+    def is_forwarded(self, name: bytes) -> bool:
         """Say whether an end-to-end header of this lower-case name is passed on."""
 
-    def sent_fields(
+    def request_fields(
         self,
         ticket: Ticket,
         server: BackendServer,
@@ -57,7 +57,7 @@
     ) -> dict[bytes, list[bytes]]:
         """Return the headers that the router sets for a server, in Twisted's case."""
 
-    def echoed_id(self, headers: Headers) -> bytes | None:
+    def echoed_request_id(self, headers: Headers) -> bytes | None:
         """Return which request a server's answer says it belongs to."""
 
     def refusal(self, response: Response) -> ServerRefusal | None:
@@ -71,7 +71,7 @@
 
 
 @final
-class OwnDialect:
+class DefaultHeaderCodec:
     """The headers of the router's own interface; see docs/design/relay.md."""
 
     request_id_header = names.REQUEST_ID
@@ -80,15 +80,15 @@
         """Let the router make an id up: a caller could repeat another's."""
         return None
 
-    def time_left_s(self, headers: Headers) -> float | None:
+    def caller_timeout_s(self, headers: Headers) -> float | None:
         """Leave deadlines to the rules."""
         return None
 
-    def is_passed_on(self, name: bytes) -> bool:
+    def is_forwarded(self, name: bytes) -> bool:
         """Keep callers from posing as the router towards a server."""
         return not name.startswith(names.OWN_PREFIX)
 
-    def sent_fields(
+    def request_fields(
         self,
         ticket: Ticket,
         server: BackendServer,
@@ -110,7 +110,7 @@
             fields[names.KEY] = list(key.getRawHeaders(names.KEY) or ())
         return fields
 
-    def echoed_id(self, headers: Headers) -> bytes | None:
+    def echoed_request_id(self, headers: Headers) -> bytes | None:
         """Return the echoed id; two different ones are no request's."""
         echoed = headers.getRawHeaders(names.REQUEST_ID)
         return b", ".join(echoed) if echoed else None
--- a/src/gentianwharf/relay/_headers.py
+++ b/src/gentianwharf/relay/_headers.py
@@ -45,17 +45,17 @@
 
 
 @lru_cache(maxsize=MOST_KNOWN_NAMES)
-def _is_end_to_end(name: bytes, is_passed_on: NameFilter) -> bool:
+def _is_end_to_end(name: bytes, is_forwarded: NameFilter) -> bool:
     lower = name.lower()
-    return lower not in HOP_BY_HOP and is_passed_on(lower)
+    return lower not in HOP_BY_HOP and is_forwarded(lower)
 
 
 def _end_to_end(
-    headers: Headers, is_passed_on: NameFilter
+    headers: Headers, is_forwarded: NameFilter
 ) -> Iterable[tuple[bytes, list[bytes]]]:
     dropped = connection_options(headers)
     for name, values in headers._rawHeaders.items():
-        if _is_end_to_end(name, is_passed_on) and not (
+        if _is_end_to_end(name, is_forwarded) and not (
             dropped and name.lower() in dropped
         ):
             yield name, values
@@ -71,7 +71,7 @@
     headers._rawHeaders.update(fields)
 
 
-def passed_on(headers: Headers, is_passed_on: NameFilter) -> Headers:
+def passed_on(headers: Headers, is_forwarded: NameFilter) -> Headers:
     """Return the end-to-end headers of a caller's request.
 
     >>> kept = passed_on(Headers({b"Connection": [b"x-mine"], b"X-Mine": [b"1"],
@@ -79,7 +79,7 @@
     >>> sorted(name for name, _ in kept.getAllRawHeaders())
     [b'Traceparent']
     """
-    kept = dict(_end_to_end(headers, is_passed_on))
+    kept = dict(_end_to_end(headers, is_forwarded))
     # Written anew from the body's length.
     kept.pop(CONTENT_LENGTH, None)
     passed = Headers()
@@ -88,10 +88,10 @@
 
 
 def answered_with(
-    headers: Headers, is_passed_on: NameFilter
+    headers: Headers, is_forwarded: NameFilter
 ) -> dict[bytes, list[bytes]]:
     """Return the end-to-end headers of a server's answer."""
-    return dict(_end_to_end(headers, is_passed_on))
+    return dict(_end_to_end(headers, is_forwarded))
 
 
 def connection_options(headers: Headers) -> frozenset[bytes]:
--- a/src/gentianwharf/relay/_leg.py
+++ b/src/gentianwharf/relay/_leg.py
@@ -15,7 +15,7 @@
 from ._caller_request import CallerRequest
 from ._connections import ServerConnection, ServerConnections
 from ._deadline import Remaining, remaining
-from ._dialect import Dialect, ServerRefusal
+from ._header_codec import HeaderCodec, ServerRefusal
 from ._headers import passed_on, set_fields
 from ._ports import Admission, Outcome, Owner, Ticket
 from ._problem import Problem
@@ -66,7 +66,7 @@
         owner: Owner | None,
         connections: ServerConnections,
         admission: Admission,
-        dialect: Dialect,
+        codec: HeaderCodec,
         reactor: Any,
         fresh: bool = False,
     ) -> None:
@@ -79,7 +79,7 @@
         self._owner = owner
         self._connections = connections
         self._admission = admission
-        self._dialect = dialect
+        self._codec = codec
         self._reactor = reactor
         self._fresh = fresh
 
@@ -103,9 +103,9 @@
         return response
 
     def _note_load(self, response: Response) -> None:
-        load = self._dialect.load(response.headers)
+        load = self._codec.load(response.headers)
         if load is not None:
-            has_run = self._dialect.refusal(response) is None
+            has_run = self._codec.refusal(response) is None
             elapsed_s = self.elapsed_s if has_run else None
             self._admission.note_load(self.server, load, elapsed_s)
 
@@ -192,9 +192,9 @@
         return min(self._ticket.deadline_s, self._owner.deadline_s)
 
     def _headers(self, time_left: Remaining) -> Headers:
-        dialect = self._dialect
-        headers = passed_on(self._request.requestHeaders, dialect.is_passed_on)
-        fields = dialect.sent_fields(self._ticket, self.server, self._owner, time_left)
+        codec = self._codec
+        headers = passed_on(self._request.requestHeaders, codec.is_forwarded)
+        fields = codec.request_fields(self._ticket, self.server, self._owner, time_left)
         set_fields(headers, fields)
         return headers
 
@@ -203,7 +203,7 @@
             check_request_id(
                 response,
                 self._ticket.request_id,
-                dialect=self._dialect,
+                codec=self._codec,
                 peer=self.server.address,
             )
         except PeerMismatchError as error:
@@ -212,7 +212,7 @@
                 outcome=Outcome.LOST,
                 problem=self._unknown(502, "an answer to another request came", error),
             ) from error
-        refusal = self._dialect.refusal(response)
+        refusal = self._codec.refusal(response)
         if refusal is not None:
             if cast(Any, response.length) != 0:
                 connection.abort_now()
--- a/src/gentianwharf/relay/_problem.py
+++ b/src/gentianwharf/relay/_problem.py
@@ -9,8 +9,8 @@
 from gentianwharf.runs import Run
 
 if TYPE_CHECKING:
-    # A dialect speaks of tickets and owners, whose module raises problems.
-    from ._dialect import Dialect
+    # The codec refers to tickets and owners, whose module raises problems.
+    from ._header_codec import HeaderCodec
 
 
 @final
@@ -33,16 +33,16 @@
 
 
 def write_problem(
-    request: Request, problem: Problem, *, request_id: str, dialect: "Dialect"
+    request: Request, problem: Problem, *, request_id: str, codec: "HeaderCodec"
 ) -> None:
     """Answer ``request`` with ``problem`` and finish it."""
     body = json.dumps(_document(problem, request_id)).encode()
     request.setResponseCode(problem.status)
     request.setHeader(b"Content-Type", b"application/problem+json")
     request.setHeader(b"Content-Length", str(len(body)).encode())
-    request.setHeader(dialect.request_id_header, request_id.encode("latin-1"))
+    request.setHeader(codec.request_id_header, request_id.encode("latin-1"))
     if problem.retry_after_s is not None:
-        request.setHeader(b"Retry-After", dialect.retry_after(problem.retry_after_s))
+        request.setHeader(b"Retry-After", codec.retry_after(problem.retry_after_s))
     request.write(body)
     request.finish()
 
