--- a/src/gentianwharf/platform/_dialect.py
+++ b/src/gentianwharf/platform/_dialect.py
@@ -5,7 +5,7 @@
 from twisted.web._newclient import Response
 from twisted.web.http_headers import Headers
 
-from gentianwharf.relay import Owner, Remaining, ServerLoad, ServerRefusal, Ticket
+from gentianwharf.relay import Owner, RemainingTime, ServerLoad, ServerRefusal, Ticket
 from gentianwharf.topology import BackendServer
 
 # In Twisted's case.
@@ -46,7 +46,7 @@
         ticket: Ticket,
         server: BackendServer,
         owner: Owner | None,
-        time_left: Remaining,
+        remaining: RemainingTime,
     ) -> dict[bytes, list[bytes]]:
         """Return what is left of the time, and which server's life is meant.
 
@@ -54,7 +54,7 @@
         """
         return {
             ATTEMPT_ID: [ticket.request_id.encode("latin-1")],
-            DEADLINE_MS: [b"%d" % max(1, int(time_left.left_s * 1000))],
+            DEADLINE_MS: [b"%d" % max(1, int(remaining.duration_s * 1000))],
             EXPECTED_INSTANCE: [server.id.encode()],
         }
 
--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -7,7 +7,7 @@
 from ._caller_request import CallerRequest
 from ._caller_site import CallerSite
 from ._connections import ServerConnections
-from ._deadline import Remaining
+from ._deadline import RemainingTime
 from ._header_codec import DefaultHeaderCodec, HeaderCodec, ServerRefusal
 from ._ports import (
     Admission,
@@ -39,7 +39,7 @@
     "Ownership",
     "Problem",
     "RelayApp",
-    "Remaining",
+    "RemainingTime",
     "Rules",
     "Run",
     "ServerConnections",
--- a/src/gentianwharf/relay/_deadline.py
+++ b/src/gentianwharf/relay/_deadline.py
@@ -10,21 +10,21 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Remaining:
+class RemainingTime:
     """What is left of a request's time, and when that ends on the wall clock."""
 
-    left_s: float
-    ends_unix_s: float
+    duration_s: float
+    deadline_unix_s: float
 
     @property
-    def ends_unix_ms(self) -> int:
+    def deadline_unix_ms(self) -> int:
         """Return the end in whole milliseconds, rounded down."""
-        return int(self.ends_unix_s * 1000)
+        return int(self.deadline_unix_s * 1000)
 
 
-def remaining(
+def remaining_time(
     deadline_s: float, *, now_s: Clock, unix_s: Clock = time.time
-) -> Remaining:
+) -> RemainingTime:
     """Return what is left until ``deadline_s`` of the clock ``now_s``.
 
     The wall clock is read first. A host that is paused between the two readings, for
@@ -32,9 +32,10 @@
     tells a later one, by which the shard may have a new owner while the server still
     runs the request.
 
-    >>> remaining(12.0, now_s=lambda: 10.0, unix_s=lambda: 1_000.0).ends_unix_ms
+    >>> left = remaining_time(12.0, now_s=lambda: 10.0, unix_s=lambda: 1_000.0)
+    >>> left.deadline_unix_ms
     1002000
     """
     unix_now_s = unix_s()
-    left_s = deadline_s - now_s()
-    return Remaining(left_s=left_s, ends_unix_s=unix_now_s + left_s)
+    duration_s = deadline_s - now_s()
+    return RemainingTime(duration_s=duration_s, deadline_unix_s=unix_now_s + duration_s)
--- a/src/gentianwharf/relay/_header_codec.py
+++ b/src/gentianwharf/relay/_header_codec.py
@@ -13,7 +13,7 @@
 from gentianwharf.topology import BackendServer
 
 from . import _headers as names
-from ._deadline import Remaining
+from ._deadline import RemainingTime
 from ._ports import Owner, ServerLoad, Ticket
 
 # The status by which a server that is not the owner refuses a request without running
@@ -53,7 +53,7 @@
         ticket: Ticket,
         server: BackendServer,
         owner: Owner | None,
-        time_left: Remaining,
+        remaining: RemainingTime,
     ) -> dict[bytes, list[bytes]]:
         """Return the headers that the router sets for a server, in Twisted's case."""
 
@@ -93,13 +93,13 @@
         ticket: Ticket,
         server: BackendServer,
         owner: Owner | None,
-        time_left: Remaining,
+        remaining: RemainingTime,
     ) -> dict[bytes, list[bytes]]:
         """Return id, service, deadline and, for a keyed service, shard and token."""
         fields = {
             names.REQUEST_ID: [ticket.request_id.encode("latin-1")],
             names.SERVICE: [server.service.encode()],
-            names.DEADLINE: [b"%d" % time_left.ends_unix_ms],
+            names.DEADLINE: [b"%d" % remaining.deadline_unix_ms],
         }
         if owner is not None:
             fields[names.SHARD] = [b"%d" % owner.shard]
--- a/src/gentianwharf/relay/_leg.py
+++ b/src/gentianwharf/relay/_leg.py
@@ -14,7 +14,7 @@
 from ._answer import check_request_id, has_provable_end
 from ._caller_request import CallerRequest
 from ._connections import ServerConnection, ServerConnections
-from ._deadline import Remaining, remaining
+from ._deadline import RemainingTime, remaining_time
 from ._header_codec import HeaderCodec, ServerRefusal
 from ._headers import passed_on, set_fields
 from ._ports import Admission, Outcome, Owner, Ticket
@@ -138,8 +138,8 @@
             ) from error
 
     async def _send(self, connection: ServerConnection) -> Response:
-        time_left = remaining(self._deadline_s(), now_s=self._reactor.seconds)
-        if time_left.left_s <= 0:
+        remaining = remaining_time(self._deadline_s(), now_s=self._reactor.seconds)
+        if remaining.duration_s <= 0:
             self._connections.put_back(connection)
             raise FinalError(
                 outcome=Outcome.CANCELLED,
@@ -149,11 +149,11 @@
         answer = connection.exchange(
             method=self._request.method,
             uri=self._request.uri,
-            headers=self._headers(time_left),
+            headers=self._headers(remaining),
             body=self._request.body,
         )
         timeout = Timeout(
-            clock=self._reactor, delay_s=time_left.left_s, expire=answer.cancel
+            clock=self._reactor, delay_s=remaining.duration_s, expire=answer.cancel
         )
         try:
             return await answer
@@ -191,10 +191,10 @@
             return self._ticket.deadline_s
         return min(self._ticket.deadline_s, self._owner.deadline_s)
 
-    def _headers(self, time_left: Remaining) -> Headers:
+    def _headers(self, remaining: RemainingTime) -> Headers:
         codec = self._codec
         headers = passed_on(self._request.requestHeaders, codec.is_forwarded)
-        fields = codec.request_fields(self._ticket, self.server, self._owner, time_left)
+        fields = codec.request_fields(self._ticket, self.server, self._owner, remaining)
         set_fields(headers, fields)
         return headers
 
--- a/tests/test_relay_deadline.py
+++ b/tests/test_relay_deadline.py
@@ -1,6 +1,6 @@
 """The deadline that a server is told."""
 
-from gentianwharf.relay._deadline import remaining
+from gentianwharf.relay._deadline import remaining_time
 
 UNIX_AT_0_S = 1_000.0
 
@@ -28,5 +28,5 @@
     server freezes: it thaws and runs the request beside the shard's new owner.
     """
     host = PausingHost()
-    left = remaining(10.0, now_s=host.now_s, unix_s=host.unix_s)
-    assert left.ends_unix_s <= UNIX_AT_0_S + 10.0
+    left = remaining_time(10.0, now_s=host.now_s, unix_s=host.unix_s)
+    assert left.deadline_unix_s <= UNIX_AT_0_S + 10.0
