--- a/src/gentianwharf/daemon/_observer.py
+++ b/src/gentianwharf/daemon/_observer.py
@@ -4,7 +4,7 @@
 
 from gentianwharf.logs import log
 from gentianwharf.metrics import Answer, Decision, Recorder, Run
-from gentianwharf.relay import Answered, Problem
+from gentianwharf.relay import Problem, ResponseRecord
 
 
 class RecordingObserver:
@@ -17,7 +17,7 @@
         self._domain = domain
         self._now_s = now_s
 
-    def answered(self, answered: Answered) -> None:
+    def record_response(self, answered: ResponseRecord) -> None:
         """Record an answer."""
         ticket = answered.ticket
         refused = answered.reason if answered.run is Run.NOT_RUN else None
@@ -51,7 +51,7 @@
                 },
             )
 
-    def refused(self, request_id: str, problem: Problem) -> None:
+    def record_refusal(self, request_id: str, problem: Problem) -> None:
         """Keep why a request was refused before a rule decided on it."""
         self._recorder.decide(
             Decision(
@@ -68,13 +68,13 @@
             )
         )
 
-    def _sample(self, answered: Answered) -> None:
+    def _sample(self, answered: ResponseRecord) -> None:
         # Building a decision costs as much as counting the answer: draw first.
         ring = self._recorder.decisions
         if ring.wants_ordinary():
             ring.add_sampled(self._decision(answered, None))
 
-    def _decision(self, answered: Answered, refused: str | None) -> Decision:
+    def _decision(self, answered: ResponseRecord, refused: str | None) -> Decision:
         ticket = answered.ticket
         return Decision(
             request_id=ticket.request_id,
--- a/src/gentianwharf/entryhost/_observer.py
+++ b/src/gentianwharf/entryhost/_observer.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from gentianwharf.logs import log
-from gentianwharf.relay import Answered, Problem, Run
+from gentianwharf.relay import Problem, ResponseRecord, Run
 
 from ._metrics import HostMetrics
 
@@ -35,7 +35,7 @@
         self._rules_version = rules_version
         self._view_age_s = view_age_s
 
-    def answered(self, answered: Answered) -> None:
+    def record_response(self, answered: ResponseRecord) -> None:
         """Note what a caller received."""
         self._metrics.answered(answered)
         is_success = answered.run is Run.RUN and answered.status < 500
@@ -61,7 +61,7 @@
             },
         )
 
-    def refused(self, request_id: str, problem: Problem) -> None:
+    def record_refusal(self, request_id: str, problem: Problem) -> None:
         """Note a request that no rule decided on."""
         self._metrics.count("", "", problem.status, problem.title)
         log.info(
--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -11,12 +11,12 @@
 from ._header_codec import DefaultHeaderCodec, HeaderCodec, ServerRefusal
 from ._ports import (
     Admission,
-    Answered,
     Hedge,
     Observer,
     Outcome,
     Owner,
     Ownership,
+    ResponseRecord,
     Rules,
     ServerLoad,
     Ticket,
@@ -26,7 +26,6 @@
 __all__ = [
     "HEAD_SWEEP_S",
     "Admission",
-    "Answered",
     "CallerRequest",
     "CallerSite",
     "ConnectionLimits",
@@ -40,6 +39,7 @@
     "Problem",
     "RelayApp",
     "RemainingTime",
+    "ResponseRecord",
     "Rules",
     "Run",
     "ServerConnections",
--- a/src/gentianwharf/relay/_app.py
+++ b/src/gentianwharf/relay/_app.py
@@ -127,7 +127,7 @@
     def _refuse(
         self, request: CallerRequest, request_id: str, problem: Problem
     ) -> None:
-        self._observer.refused(request_id, problem)
+        self._observer.record_refusal(request_id, problem)
         write_problem(request, problem, request_id=request_id, codec=self._codec)
 
     def _ended(self, result: Any, exchange: Exchange) -> Any:
--- a/src/gentianwharf/relay/_exchange.py
+++ b/src/gentianwharf/relay/_exchange.py
@@ -17,7 +17,15 @@
 from ._header_codec import HeaderCodec
 from ._headers import answered_with
 from ._leg import FinalError, Leg, LegError, NotRunError
-from ._ports import Admission, Answered, Observer, Outcome, Owner, Ownership, Ticket
+from ._ports import (
+    Admission,
+    Observer,
+    Outcome,
+    Owner,
+    Ownership,
+    ResponseRecord,
+    Ticket,
+)
 from ._problem import Problem, write_problem
 from ._race import Race
 from ._repeats import KeptAnswer, RepeatKey, Repeats
@@ -363,8 +371,8 @@
     def _record(
         self, *, status: int, run: Run, reason: str = "", step: str = "", peer: str = ""
     ) -> None:
-        self._observer.answered(
-            Answered(
+        self._observer.record_response(
+            ResponseRecord(
                 ticket=self.ticket,
                 rule=self.match.number,
                 server=self._server.id if self._server else "",
--- a/src/gentianwharf/relay/_ports.py
+++ b/src/gentianwharf/relay/_ports.py
@@ -153,7 +153,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Answered:
+class ResponseRecord:
     """What a caller received, for metrics and the decisions' record."""
 
     ticket: Ticket
@@ -173,8 +173,8 @@
 class Observer(Protocol):
     """Told of every answer."""
 
-    def answered(self, answered: Answered) -> None:
+    def record_response(self, record: ResponseRecord) -> None:
         """Record an answer."""
 
-    def refused(self, request_id: str, problem: Problem) -> None:
+    def record_refusal(self, request_id: str, problem: Problem) -> None:
         """Record a request that was refused before a rule decided on it."""
--- a/tests/builders_relay.py
+++ b/tests/builders_relay.py
@@ -18,7 +18,6 @@
 from twisted.internet.threads import blockingCallFromThread
 
 from gentianwharf.relay import (
-    Answered,
     CallerSite,
     ConnectionLimits,
     Hedge,
@@ -26,6 +25,7 @@
     Owner,
     Problem,
     RelayApp,
+    ResponseRecord,
     Run,
     ServerConnections,
     ServerLoad,
@@ -207,14 +207,14 @@
 class Records:
     """Keeps every answer that was recorded, and every refusal before a rule."""
 
-    answers: list[Answered] = field(default_factory=list)
+    answers: list[ResponseRecord] = field(default_factory=list)
     refusals: list[tuple[str, Problem]] = field(default_factory=list)
 
-    def answered(self, answered: Answered) -> None:
+    def record_response(self, record: ResponseRecord) -> None:
         """Keep it."""
-        self.answers.append(answered)
+        self.answers.append(record)
 
-    def refused(self, request_id: str, problem: Problem) -> None:
+    def record_refusal(self, request_id: str, problem: Problem) -> None:
         """Keep it."""
         self.refusals.append((request_id, problem))
 
--- a/tests/test_entryhost_metrics.py
+++ b/tests/test_entryhost_metrics.py
@@ -1,10 +1,10 @@
 """What on-call engineers read of a host: bounded, whatever callers and rules bring."""
 
 from gentianwharf.entryhost._metrics import MOST_SERIES, HostMetrics
-from gentianwharf.relay import Answered, Run, Ticket
+from gentianwharf.relay import ResponseRecord, Run, Ticket
 
 
-def answered(*, request_class: str = "safe", status: int = 200) -> Answered:
+def answered(*, request_class: str = "safe", status: int = 200) -> ResponseRecord:
     ticket = Ticket(
         request_id="1",
         service="roster",
@@ -15,7 +15,7 @@
         deadline_s=1.0,
         repeatable=True,
     )
-    return Answered(
+    return ResponseRecord(
         ticket=ticket,
         rule=1,
         server="s1",
--- a/tests/test_entryhost_rules.py
+++ b/tests/test_entryhost_rules.py
@@ -105,7 +105,7 @@
         status=404, title="no rule matches", run=Run.NOT_RUN, detail="GET desk/a/"
     )
     with logbook.TestHandler() as handler:
-        observer.refused("a1", problem)
+        observer.record_refusal("a1", problem)
     line = handler.records[0].extra
     assert (line["detail"], line["version"]) == ("GET desk/a/", 8)
 
