--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_parts.py
@@ -16,7 +16,7 @@
 from gentianwharf.metrics import Objective, Recorder
 from gentianwharf.ownership import OwnershipSystem
 from gentianwharf.placement import PlacementWeights
-from gentianwharf.relay import RelayApp, ServerConnections
+from gentianwharf.relay import RelayApp, ServerConnectionPool
 from gentianwharf.settings import Settings, domains_of, services_of
 from gentianwharf.spread import Channel, PeerMesh, PeerQueries, SpreadSystem
 from gentianwharf.topology import BackendServer, Host, Service
@@ -132,7 +132,7 @@
         daemons = self.hosts.daemons
         self.gate.set_daemons(daemons)
         for connections in self.relay.connections.values():
-            connections.share_with(daemons)
+            connections.set_daemon_count(daemons)
         self.mesh.set_peers(
             self.hosts.hosts.values(), leaving=self.hosts.leaving_hosts.values()
         )
@@ -237,7 +237,7 @@
             ),
             admission=self.admission,
             connections={
-                server.id: ServerConnections(server=server, reactor=self.reactor)
+                server.id: ServerConnectionPool(server=server, reactor=self.reactor)
                 for server in self.servers.values()
             },
             observer=RecordingObserver(
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -20,7 +20,7 @@
     CallerSite,
     ConnectionLimits,
     RelayApp,
-    ServerConnections,
+    ServerConnectionPool,
 )
 from gentianwharf.topology import BackendServer, Service
 
@@ -228,7 +228,7 @@
     def _note_hosts(self, hosts: int) -> None:
         self._gate.set_daemons(hosts)
         for pool in self.relay.connections.values():
-            pool.share_with(hosts)
+            pool.set_daemon_count(hosts)
 
     def _follow_configuration(self, configuration: Configuration) -> None:
         keyed = {name for name, one in configuration.services.items() if one.keyed}
@@ -265,10 +265,10 @@
             self._servers[server.id] = server
             pool = self.relay.connections.get(server.id)
             if pool is None:
-                pool = ServerConnections(server=server, reactor=self._reactor)
+                pool = ServerConnectionPool(server=server, reactor=self._reactor)
                 self.relay.connections[server.id] = pool
             else:
-                pool.follow(server)
-            pool.share_with(self._control.hosts)
+                pool.update_server(server)
+            pool.set_daemon_count(self._control.hosts)
         self._admission.set_servers(service, servers)
         self._control.note_servers(service)
--- a/src/gentianwharf/loadtool/_sender.py
+++ b/src/gentianwharf/loadtool/_sender.py
@@ -16,7 +16,7 @@
 from zope.interface import implementer
 
 from gentianwharf.errors import PeerUnavailableError
-from gentianwharf.relay import ServerConnections
+from gentianwharf.relay import ServerConnectionPool
 from gentianwharf.topology import BackendServer
 
 from ._judge import Received, Verdict
@@ -70,7 +70,7 @@
             slots=connections,
             connections=connections,
         )
-        self._connections = ServerConnections(server=server, reactor=reactor)
+        self._connections = ServerConnectionPool(server=server, reactor=reactor)
 
     async def send(self, request: PlannedRequest) -> Received:
         """Send one request; the caller's limit covers the whole answer."""
@@ -90,7 +90,7 @@
     async def _exchange(self, request: PlannedRequest) -> Received:
         kind = request.kind
         connection = await self._connections.acquire()
-        response = await connection.exchange(
+        response = await connection.send_request(
             method=kind.method.encode(),
             uri=request.path.encode(),
             headers=self._headers(request),
--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -6,7 +6,7 @@
 from ._caller_limits import HEAD_SWEEP_S, ConnectionLimits
 from ._caller_request import CallerRequest
 from ._caller_site import CallerSite
-from ._connections import ServerConnections
+from ._connections import ServerConnectionPool
 from ._deadline import RemainingTime
 from ._header_codec import DefaultHeaderCodec, HeaderCodec, ServerRefusal
 from ._ports import (
@@ -42,7 +42,7 @@
     "ResponseRecord",
     "Rules",
     "Run",
-    "ServerConnections",
+    "ServerConnectionPool",
     "ServerLoad",
     "ServerRefusal",
     "Ticket",
--- a/src/gentianwharf/relay/_app.py
+++ b/src/gentianwharf/relay/_app.py
@@ -16,7 +16,7 @@
 from gentianwharf.runs import Run
 
 from ._caller_request import CallerRequest, EveryPath
-from ._connections import ServerConnections
+from ._connections import ServerConnectionPool
 from ._exchange import FAULT, STOPPING_NOT_RUN, Exchange
 from ._header_codec import DefaultHeaderCodec, HeaderCodec
 from ._headers import KEY_HEADER, connection_options, facts_of
@@ -66,7 +66,7 @@
         rules: Rules,
         ownership: Ownership,
         admission: Admission,
-        connections: dict[str, ServerConnections],
+        connections: dict[str, ServerConnectionPool],
         observer: Observer,
         deadlines_ms: dict[str, int],
         keyed: AbstractSet[str],
--- a/src/gentianwharf/relay/_connections.py
+++ b/src/gentianwharf/relay/_connections.py
@@ -26,12 +26,12 @@
 from ._headers import connection_options
 from ._transport import JoinedLines, send_now
 
-__all__ = ["ServerConnection", "ServerConnections"]
+__all__ = ["ServerConnection", "ServerConnectionPool"]
 
 # Loopback and rack round trips take well under a millisecond and opening 1 ms; a
 # SYN that is lost is repeated after 1 s, so anything longer waits for a dead host.
 CONNECT_TIMEOUT_S = 0.5
-# Firewalls and balancers commonly forget idle connections after a minute or more; a
+# Firewalls and balancers commonly discard idle connections after a minute or more; a
 # connection unused for longer than this is closed instead of trusted.
 MOST_IDLE_S = 15.0
 # Probes begin after 4 s of silence, two seconds apart; two without an answer end the
@@ -58,8 +58,8 @@
 class ServerConnection(HTTP11ClientProtocol):
     """One connection to a backend server."""
 
-    def __init__(self, *, pool: "ServerConnections") -> None:
-        super().__init__(pool.put_back)
+    def __init__(self, *, pool: "ServerConnectionPool") -> None:
+        super().__init__(pool.release)
         self.pool = pool
         self.idle_since_s = 0.0
         self.requests = 0
@@ -83,7 +83,7 @@
         self, reason: Failure = connectionDone
     ) -> None:
         """Forget the connection, wherever it was."""
-        self.pool.forget(self)
+        self.pool.discard(self)
         super().connectionLost(reason)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -132,7 +132,7 @@
             return b"keep-alive" not in options
         return b"close" in options
 
-    def exchange(
+    def send_request(
         self, *, method: bytes, uri: bytes, headers: Headers, body: IBodyProducer | None
     ) -> Deferred[Response]:
         """Send a request; fires with the answer once its head is here.
@@ -178,12 +178,12 @@
         answered.errback(failure)
 
 
-class ServerConnections:
+class ServerConnectionPool:
     """The connections of this daemon to one backend server."""
 
     def __init__(self, *, server: BackendServer, reactor: Any) -> None:
         self.server = server
-        self.most = server.connections
+        self.max_connections = server.connections
         self.opened = 0
         self._reactor = reactor
         self._clock: IReactorTime = reactor
@@ -191,8 +191,8 @@
         self._all: set[ServerConnection] = set()
         self._connecting = 0
 
-    def follow(self, server: BackendServer) -> None:
-        """Take what is now known of the server; call ``share_with`` after it.
+    def update_server(self, server: BackendServer) -> None:
+        """Take what is now known of the server; call ``set_daemon_count`` after it.
 
         A server may start again under its id at another address. Connections to the old
         one are closed: it may be another server's by now.
@@ -200,16 +200,16 @@
         moved = server.address != self.server.address
         self.server = server
         if moved:
-            self.renew()
+            self.retire_all()
 
-    def share_with(self, daemons: int) -> None:
+    def set_daemon_count(self, daemons: int) -> None:
         """Take an equal part of what the server accepts from all daemons.
 
         The list of hosts tells how many there are, so nobody has to be asked; what
         one daemon does not use, another can't borrow, since a server that is out of
         connections refuses everybody.
         """
-        self.most = max(1, self.server.connections // max(1, daemons))
+        self.max_connections = max(1, self.server.connections // max(1, daemons))
 
     def __len__(self) -> int:
         return len(self._all) + self._connecting
@@ -223,8 +223,10 @@
             kept = self._take_idle()
             if kept is not None:
                 return kept
-        if len(self) >= self.most:
-            raise self._unavailable(f"all {self.most} connections are in use")
+        if len(self) >= self.max_connections:
+            raise self._unavailable(
+                f"all {self.max_connections} connections are in use"
+            )
         return await self._connect()
 
     def _take_idle(self) -> ServerConnection | None:
@@ -263,7 +265,7 @@
     def _unavailable(self, message: str) -> PeerUnavailableError:
         return PeerUnavailableError(message, step="connect", peer=self.server.address)
 
-    def put_back(self, connection: ServerConnection) -> None:
+    def release(self, connection: ServerConnection) -> None:
         """Keep a connection whose answer has come whole."""
         if connection.retired:
             connection.abort_now()
@@ -271,7 +273,7 @@
         connection.idle_since_s = self._clock.seconds()
         self._idle.append(connection)
 
-    def forget(self, connection: ServerConnection) -> None:
+    def discard(self, connection: ServerConnection) -> None:
         """Drop a connection that is closed."""
         self._all.discard(connection)
         if connection in self._idle:
@@ -281,7 +283,7 @@
         """Return the connections that wait for a request."""
         return tuple(self._idle)
 
-    def renew(self) -> None:
+    def retire_all(self) -> None:
         """Close idle connections now and the others after their answers.
 
         For when one was found silent for good: what lost track of it, a firewall
--- a/src/gentianwharf/relay/_exchange.py
+++ b/src/gentianwharf/relay/_exchange.py
@@ -13,7 +13,7 @@
 
 from ._answer import AnswerBody, write_head
 from ._caller_request import CallerRequest
-from ._connections import ServerConnections
+from ._connections import ServerConnectionPool
 from ._header_codec import HeaderCodec
 from ._headers import answered_with
 from ._leg import FinalError, Leg, LegError, NotRunError
@@ -85,7 +85,7 @@
         ticket: Ticket,
         ownership: Ownership,
         admission: Admission,
-        connections: dict[str, ServerConnections],
+        connections: dict[str, ServerConnectionPool],
         observer: Observer,
         codec: HeaderCodec,
         repeats: Repeats,
--- a/src/gentianwharf/relay/_leg.py
+++ b/src/gentianwharf/relay/_leg.py
@@ -13,7 +13,7 @@
 
 from ._answer import check_request_id, has_provable_end
 from ._caller_request import CallerRequest
-from ._connections import ServerConnection, ServerConnections
+from ._connections import ServerConnection, ServerConnectionPool
 from ._deadline import RemainingTime, remaining_time
 from ._header_codec import HeaderCodec, ServerRefusal
 from ._headers import passed_on, set_fields
@@ -64,7 +64,7 @@
         ticket: Ticket,
         server: BackendServer,
         owner: Owner | None,
-        connections: ServerConnections,
+        connections: ServerConnectionPool,
         admission: Admission,
         codec: HeaderCodec,
         reactor: Any,
@@ -116,7 +116,7 @@
 
     def retire_silent_connections(self) -> None:
         """Trust no older connection to this server any more."""
-        self._connections.renew()
+        self._connections.retire_all()
 
     async def _connect(self) -> ServerConnection:
         try:
@@ -140,13 +140,13 @@
     async def _send(self, connection: ServerConnection) -> Response:
         remaining = remaining_time(self._deadline_s(), now_s=self._reactor.seconds)
         if remaining.duration_s <= 0:
-            self._connections.put_back(connection)
+            self._connections.release(connection)
             raise FinalError(
                 outcome=Outcome.CANCELLED,
                 problem=self._not_run("no time was left to run the request"),
             )
         self.is_sent = True
-        answer = connection.exchange(
+        answer = connection.send_request(
             method=self._request.method,
             uri=self._request.uri,
             headers=self._headers(remaining),
--- a/tests/builders_relay.py
+++ b/tests/builders_relay.py
@@ -27,7 +27,7 @@
     RelayApp,
     ResponseRecord,
     Run,
-    ServerConnections,
+    ServerConnectionPool,
     ServerLoad,
     Ticket,
 )
@@ -324,7 +324,7 @@
         ownership=ownership,
         admission=admission,
         connections={
-            server.id: ServerConnections(server=server, reactor=reactor)
+            server.id: ServerConnectionPool(server=server, reactor=reactor)
             for server in servers
         },
         observer=records,
--- a/tests/test_entryhost_servers.py
+++ b/tests/test_entryhost_servers.py
@@ -19,7 +19,7 @@
     ServerEntry,
     decode_host_settings,
 )
-from gentianwharf.relay import ServerConnections
+from gentianwharf.relay import ServerConnectionPool
 from gentianwharf.store import Item
 from gentianwharf.topology import BackendServer
 from tests.builders_load import server, service
@@ -69,10 +69,10 @@
     Hosts that knew a server before go on opening as many as they were allowed then.
     """
     host._control._note_hosts(2)
-    assert host.relay.connections[SERVER_ID].most == 65
+    assert host.relay.connections[SERVER_ID].max_connections == 65
     seats = {"max-connections": 10}
     note_configuration(host, revision=4, services={"seats": seats, "calendar": seats})
-    assert host.relay.connections[SERVER_ID].most == 5
+    assert host.relay.connections[SERVER_ID].max_connections == 5
 
 
 def test_gate_follows_what_a_listed_server_is() -> None:
@@ -100,12 +100,12 @@
 
 
 @pytest.fixture
-def pool() -> ServerConnections:
+def pool() -> ServerConnectionPool:
     reactor: Any = MemoryReactorClock()
-    return ServerConnections(server=server(0), reactor=reactor)
+    return ServerConnectionPool(server=server(0), reactor=reactor)
 
 
-def connected(pool: ServerConnections) -> Any:
+def connected(pool: ServerConnectionPool) -> Any:
     """Complete the connection that the pool is making."""
     reactor: Any = pool._reactor
     protocol = reactor.tcpClients[-1][2].buildProtocol(None)
@@ -113,24 +113,24 @@
     return protocol
 
 
-def test_connections_to_a_former_address_are_closed(pool: ServerConnections) -> None:
+def test_connections_to_a_former_address_are_closed(pool: ServerConnectionPool) -> None:
     """A request reaches another server, which has the address by now."""
     taken = Deferred.fromCoroutine(pool.acquire())
     connected(pool)
-    taken.addCallback(pool.put_back)
+    taken.addCallback(pool.release)
     assert len(pool.idle()) == 1
-    pool.follow(at_another_address(pool.server))
+    pool.update_server(at_another_address(pool.server))
     assert pool.idle() == ()
 
 
 def test_connection_that_comes_after_a_move_is_not_used(
-    pool: ServerConnections,
+    pool: ServerConnectionPool,
 ) -> None:
     """The same, of a connection that was being made while its server moved."""
     taken = Deferred.fromCoroutine(pool.acquire())
     failed: list[Failure] = []
     taken.addErrback(failed.append)
-    pool.follow(at_another_address(pool.server))
+    pool.update_server(at_another_address(pool.server))
     connected(pool)
     assert failed
     assert failed[0].check(PeerUnavailableError)
