--- a/src/gentianwharf/daemon/_daemon.py
+++ b/src/gentianwharf/daemon/_daemon.py
@@ -150,14 +150,14 @@
         """Say to the balancer that no new requests are wanted."""
         parts = self.parts
         parts.relay.stopping = True
-        self.site.stop_keeping()
+        self.site.disable_keep_alive()
 
     def stop_accepting(self) -> None:
         """Close the listening port and idle connections."""
         if self._callers_port is not None:
             self._callers_port.stopListening()
             self._callers_port = None
-        self.site.close_idle()
+        self.site.close_idle_connections()
 
     def in_flight(self) -> list[str]:
         """Return the ids of the requests that are being served."""
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -16,7 +16,7 @@
     PlatformDialect,
 )
 from gentianwharf.relay import (
-    HEAD_SWEEP_S,
+    SLOW_HEAD_CHECK_INTERVAL_S,
     CallerSite,
     ConnectionLimits,
     RelayApp,
@@ -154,7 +154,7 @@
         self._ticks.every(CONTROL_TICK_S, self._control.tick)
         gate = self._ticks.at(self._gate_interval_s, self._admission.tick)
         self.relay.on_first_in_flight = gate.soon
-        self._ticks.every(HEAD_SWEEP_S, self._site.refuse_slow_heads)
+        self._ticks.every(SLOW_HEAD_CHECK_INTERVAL_S, self._site.refuse_slow_heads)
         log.info("started", extra={"host": self.settings.name})
 
     def _gate_interval_s(self) -> float:
@@ -193,13 +193,13 @@
 
     def turn_unready(self) -> None:
         """Tell clients to use other hosts; somebody else should lead."""
-        self._site.stop_keeping()
+        self._site.disable_keep_alive()
         self._control.resign(self.settings.agreements.grace_period_s)
 
     def stop_accepting(self) -> None:
         """Close the callers' port and idle connections."""
         self._callers_port.stop()
-        self._site.close_idle()
+        self._site.close_idle_connections()
 
     def in_flight(self) -> list[str]:
         """Return the ids of the requests that are being served."""
@@ -243,7 +243,7 @@
             classes=[class_of(kind) for kind in configuration.kinds.values()],
         )
         if configuration.limits is not None:
-            self._site.take_limits(limits_of(configuration.limits))
+            self._site.apply_limits(limits_of(configuration.limits))
         self.relay.splitter.keep_only(
             frozenset(rule.name for rule in configuration.document.rules)
         )
--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -3,7 +3,7 @@
 from gentianwharf.runs import Run
 
 from ._app import RelayApp
-from ._caller_limits import HEAD_SWEEP_S, ConnectionLimits
+from ._caller_limits import SLOW_HEAD_CHECK_INTERVAL_S, ConnectionLimits
 from ._caller_request import CallerRequest
 from ._caller_site import CallerSite
 from ._connections import ServerConnectionPool
@@ -24,7 +24,7 @@
 from ._problem import Problem
 
 __all__ = [
-    "HEAD_SWEEP_S",
+    "SLOW_HEAD_CHECK_INTERVAL_S",
     "Admission",
     "CallerRequest",
     "CallerSite",
--- a/src/gentianwharf/relay/_app.py
+++ b/src/gentianwharf/relay/_app.py
@@ -15,7 +15,7 @@
 from gentianwharf.matching import RequestFacts, RuleMatch, Splitter
 from gentianwharf.runs import Run
 
-from ._caller_request import CallerRequest, EveryPath
+from ._caller_request import CallerRequest, CatchAllResource
 from ._connections import ServerConnectionPool
 from ._exchange import FAULT, STOPPING_NOT_RUN, Exchange
 from ._header_codec import DefaultHeaderCodec, HeaderCodec
@@ -32,7 +32,7 @@
 
 
 @final
-class _RelayResource(EveryPath):
+class _RelayResource(CatchAllResource):
     """Hands every request to the relay, whatever its path."""
 
     def __init__(self, *, begin: Callable[[CallerRequest], Any]) -> None:
@@ -92,7 +92,7 @@
         self.splitter = Splitter()
         self._repeats = Repeats(now_s=reactor.seconds)
 
-    def resource(self) -> EveryPath:
+    def resource(self) -> CatchAllResource:
         """Return the root of the callers' site."""
         return _RelayResource(begin=self._serve)
 
--- a/src/gentianwharf/relay/_caller_limits.py
+++ b/src/gentianwharf/relay/_caller_limits.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import final
 
-HEAD_SWEEP_S = 0.5
+SLOW_HEAD_CHECK_INTERVAL_S = 0.5
 """How often slow heads are looked for. One timer for all connections, since a timer of
 its own for each request would cost more than most requests' heads."""
 
--- a/src/gentianwharf/relay/_caller_request.py
+++ b/src/gentianwharf/relay/_caller_request.py
@@ -26,7 +26,7 @@
     def send_now(self) -> None:
         """Send what was written without waiting for the loop's next turn."""
 
-    def keep_no_longer(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Close once the answer is written; go on reading until then."""
 
     def close_after_answer(self) -> None:
@@ -36,7 +36,7 @@
         """Close at once, whatever is still unsent."""
 
 
-class EveryPath(Resource):
+class CatchAllResource(Resource):
     """A resource that serves each request, whatever its path and method."""
 
     isLeaf = True  # noqa: N815
@@ -141,7 +141,7 @@
         """
         if not self.startedWriting and self._is_body_unread():
             self.responseHeaders.setRawHeaders(b"Connection", [b"close"])
-            cast(RequestChannel, self.channel).keep_no_longer()
+            cast(RequestChannel, self.channel).disable_keep_alive()
         super().write(data)
 
     def _is_body_unread(self) -> bool:
--- a/src/gentianwharf/relay/_caller_site.py
+++ b/src/gentianwharf/relay/_caller_site.py
@@ -10,7 +10,7 @@
 from twisted.web.http_headers import Headers
 
 from ._caller_limits import ConnectionLimits
-from ._caller_request import CallerRequest, EveryPath
+from ._caller_request import CallerRequest, CatchAllResource
 from ._headers import connection_options
 from ._pipeline import MOST_AHEAD, whole_safe_head
 from ._transport import send_now
@@ -32,7 +32,7 @@
         self.site.channels.discard(self)
         super().connectionLost(reason)
 
-    def take_limits(self, limits: ConnectionLimits) -> None:
+    def apply_limits(self, limits: ConnectionLimits) -> None:
         """Follow limits that have changed; what was begun under others goes on."""
         self.totalHeadersSize = limits.most_head_bytes
         self.MAX_LENGTH = limits.most_head_bytes
@@ -94,14 +94,14 @@
         lines.append(b"\r\n")
         self.write(b"".join(lines))
 
-    def keep_no_longer(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Close once the answer is written; go on reading until then."""
         self.persistent = 0
 
     def close_after_answer(self) -> None:
         """Close once the answer is written; read nothing more."""
         self._closing = True
-        self.keep_no_longer()
+        self.disable_keep_alive()
 
     def abort(self) -> None:
         """Close at once, whatever is still unsent."""
@@ -189,7 +189,7 @@
             # Written now, it would be taken for the answer to an earlier request.
             self.requests.pop()
             self._last_words = refusal
-            self.keep_no_longer()
+            self.disable_keep_alive()
         elif self.transport is not None:
             self.transport.write(refusal)
             self.loseConnection()
@@ -229,7 +229,7 @@
     def __init__(
         self,
         *,
-        resource: EveryPath,
+        resource: CatchAllResource,
         reactor: Any,
         request_class: type[CallerRequest] = CallerRequest,
         limits: ConnectionLimits | None = None,
@@ -247,30 +247,33 @@
         channel = cast(Any, super().buildProtocol(addr))
         channel.requestFactory = self.requestFactory
         channel.site = self
-        channel.take_limits(self.limits)
+        channel.apply_limits(self.limits)
         self.channels.add(channel)
         return channel
 
-    def take_limits(self, limits: ConnectionLimits) -> None:
+    def apply_limits(self, limits: ConnectionLimits) -> None:
         """Follow limits that have changed, also for open connections."""
         if limits == self.limits:
             return
         self.limits = limits
         self.timeOut = limits.idle_timeout_s
         for channel in self.channels:
-            channel.take_limits(limits)
+            channel.apply_limits(limits)
 
     def refuse_slow_heads(self) -> None:
-        """Refuse requests whose heads are too slow; due every ``HEAD_SWEEP_S``."""
+        """Refuse requests whose heads arrive too slowly.
+
+        To be called every ``SLOW_HEAD_CHECK_INTERVAL_S``.
+        """
         now_s = self._seconds()
         for channel in list(self.channels):
             channel.refuse_slow_head(now_s, self.limits.head_timeout_s)
 
-    def stop_keeping(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Ask for the close of every connection with its next answer."""
         self.stopping = True
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections on which no request is being served."""
         for channel in list(self.channels):
             channel.close_if_idle()
--- a/tests/test_relay_limits.py
+++ b/tests/test_relay_limits.py
@@ -130,7 +130,7 @@
         connection.sendall(request(close=False))
         assert connection.recv(1000).startswith(b"HTTP/1.1 200")
         shorter = replace(relay.site.limits, idle_timeout_s=0.1)
-        in_reactor(lambda: relay.site.take_limits(shorter))
+        in_reactor(lambda: relay.site.apply_limits(shorter))
         begun_s = time.monotonic()
         assert read_to_end(connection) == b""
         assert time.monotonic() - begun_s < 2.0
--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -30,10 +30,10 @@
         self.ended = threading.Event()
 
     def turn_unready(self) -> None:
-        self._site.stop_keeping()
+        self._site.disable_keep_alive()
 
     def stop_accepting(self) -> None:
-        self._site.close_idle()
+        self._site.close_idle_connections()
 
     def in_flight(self) -> list[str]:
         return [exchange.ticket.request_id for exchange in self._app.in_flight]
