--- a/src/gentianwharf/admission/_gate_admission.py
+++ b/src/gentianwharf/admission/_gate_admission.py
@@ -7,7 +7,7 @@
 
 from gentianwharf import load
 from gentianwharf.placement import rendezvous_rank
-from gentianwharf.relay import Hedge, Outcome, Problem, Run, ServerLoad, Ticket
+from gentianwharf.relay import HedgeCallback, Outcome, Problem, Run, ServerLoad, Ticket
 from gentianwharf.topology import BackendServer
 
 _KINDS = {
@@ -53,10 +53,10 @@
             before = self._listed.get(server.service, ())
             self._listed[server.service] = (*before, server)
         self._waiting: dict[str, Deferred[BackendServer]] = {}
-        self._hedges: dict[str, Hedge] = {}
+        self._hedges: dict[str, HedgeCallback] = {}
 
     async def admit(
-        self, ticket: Ticket, owner: BackendServer | None, hedge: Hedge
+        self, ticket: Ticket, owner: BackendServer | None, hedge: HedgeCallback
     ) -> BackendServer:
         """Return the server to send to, after waiting if need be."""
         asked = _ticket(ticket, owner)
@@ -64,11 +64,11 @@
             ticket, hedge, [self._gate.submit(asked, self._now_s())]
         )
 
-    async def admit_again(
+    async def admit_retry(
         self,
         ticket: Ticket,
         owner: BackendServer | None,
-        hedge: Hedge,
+        hedge: HedgeCallback,
         *,
         after: Outcome,
         avoid: BackendServer,
@@ -119,7 +119,7 @@
         self._apply(self._gate.set_servers(service, servers, self._now_s()))
 
     async def _decided(
-        self, ticket: Ticket, hedge: Hedge, decisions: list[load.Decision]
+        self, ticket: Ticket, hedge: HedgeCallback, decisions: list[load.Decision]
     ) -> BackendServer:
         waiting: Deferred[BackendServer] = Deferred(lambda _: self._cancel(ticket.id))
         self._waiting[ticket.id] = waiting
@@ -139,7 +139,7 @@
         )
         self.on_load(server, load, elapsed_s)
 
-    def forget(self, ticket: Ticket) -> None:
+    def discard(self, ticket: Ticket) -> None:
         """Forget a request that has had its answer."""
         self._hedges.pop(ticket.id, None)
 
--- a/src/gentianwharf/daemon/_ownership.py
+++ b/src/gentianwharf/daemon/_ownership.py
@@ -44,7 +44,7 @@
                 raise _refusal(route)
             await self._wait(route)
 
-    def not_owner(self, ticket: Ticket, owner: Owner) -> None:
+    def report_not_owner(self, ticket: Ticket, owner: Owner) -> None:
         """Note that a server refused the shard under this token."""
         self._system.refused_not_owner(ticket.service, owner.shard, owner.token)
 
--- a/src/gentianwharf/entryhost/_keys.py
+++ b/src/gentianwharf/entryhost/_keys.py
@@ -127,7 +127,7 @@
         since_s = self._moving_since_s.get((service, span.first, span.token))
         return since_s is not None and now_s > since_s + MOVING_S
 
-    def not_owner(self, ticket: Ticket, owner: Owner) -> None:
+    def report_not_owner(self, ticket: Ticket, owner: Owner) -> None:
         """Ask no more for a while: the holder does not have its grant yet."""
         table = self._tables.get(ticket.service)
         span = table.span_of(owner.shard) if table is not None else None
--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -11,7 +11,7 @@
 from ._header_codec import DefaultHeaderCodec, HeaderCodec, ServerRefusal
 from ._ports import (
     Admission,
-    Hedge,
+    HedgeCallback,
     Observer,
     Outcome,
     Owner,
@@ -31,7 +31,7 @@
     "ConnectionLimits",
     "DefaultHeaderCodec",
     "HeaderCodec",
-    "Hedge",
+    "HedgeCallback",
     "Observer",
     "Outcome",
     "Owner",
--- a/src/gentianwharf/relay/_exchange.py
+++ b/src/gentianwharf/relay/_exchange.py
@@ -155,7 +155,7 @@
             )
             self.refuse(FAULT)
         finally:
-            self._admission.forget(self.ticket)
+            self._admission.discard(self.ticket)
 
     def _cancelled(self) -> None:
         if self._shutdown_problem is None:
@@ -262,7 +262,7 @@
             server = await self._admission.admit(self.ticket, owner, self.hedge)
             self._waited_s = self._reactor.seconds() - self._begun_s
         else:
-            server = await self._admit_again(error, owner, self._server)
+            server = await self._admit_retry(error, owner, self._server)
         self._server = server
         return server
 
@@ -276,11 +276,11 @@
             return None
         return self._admission.server_for_key(self.ticket.service, self._repeat.key)
 
-    async def _admit_again(
+    async def _admit_retry(
         self, error: LegError, owner: BackendServer | None, avoid: BackendServer
     ) -> BackendServer:
         try:
-            return await self._admission.admit_again(
+            return await self._admission.admit_retry(
                 self.ticket, owner, self.hedge, after=error.outcome, avoid=avoid
             )
         except Problem as refusal:
@@ -312,7 +312,7 @@
             self._runs += lost_legs
         if error.outcome is Outcome.NOT_OWNER and self._owner is not None:
             self._misdirected += 1
-            self._ownership.not_owner(self.ticket, self._owner)
+            self._ownership.report_not_owner(self.ticket, self._owner)
 
     def _may_try_again(self, error: LegError) -> bool:
         if self._misdirected > MOST_MISDIRECTED or self._runs >= self._most_runs:
--- a/src/gentianwharf/relay/_ports.py
+++ b/src/gentianwharf/relay/_ports.py
@@ -93,18 +93,18 @@
     async def owner(self, ticket: Ticket) -> Owner:
         """Return the owner of the ticket's shard, waiting a bounded time for one."""
 
-    def not_owner(self, ticket: Ticket, owner: Owner) -> None:
+    def report_not_owner(self, ticket: Ticket, owner: Owner) -> None:
         """Note that a server refused the shard under this token."""
 
 
-Hedge = Callable[[BackendServer], None]
+HedgeCallback = Callable[[BackendServer], None]
 
 
 class Admission(Protocol):
     """Who is served now, by which server."""
 
     async def admit(
-        self, ticket: Ticket, owner: BackendServer | None, hedge: Hedge
+        self, ticket: Ticket, owner: BackendServer | None, hedge: HedgeCallback
     ) -> BackendServer:
         """Return the server to send to, after waiting if need be.
 
@@ -112,11 +112,11 @@
         send a late request to another server as well. Raises ``Problem`` when refused.
         """
 
-    async def admit_again(
+    async def admit_retry(
         self,
         ticket: Ticket,
         owner: BackendServer | None,
-        hedge: Hedge,
+        hedge: HedgeCallback,
         *,
         after: Outcome,
         avoid: BackendServer,
@@ -147,7 +147,7 @@
         ``elapsed_s`` is how long the answer took, None for a refusal.
         """
 
-    def forget(self, ticket: Ticket) -> None:
+    def discard(self, ticket: Ticket) -> None:
         """Forget a request that has had its final answer."""
 
 
--- a/tests/builders_relay.py
+++ b/tests/builders_relay.py
@@ -20,7 +20,7 @@
 from gentianwharf.relay import (
     CallerSite,
     ConnectionLimits,
-    Hedge,
+    HedgeCallback,
     Outcome,
     Owner,
     Problem,
@@ -133,18 +133,18 @@
         self.outcome_events: dict[Outcome, threading.Event] = {}
 
     async def admit(
-        self, ticket: Ticket, owner: BackendServer | None, hedge: Hedge
+        self, ticket: Ticket, owner: BackendServer | None, hedge: HedgeCallback
     ) -> BackendServer:
         """Return the next server in turn."""
         if self.hedge_after_s is not None:
             REACTOR.callLater(self.hedge_after_s, hedge, self.servers[-1])
         return owner or self.servers[len(self.outcomes) % len(self.servers)]
 
-    async def admit_again(
+    async def admit_retry(
         self,
         ticket: Ticket,
         owner: BackendServer | None,
-        hedge: Hedge,
+        hedge: HedgeCallback,
         *,
         after: Outcome,
         avoid: BackendServer,
@@ -176,7 +176,7 @@
     ) -> None:
         """Have no use for it."""
 
-    def forget(self, ticket: Ticket) -> None:
+    def discard(self, ticket: Ticket) -> None:
         """Have nothing to forget."""
 
 
@@ -197,7 +197,7 @@
             server=self.servers[0], shard=3, token=7, deadline_s=ticket.deadline_s
         )
 
-    def not_owner(self, ticket: Ticket, owner: Owner) -> None:
+    def report_not_owner(self, ticket: Ticket, owner: Owner) -> None:
         """Give the shard to the next server."""
         self.refused += 1
         self.servers = self.servers[1:]
--- a/tests/test_admission_tickets.py
+++ b/tests/test_admission_tickets.py
@@ -69,5 +69,5 @@
     assert len(sent) == 2
     for serial, server in enumerate(sent, start=1):
         admission.finished(ticket(serial), server, Outcome.ANSWERED, 0.1)
-        admission.forget(ticket(serial))
+        admission.discard(ticket(serial))
     assert all(not one.in_flight for one in gate.snapshot().servers)
--- a/tests/test_entryhost_keys.py
+++ b/tests/test_entryhost_keys.py
@@ -89,7 +89,9 @@
     keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
     keys.hears_leader = lambda: True
     clock.advance(MOVING_S + 0.5)
-    keys.not_owner(ticket(), Owner(server=server("s2"), shard=5, token=2, deadline_s=9))
+    keys.report_not_owner(
+        ticket(), Owner(server=server("s2"), shard=5, token=2, deadline_s=9)
+    )
     asked = ask(keys)
     refused = []
     asked.addErrback(lambda failure: refused.append(failure.value))
@@ -132,7 +134,7 @@
     """An old refusal comes late and keeps callers from the holder of today."""
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 2, token=2)))
-    keys.not_owner(
+    keys.report_not_owner(
         ticket(), Owner(server=server("s1"), shard=5, token=token, deadline_s=9)
     )
     assert result(ask(keys)) is not None
--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -197,12 +197,12 @@
     def server(connection, head):  # type: ignore[no-untyped-def]
         connection.close()
 
-    async def admit_again(*_: object, **__: object) -> None:
+    async def admit_retry(*_: object, **__: object) -> None:
         waiting.set()
         await Deferred()
 
     with running_relay([server], deadline_ms=DEADLINE_MS) as relay:
-        relay.admission.admit_again = admit_again
+        relay.admission.admit_retry = admit_retry
         with relay.connect() as connection:
             connection.sendall(request(close=False))
             assert waiting.wait(HANG_S)
