--- a/src/gentianwharf/daemon/_daemon.py
+++ b/src/gentianwharf/daemon/_daemon.py
@@ -45,7 +45,7 @@
         self.parts = parts = Parts(settings=settings, reactor=reactor)
         self.on_end: Callable[[], None] = lambda: None
         self.shutdown = Shutdown(
-            drained=self,
+            target=self,
             clock=reactor,
             notice_s=settings.shutdown.balancer_notice_s,
             limit_s=settings.shutdown.drain_limit_s,
@@ -146,7 +146,7 @@
 
     # What a shutdown asks for.
 
-    def turn_unready(self) -> None:
+    def mark_unready(self) -> None:
         """Say to the balancer that no new requests are wanted."""
         parts = self.parts
         parts.relay.stopping = True
--- a/src/gentianwharf/daemon/_main.py
+++ b/src/gentianwharf/daemon/_main.py
@@ -73,7 +73,7 @@
 
 def _ask_to_stop(daemon: Daemon) -> None:
     # A signal may come in the middle of anything: the loop takes it up.
-    cast(Any, reactor).callFromThread(daemon.shutdown.ask)
+    cast(Any, reactor).callFromThread(daemon.shutdown.request_stop)
 
 
 def first_steps(settings: Settings) -> str:
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -85,7 +85,7 @@
         self._ticks = Ticks(reactor=reactor)
         agreed = settings.agreements
         self.shutdown = Shutdown(
-            drained=self,
+            target=self,
             clock=reactor,
             notice_s=NOTICE_S,
             limit_s=agreed.grace_period_s - STOP_MARGIN_S,
@@ -191,7 +191,7 @@
             if service.keyed
         )
 
-    def turn_unready(self) -> None:
+    def mark_unready(self) -> None:
         """Tell clients to use other hosts; somebody else should lead."""
         self._site.disable_keep_alive()
         self._control.resign(self.settings.agreements.grace_period_s)
--- a/src/gentianwharf/entryhost/_main.py
+++ b/src/gentianwharf/entryhost/_main.py
@@ -73,4 +73,4 @@
 
 def _ask_to_stop(host: EntryHost) -> None:
     # A signal may come in the middle of anything: the loop takes it up.
-    cast(Any, reactor).callFromThread(host.shutdown.ask)
+    cast(Any, reactor).callFromThread(host.shutdown.request_stop)
--- a/src/gentianwharf/lifecycle/_shutdown.py
+++ b/src/gentianwharf/lifecycle/_shutdown.py
@@ -32,10 +32,10 @@
     ENDED = "ended"
 
 
-class Drained(Protocol):
+class ShutdownTarget(Protocol):
     """What is shut down."""
 
-    def turn_unready(self) -> None:
+    def mark_unready(self) -> None:
         """Say to the balancer that no new requests are wanted."""
 
     def stop_accepting(self) -> None:
@@ -84,10 +84,10 @@
     """
 
     def __init__(
-        self, *, drained: Drained, clock: Any, notice_s: float, limit_s: float
+        self, *, target: ShutdownTarget, clock: Any, notice_s: float, limit_s: float
     ) -> None:
         self.phase = Phase.SERVING
-        self._drained = drained
+        self._target = target
         self._clock = clock
         self._notice_s = notice_s
         self._limit_s = limit_s
@@ -95,7 +95,7 @@
         self._calls: list[IDelayedCall] = []
         self._machine = _build(self)
 
-    def ask(self) -> None:
+    def request_stop(self) -> None:
         """Begin the shutdown; a second call ends it at once."""
         if self.phase is Phase.SERVING:
             self._machine.asked()
@@ -106,7 +106,7 @@
         """Turn unready and give the balancer its time."""
         self.phase = Phase.NOTICE
         log.info("shutdown: notice", extra={"notice_s": self._notice_s})
-        self._drained.turn_unready()
+        self._target.mark_unready()
         self._later(self._notice_s, self._machine.noticed)
         final_answers_s = self._limit_s - FINAL_ANSWERS_LEAD_S
         self._later(final_answers_s, self._machine.limit_approaching)
@@ -137,7 +137,7 @@
         self._end()
 
     def _hand_over_and_wait(self) -> None:
-        self._drained.hand_over(self._note_handed_over)
+        self._target.hand_over(self._note_handed_over)
         self._look()
 
     def _answer_in_flight(self) -> None:
@@ -151,22 +151,22 @@
                     "peer": "caller",
                 },
             )
-        self._drained.answer_in_flight()
+        self._target.answer_in_flight()
 
     def _end(self) -> None:
         self.phase = Phase.ENDED
         for call in self._calls:
             if call.active():
                 call.cancel()
-        self._drained.end()
+        self._target.end()
 
     def _look(self) -> None:
         if self.phase not in (Phase.DRAINING, Phase.ANSWERING):
             return
-        self._drained.stop_accepting()
+        self._target.stop_accepting()
         # An answer that is finished may still wait in its connection's buffer: the
         # process must not end before the connection has sent it and closed.
-        busy = self._in_flight() or self._drained.open_connections()
+        busy = self._in_flight() or self._target.open_connections()
         if not busy and self._handed_over:
             self._machine.emptied()
             return
@@ -176,7 +176,7 @@
         self._handed_over = True
 
     def _in_flight(self) -> list[str]:
-        return self._drained.in_flight()
+        return self._target.in_flight()
 
     def _later(self, delay_s: float, call: Callable[[], None]) -> None:
         self._calls.append(self._clock.callLater(delay_s, call))
--- a/tests/test_daemon_shutdown.py
+++ b/tests/test_daemon_shutdown.py
@@ -17,7 +17,7 @@
         self.events: list[str] = []
         self.hand_over_done: Callable[[], None] | None = None
 
-    def turn_unready(self) -> None:
+    def mark_unready(self) -> None:
         self.events.append("unready")
 
     def stop_accepting(self) -> None:
@@ -43,8 +43,8 @@
 
 def start(in_flight: list[str]) -> tuple[Process, Clock, Shutdown]:
     process, clock = Process(in_flight), Clock()
-    shutdown = Shutdown(drained=process, clock=clock, notice_s=5.0, limit_s=30.0)
-    shutdown.ask()
+    shutdown = Shutdown(target=process, clock=clock, notice_s=5.0, limit_s=30.0)
+    shutdown.request_stop()
     return process, clock, shutdown
 
 
@@ -113,7 +113,7 @@
     process, clock, shutdown = start(["stuck"])
     if again_after_s is not None:
         run_for(clock, again_after_s)
-        shutdown.ask()
+        shutdown.request_stop()
     else:
         run_for(clock, 29.8)
         assert "end" not in process.events
@@ -152,8 +152,8 @@
 def test_limit_within_the_notice_still_hands_over() -> None:
     """A limit shorter than the notice must not keep the process until it is killed."""
     process, clock = Process([]), Clock()
-    shutdown = Shutdown(drained=process, clock=clock, notice_s=5.0, limit_s=1.0)
-    shutdown.ask()
+    shutdown = Shutdown(target=process, clock=clock, notice_s=5.0, limit_s=1.0)
+    shutdown.request_stop()
     run_for(clock, 0.9)
     assert process.events == ["unready", "answer", "hand-over", "stop-accepting"]
     assert process.hand_over_done is not None
--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -23,13 +23,13 @@
 
 
 class DrainedRelay:
-    """Implements ``Drained`` for a relay and its callers' site."""
+    """Implements ``ShutdownTarget`` for a relay and its callers' site."""
 
     def __init__(self, relay: RunningRelay) -> None:
         self._app, self._site = relay.app, relay.site
         self.ended = threading.Event()
 
-    def turn_unready(self) -> None:
+    def mark_unready(self) -> None:
         self._site.disable_keep_alive()
 
     def stop_accepting(self) -> None:
@@ -56,9 +56,9 @@
 
 def begin_shutdown(relay: RunningRelay) -> Shutdown:
     shutdown = Shutdown(
-        drained=DrainedRelay(relay), clock=REACTOR, notice_s=0.1, limit_s=LIMIT_S
+        target=DrainedRelay(relay), clock=REACTOR, notice_s=0.1, limit_s=LIMIT_S
     )
-    in_reactor(shutdown.ask)
+    in_reactor(shutdown.request_stop)
     return shutdown
 
 
