--- a/src/gentianwharf/daemon/_daemon.py
+++ b/src/gentianwharf/daemon/_daemon.py
@@ -9,7 +9,7 @@
 from gentianwharf.admin import read_token
 from gentianwharf.collector import freeze_objects
 from gentianwharf.errors import GentianwharfError
-from gentianwharf.lifecycle import Shutdown, Ticks
+from gentianwharf.lifecycle import PeriodicCalls, Shutdown
 from gentianwharf.logs import log
 from gentianwharf.ownership import TICK_S
 from gentianwharf.relay import CallerSite, ConnectionLimits
@@ -69,7 +69,7 @@
         )
         self.site.noisy = False
         self._initial_rules = load_initial_rules(settings, directory=directory)
-        self._ticks = Ticks(reactor=reactor)
+        self._ticks = PeriodicCalls(reactor=reactor)
         self._callers_port: Any = None
         self._is_frozen = False
 
@@ -79,8 +79,8 @@
         listen(parts.reactor, parts.settings.host.admin_address, self.admin.site())
         parts.mesh.listen()
         self._ticks.every(TICK_S, self._tick)
-        gate = self._ticks.at(self._gate_interval_s, parts.admission.tick)
-        parts.relay.on_first_in_flight = gate.soon
+        gate = self._ticks.every_dynamic(self._gate_interval_s, parts.admission.tick)
+        parts.relay.on_first_in_flight = gate.reschedule
         self._ticks.every(RECORDER_TICK_S, parts.recorder.tick)
         self._ticks.every(REPORTS_TICK_S, parts.reports.tick)
         self._ticks.every(ALARMS_EVERY_S, self.state.update)
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -7,7 +7,7 @@
 from typing import Any, final
 
 from gentianwharf.admission import GateAdmission
-from gentianwharf.lifecycle import Phase, Shutdown, Ticks
+from gentianwharf.lifecycle import PeriodicCalls, Phase, Shutdown
 from gentianwharf.load import Gate
 from gentianwharf.logs import log
 from gentianwharf.platform import (
@@ -82,7 +82,7 @@
         self._control.on_hosts = self._note_hosts
         self._control.directory.on_change = self._follow_servers
         self._control.rules.on_change = self._follow_configuration
-        self._ticks = Ticks(reactor=reactor)
+        self._ticks = PeriodicCalls(reactor=reactor)
         agreed = settings.agreements
         self.shutdown = Shutdown(
             target=self,
@@ -152,8 +152,8 @@
         self._control.start()
         self._callers_port.start()
         self._ticks.every(CONTROL_TICK_S, self._control.tick)
-        gate = self._ticks.at(self._gate_interval_s, self._admission.tick)
-        self.relay.on_first_in_flight = gate.soon
+        gate = self._ticks.every_dynamic(self._gate_interval_s, self._admission.tick)
+        self.relay.on_first_in_flight = gate.reschedule
         self._ticks.every(SLOW_HEAD_CHECK_INTERVAL_S, self._site.refuse_slow_heads)
         log.info("started", extra={"host": self.settings.name})
 
--- a/src/gentianwharf/lifecycle/_ticks.py
+++ b/src/gentianwharf/lifecycle/_periodic.py
@@ -10,7 +10,7 @@
 
 
 @final
-class Repeated:
+class PeriodicCall:
     """One call at its interval, which it is asked for anew each time.
 
     A plain timer: ``LoopingCall`` builds and fires a ``Deferred`` each time, which
@@ -31,7 +31,7 @@
         self._due_s = self._reactor.seconds()
         self._run()
 
-    def soon(self) -> None:
+    def reschedule(self) -> None:
         """Let the next call come within the interval as it is asked for now."""
         if self._timer is None or not self._timer.active():
             return
@@ -64,26 +64,28 @@
 
 
 @final
-class Ticks:
+class PeriodicCalls:
     """Runs systems at their intervals on one loop."""
 
     def __init__(self, *, reactor: Any) -> None:
         self._reactor = reactor
         self._loops: list[LoopingCall] = []
-        self._repeated: list[Repeated] = []
+        self._periodic: list[PeriodicCall] = []
 
     def every(self, interval_s: float, system: Callable[[], None]) -> None:
         """Call ``system`` now and at each interval."""
-        self.at(lambda: interval_s, system)
+        self.every_dynamic(lambda: interval_s, system)
 
-    def at(
+    def every_dynamic(
         self, interval_s: Callable[[], float], system: Callable[[], None]
-    ) -> Repeated:
+    ) -> PeriodicCall:
         """Call ``system`` now and at the interval that ``interval_s`` returns."""
-        repeated = Repeated(reactor=self._reactor, interval_s=interval_s, call=system)
-        self._repeated.append(repeated)
-        repeated.start()
-        return repeated
+        periodic = PeriodicCall(
+            reactor=self._reactor, interval_s=interval_s, call=system
+        )
+        self._periodic.append(periodic)
+        periodic.start()
+        return periodic
 
     def every_async(
         self, interval_s: float, call: Callable[[], Coroutine[Any, Any, None]]
@@ -104,8 +106,8 @@
 
     def stop(self) -> None:
         """Call nothing any more."""
-        for repeated in self._repeated:
-            repeated.stop()
+        for periodic in self._periodic:
+            periodic.stop()
         for loop in self._loops:
             if loop.running:
                 loop.stop()
--- a/tests/test_daemon_ticks.py
+++ b/tests/test_daemon_ticks.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.task import Clock
 
-from gentianwharf.lifecycle import Ticks
+from gentianwharf.lifecycle import PeriodicCalls
 
 # Exact in binary, so that the clock's sums are too.
 STEP_S = 1 / 64
@@ -17,7 +17,7 @@
     The loop that ran the ticks ended with the exception, and nothing was renewed.
     """
     clock = Clock()
-    ticks = Ticks(reactor=clock)
+    ticks = PeriodicCalls(reactor=clock)
     at_s: list[float] = []
 
     def failing() -> None:
@@ -35,7 +35,7 @@
 def test_missed_ticks_of_a_busy_loop_are_left_out() -> None:
     """A host that was paused for a minute is busy with ticks alone when it returns."""
     clock = Clock()
-    ticks = Ticks(reactor=clock)
+    ticks = PeriodicCalls(reactor=clock)
     at_s: list[float] = []
     ticks.every(TICK_S, lambda: at_s.append(clock.seconds()))
     clock.advance(60.0)
@@ -49,13 +49,13 @@
     The gate ticks slowly at rest, and the next tick had been set long before.
     """
     clock = Clock()
-    ticks = Ticks(reactor=clock)
+    ticks = PeriodicCalls(reactor=clock)
     at_s: list[float] = []
     interval_s = IDLE_S
-    gate = ticks.at(lambda: interval_s, lambda: at_s.append(clock.seconds()))
+    gate = ticks.every_dynamic(lambda: interval_s, lambda: at_s.append(clock.seconds()))
     clock.advance(STEP_S)
     interval_s = BUSY_S
-    gate.soon()
+    gate.reschedule()
     clock.pump([STEP_S] * 6)
     assert at_s == [0.0, 3 * STEP_S, 5 * STEP_S, 7 * STEP_S]
     interval_s = IDLE_S
