--- a/src/gentianwharf/entryhost/_peers.py
+++ b/src/gentianwharf/entryhost/_peers.py
@@ -109,7 +109,7 @@
             reactor=self._reactor,
             address=self.name.address,
             on_data=self._received,
-            most_bytes=MOST_BYTES,
+            max_bytes=MOST_BYTES,
         )
 
     def stop(self) -> None:
--- a/src/gentianwharf/links/_nng.py
+++ b/src/gentianwharf/links/_nng.py
@@ -75,12 +75,12 @@
         reactor: Any,
         address: str,
         on_data: Callable[[bytes], None],
-        most_bytes: int,
+        max_bytes: int,
     ) -> None:
         self._reactor = reactor
         self._on_data = on_data
         self._socket = pynng.Pull0(
-            recv_max_size=most_bytes, recv_buffer_size=RECEIVE_QUEUE
+            recv_max_size=max_bytes, recv_buffer_size=RECEIVE_QUEUE
         )
         self._socket.tcp_keepalive = True
         try:
--- a/src/gentianwharf/spread/_mesh.py
+++ b/src/gentianwharf/spread/_mesh.py
@@ -111,7 +111,7 @@
             reactor=self._reactor,
             address=self._host.peer_address,
             on_data=self.received_frame,
-            most_bytes=MOST_FRAME_BYTES,
+            max_bytes=MOST_FRAME_BYTES,
         )
 
     def set_peers(self, hosts: Iterable[Host], *, leaving: Iterable[Host] = ()) -> None:
--- a/tests/builders_store.py
+++ b/tests/builders_store.py
@@ -89,11 +89,11 @@
         reactor: object,
         address: str,
         on_data: Callable[[bytes], None],
-        most_bytes: int,
+        max_bytes: int,
     ) -> "LinkNetListener":
         """Hand what comes for an address to a host."""
         self.listeners[address] = on_data
-        self.most_bytes = most_bytes
+        self.most_bytes = max_bytes
         return LinkNetListener()
 
 
--- a/tests/test_links_listener.py
+++ b/tests/test_links_listener.py
@@ -30,7 +30,7 @@
     reactor = running_reactor()
     listener = in_reactor(
         lambda: NngListener(
-            reactor=reactor, address="127.0.0.1:0", on_data=read, most_bytes=1000
+            reactor=reactor, address="127.0.0.1:0", on_data=read, max_bytes=1000
         )
     )
     link = dial(listener.address.removeprefix("tcp://"))
@@ -75,7 +75,7 @@
         reactor.now_s += 0.3
 
     listener = NngListener(
-        reactor=reactor, address="127.0.0.1:0", on_data=read, most_bytes=1000
+        reactor=reactor, address="127.0.0.1:0", on_data=read, max_bytes=1000
     )
     link = dial(listener.address.removeprefix("tcp://"))
     sent = [b"first", b"second", b"third"]
