--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -7,7 +7,7 @@
 from typing import Any, final
 
 from gentianwharf.admission import GateAdmission
-from gentianwharf.lifecycle import Phase, Shutdown, Ticks
+from gentianwharf.lifecycle import PeriodicCalls, Phase, Shutdown
 from gentianwharf.load import Gate
 from gentianwharf.logs import log
 from gentianwharf.platform import (
@@ -16,11 +16,11 @@
     PlatformDialect,
 )
 from gentianwharf.relay import (
-    HEAD_SWEEP_S,
+    SLOW_HEAD_CHECK_INTERVAL_S,
     CallerSite,
     ConnectionLimits,
     RelayApp,
-    ServerConnections,
+    ServerConnectionPool,
 )
 from gentianwharf.topology import BackendServer, Service
 
@@ -82,10 +82,10 @@
         self._control.on_hosts = self._note_hosts
         self._control.directory.on_change = self._follow_servers
         self._control.rules.on_change = self._follow_configuration
-        self._ticks = Ticks(reactor=reactor)
+        self._ticks = PeriodicCalls(reactor=reactor)
         agreed = settings.agreements
         self.shutdown = Shutdown(
-            drained=self,
+            target=self,
             clock=reactor,
             notice_s=NOTICE_S,
             limit_s=agreed.grace_period_s - STOP_MARGIN_S,
@@ -123,7 +123,7 @@
             keyed=self._control.keyed,
             reactor=reactor,
             rng=self._rng,
-            dialect=PlatformDialect(),
+            codec=PlatformDialect(),
         )
         self._site = CallerSite(
             resource=self.relay.resource(), reactor=reactor, limits=ConnectionLimits()
@@ -152,9 +152,9 @@
         self._control.start()
         self._callers_port.start()
         self._ticks.every(CONTROL_TICK_S, self._control.tick)
-        gate = self._ticks.at(self._gate_interval_s, self._admission.tick)
-        self.relay.on_first_in_flight = gate.soon
-        self._ticks.every(HEAD_SWEEP_S, self._site.refuse_slow_heads)
+        gate = self._ticks.every_dynamic(self._gate_interval_s, self._admission.tick)
+        self.relay.on_first_in_flight = gate.reschedule
+        self._ticks.every(SLOW_HEAD_CHECK_INTERVAL_S, self._site.refuse_slow_heads)
         log.info("started", extra={"host": self.settings.name})
 
     def _gate_interval_s(self) -> float:
@@ -191,15 +191,15 @@
             if service.keyed
         )
 
-    def turn_unready(self) -> None:
+    def mark_unready(self) -> None:
         """Tell clients to use other hosts; somebody else should lead."""
-        self._site.stop_keeping()
+        self._site.disable_keep_alive()
         self._control.resign(self.settings.agreements.grace_period_s)
 
     def stop_accepting(self) -> None:
         """Close the callers' port and idle connections."""
         self._callers_port.stop()
-        self._site.close_idle()
+        self._site.close_idle_connections()
 
     def in_flight(self) -> list[str]:
         """Return the ids of the requests that are being served."""
@@ -228,7 +228,7 @@
     def _note_hosts(self, hosts: int) -> None:
         self._gate.set_daemons(hosts)
         for pool in self.relay.connections.values():
-            pool.share_with(hosts)
+            pool.set_daemon_count(hosts)
 
     def _follow_configuration(self, configuration: Configuration) -> None:
         keyed = {name for name, one in configuration.services.items() if one.keyed}
@@ -243,7 +243,7 @@
             classes=[class_of(kind) for kind in configuration.kinds.values()],
         )
         if configuration.limits is not None:
-            self._site.take_limits(limits_of(configuration.limits))
+            self._site.apply_limits(limits_of(configuration.limits))
         self.relay.splitter.keep_only(
             frozenset(rule.name for rule in configuration.document.rules)
         )
@@ -265,10 +265,10 @@
             self._servers[server.id] = server
             pool = self.relay.connections.get(server.id)
             if pool is None:
-                pool = ServerConnections(server=server, reactor=self._reactor)
+                pool = ServerConnectionPool(server=server, reactor=self._reactor)
                 self.relay.connections[server.id] = pool
             else:
-                pool.follow(server)
-            pool.share_with(self._control.hosts)
+                pool.update_server(server)
+            pool.set_daemon_count(self._control.hosts)
         self._admission.set_servers(service, servers)
         self._control.note_servers(service)
--- a/src/gentianwharf/lifecycle/__init__.py
+++ b/src/gentianwharf/lifecycle/__init__.py
@@ -1,14 +1,14 @@
 """What a process runs on: its clock, its ticks and its graceful shutdown."""
 
 from ._clock import use_monotonic_time
-from ._shutdown import Drained, Phase, Shutdown
-from ._ticks import Repeated, Ticks
+from ._periodic import PeriodicCall, PeriodicCalls
+from ._shutdown import Phase, Shutdown, ShutdownTarget
 
 __all__ = [
-    "Drained",
+    "PeriodicCall",
+    "PeriodicCalls",
     "Phase",
-    "Repeated",
     "Shutdown",
-    "Ticks",
+    "ShutdownTarget",
     "use_monotonic_time",
 ]
--- a/src/gentianwharf/platform/_dialect.py
+++ b/src/gentianwharf/platform/_dialect.py
@@ -5,7 +5,7 @@
 from twisted.web._newclient import Response
 from twisted.web.http_headers import Headers
 
-from gentianwharf.relay import Owner, Remaining, ServerLoad, ServerRefusal, Ticket
+from gentianwharf.relay import Owner, RemainingTime, ServerLoad, ServerRefusal, Ticket
 from gentianwharf.topology import BackendServer
 
 # In Twisted's case.
@@ -30,23 +30,23 @@
         values = headers.getRawHeaders(ATTEMPT_ID)
         return values[0].decode("latin-1") if values else None
 
-    def time_left_s(self, headers: Headers) -> float | None:
+    def caller_timeout_s(self, headers: Headers) -> float | None:
         """Return for how long the client will wait, counted from now."""
         values = headers.getRawHeaders(DEADLINE_MS)
         if not values or not values[0].isdigit():
             return None
         return int(values[0]) / 1000
 
-    def is_passed_on(self, name: bytes) -> bool:
+    def is_forwarded(self, name: bytes) -> bool:
         """Pass every end-to-end header on."""
         return True
 
-    def sent_fields(
+    def request_fields(
         self,
         ticket: Ticket,
         server: BackendServer,
         owner: Owner | None,
-        time_left: Remaining,
+        remaining: RemainingTime,
     ) -> dict[bytes, list[bytes]]:
         """Return what is left of the time, and which server's life is meant.
 
@@ -54,11 +54,11 @@
         """
         return {
             ATTEMPT_ID: [ticket.request_id.encode("latin-1")],
-            DEADLINE_MS: [b"%d" % max(1, int(time_left.left_s * 1000))],
+            DEADLINE_MS: [b"%d" % max(1, int(remaining.duration_s * 1000))],
             EXPECTED_INSTANCE: [server.id.encode()],
         }
 
-    def echoed_id(self, headers: Headers) -> bytes | None:
+    def echoed_request_id(self, headers: Headers) -> bytes | None:
         """Return which attempt a server's answer belongs to."""
         values = headers.getRawHeaders(ATTEMPT_ID)
         return b", ".join(values) if values else None
