--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -13,7 +13,7 @@
 from gentianwharf.platform import (
     Configuration,
     HostSettings,
-    PlatformDialect,
+    PlatformHeaderCodec,
 )
 from gentianwharf.relay import (
     SLOW_HEAD_CHECK_INTERVAL_S,
@@ -123,7 +123,7 @@
             keyed=self._control.keyed,
             reactor=reactor,
             rng=self._rng,
-            codec=PlatformDialect(),
+            codec=PlatformHeaderCodec(),
         )
         self._site = CallerSite(
             resource=self.relay.resource(), reactor=reactor, limits=ConnectionLimits()
--- a/src/gentianwharf/platform/__init__.py
+++ b/src/gentianwharf/platform/__init__.py
@@ -10,7 +10,7 @@
     Unread,
     decode_configuration,
 )
-from ._dialect import PlatformDialect
+from ._header_codec import PlatformHeaderCodec
 from ._orders import ServerOrders
 from ._servers import (
     SERVERS_PREFIX,
@@ -38,7 +38,7 @@
     "Configuration",
     "ConfiguredService",
     "HostSettings",
-    "PlatformDialect",
+    "PlatformHeaderCodec",
     "PlatformStore",
     "RequestKind",
     "ServerEntry",
--- a/src/gentianwharf/platform/_dialect.py
+++ b/src/gentianwharf/platform/_header_codec.py
@@ -20,7 +20,7 @@
 
 
 @final
-class PlatformDialect:
+class PlatformHeaderCodec:
     """Spells what the relay tells its neighbours as the platform has it."""
 
     request_id_header = ATTEMPT_ID
--- a/src/gentianwharf/platform/_orders.py
+++ b/src/gentianwharf/platform/_orders.py
@@ -17,7 +17,7 @@
 from gentianwharf.http_agent import BytesBody, ip_agent
 from gentianwharf.keyspace import Grant, Holder, HolderEndedError, Release
 
-from ._dialect import EXPECTED_INSTANCE
+from ._header_codec import EXPECTED_INSTANCE
 from ._units import encode_time
 
 CONNECT_TIMEOUT_S = 0.5
