--- a/src/gentianwharf/entryhost/_entities.py
+++ b/src/gentianwharf/entryhost/_entities.py
@@ -40,9 +40,9 @@
     would refuse proper requests with 431, for good.
     """
     return ConnectionLimits(
-        most_head_bytes=limits.most_head_bytes,
-        most_headers=limits.most_head_bytes // LEAST_HEADER_BYTES,
-        most_body_bytes=limits.most_body_bytes,
+        most_head_bytes=limits.max_header_bytes,
+        most_headers=limits.max_header_bytes // LEAST_HEADER_BYTES,
+        most_body_bytes=limits.max_body_bytes,
         head_timeout_s=limits.head_timeout_s,
         idle_timeout_s=limits.idle_timeout_s,
     )
--- a/src/gentianwharf/platform/_config.py
+++ b/src/gentianwharf/platform/_config.py
@@ -59,8 +59,8 @@
 class CallerLimits:
     """What a caller may send, and how long it may take or stay idle."""
 
-    most_head_bytes: int
-    most_body_bytes: int
+    max_header_bytes: int
+    max_body_bytes: int
     head_timeout_s: float
     idle_timeout_s: float
 
@@ -272,8 +272,8 @@
 def _limits(raw: msgspec.Raw) -> CallerLimits:
     limits = msgspec.json.decode(raw, type=_Limits)
     return CallerLimits(
-        most_head_bytes=limits.max_header_bytes,
-        most_body_bytes=limits.max_body_bytes,
+        max_header_bytes=limits.max_header_bytes,
+        max_body_bytes=limits.max_body_bytes,
         head_timeout_s=decode_time_s(limits.header_timeout),
         idle_timeout_s=decode_time_s(limits.idle_timeout),
     )
--- a/src/gentianwharf/platform/_settings.py
+++ b/src/gentianwharf/platform/_settings.py
@@ -29,7 +29,7 @@
     address: str
     writes_per_s: float
     reads_per_s: float
-    least_lease_s: float
+    min_lease_s: float
 
 
 @final
@@ -159,7 +159,7 @@
             address=file.platform.address,
             writes_per_s=file.platform.writes_per_s,
             reads_per_s=file.platform.reads_per_s,
-            least_lease_s=decode_time_s(file.platform.min_ttl),
+            min_lease_s=decode_time_s(file.platform.min_ttl),
         ),
         bounds=Bounds(
             drain_timeout_s=bounds.time_s("drain-timeout"),
--- a/tests/test_relay_limits.py
+++ b/tests/test_relay_limits.py
@@ -27,8 +27,8 @@
 
 OPERATORS_LIMITS = limits_of(
     CallerLimits(
-        most_head_bytes=2_000,
-        most_body_bytes=1_000,
+        max_header_bytes=2_000,
+        max_body_bytes=1_000,
         head_timeout_s=3.0,
         idle_timeout_s=15.0,
     )
