--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -109,7 +109,7 @@
             rng=rng,
             campaign_delay_s=SMALL_STAND_BACK_S * max(0.0, 1.0 - settings.cores),
         )
-        timing = GrantTiming(longest_grant_s=settings.bounds.longest_grant_s)
+        timing = GrantTiming(longest_grant_s=settings.agreements.longest_grant_s)
         self._keeper = GrantManager(
             orders=ServerOrders(reactor=reactor), timing=timing, now_s=now_s
         )
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -83,7 +83,7 @@
         self._control.directory.on_change = self._follow_servers
         self._control.rules.on_change = self._follow_configuration
         self._ticks = PeriodicCalls(reactor=reactor)
-        agreed = settings.bounds
+        agreed = settings.agreements
         self.shutdown = Shutdown(
             target=self,
             clock=reactor,
@@ -194,7 +194,7 @@
     def mark_unready(self) -> None:
         """Tell clients to use other hosts; somebody else should lead."""
         self._site.disable_keep_alive()
-        self._control.resign(self.settings.bounds.grace_period_s)
+        self._control.resign(self.settings.agreements.grace_period_s)
 
     def stop_accepting(self) -> None:
         """Close the callers' port and idle connections."""
--- a/src/gentianwharf/platform/__init__.py
+++ b/src/gentianwharf/platform/__init__.py
@@ -20,7 +20,7 @@
 )
 from ._settings import (
     SETTINGS_PATH_VARIABLE,
-    Bounds,
+    Agreements,
     HostSettings,
     StoreLimits,
     decode_host_settings,
@@ -33,7 +33,7 @@
     "SERVERS_PREFIX",
     "SETTINGS_PATH_VARIABLE",
     "SHARDS",
-    "Bounds",
+    "Agreements",
     "CallerLimits",
     "Configuration",
     "ConfiguredService",
--- a/src/gentianwharf/platform/_settings.py
+++ b/src/gentianwharf/platform/_settings.py
@@ -34,7 +34,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Bounds:
+class Agreements:
     """What the operators expect of every host, as figures."""
 
     drain_timeout_s: float
@@ -73,7 +73,7 @@
     """How often a backend server renews its entry in the store."""
     first_start: bool
     store: StoreLimits
-    bounds: Bounds
+    agreements: Agreements
 
 
 class _Listen(msgspec.Struct):
@@ -141,7 +141,7 @@
 
 
 def _settings(file: _File) -> HostSettings:
-    bounds = _BoundTexts(file.bounds)
+    bounds = _Bounds(file.bounds)
     return HostSettings(
         name=file.node_name,
         ip=file.ip,
@@ -161,7 +161,7 @@
             reads_per_s=file.platform.reads_per_s,
             min_lease_s=decode_time_s(file.platform.min_ttl),
         ),
-        bounds=Bounds(
+        agreements=Agreements(
             drain_timeout_s=bounds.time_s("drain-timeout"),
             grace_period_s=bounds.time_s("grace-period"),
             rules_delay_s=bounds.time_s("config-apply"),
@@ -174,7 +174,7 @@
 
 
 @final
-class _BoundTexts:
+class _Bounds:
     """The list of ``name=value`` texts, by name."""
 
     def __init__(self, texts: Sequence[str]) -> None:
--- a/tests/test_entryhost_settings.py
+++ b/tests/test_entryhost_settings.py
@@ -29,7 +29,7 @@
     path = tmp_path / "boot.toml"
     path.write_text(SETTINGS.replace("grace-period=6s", "grace-period=9s"))
     reload_settings(host, path)
-    assert host.settings.bounds.grace_period_s == 9.0
+    assert host.settings.agreements.grace_period_s == 9.0
 
 
 @pytest.mark.parametrize("text", ["", "node-name = 7", "[["])
--- a/tests/test_users_platform_decoding.py
+++ b/tests/test_users_platform_decoding.py
@@ -39,8 +39,8 @@
     assert settings.domain == "lac"
     assert settings.domains == ("charguia", "lac")
     assert settings.heartbeat_interval_s == 0.87
-    assert settings.bounds.longest_grant_s == 10.0
-    assert settings.bounds.retry_budget_extra == 64
+    assert settings.agreements.longest_grant_s == 10.0
+    assert settings.agreements.retry_budget_extra == 64
     assert settings.store.min_lease_s == 1.0
 
 
