--- a/src/gentianwharf/platform/standin/__init__.py
+++ b/src/gentianwharf/platform/standin/__init__.py
@@ -8,14 +8,14 @@
 from ._rules import ADDED, KEYED, LOOK_UPS, POSTINGS, UNKEYED, UPLOADS, configuration
 from ._server import Run, ServerPlan, StandInServer
 from ._settings import CALLERS_PORT, settings_text
-from ._store import MOST_VALUE_BYTES, StandInStore
+from ._store import MAX_VALUE_BYTES, StandInStore
 
 __all__ = [
     "ADDED",
     "CALLERS_PORT",
     "KEYED",
     "LOOK_UPS",
-    "MOST_VALUE_BYTES",
+    "MAX_VALUE_BYTES",
     "POSTINGS",
     "UNKEYED",
     "UPLOADS",
--- a/src/gentianwharf/platform/standin/_store.py
+++ b/src/gentianwharf/platform/standin/_store.py
@@ -16,8 +16,8 @@
 from ._items import ConditionError, Items, UnknownLeaseError
 
 EXPIRE_EVERY_S = 0.05
-MOST_WAIT_MS = 30_000
-MOST_VALUE_BYTES = 1 << 20
+MAX_WAIT_MS = 30_000
+MAX_VALUE_BYTES = 1 << 20
 """What the sites of the users' platform set for a value of their stores."""
 
 STATUS_BAD = 400
@@ -102,7 +102,7 @@
     async def _watch(self, request: Request) -> bytes:
         prefix = _argument(request, "prefix")
         after = int(_argument(request, "after"))
-        wait_s = min(MOST_WAIT_MS, int(_argument(request, "wait-ms"))) / 1000
+        wait_s = min(MAX_WAIT_MS, int(_argument(request, "wait-ms"))) / 1000
         end_s = self._reactor.seconds() + wait_s
         while not self._changes(prefix, after):
             left_s = end_s - self._reactor.seconds()
@@ -126,7 +126,7 @@
             ),
             removals=wish.remove,
         )
-        if any(len(put.value) > MOST_VALUE_BYTES for put in change.puts):
+        if any(len(put.value) > MAX_VALUE_BYTES for put in change.puts):
             raise _Refusal(STATUS_BAD)
         try:
             return self._answer(revision=self._items.change(change))
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -14,7 +14,7 @@
 )
 from gentianwharf.platform import PlatformStore
 from gentianwharf.platform.standin import (
-    MOST_VALUE_BYTES,
+    MAX_VALUE_BYTES,
     Items,
     StandInStore,
     _store,
@@ -150,7 +150,7 @@
 
 
 def test_a_value_is_taken_up_to_its_bound(store: RunningStore) -> None:
-    longest = b"x" * MOST_VALUE_BYTES
+    longest = b"x" * MAX_VALUE_BYTES
     store.call(lambda: store.operators.change(put("op/config", longest)))
     assert store.call(lambda: store.hosts.item("op/config")).value == longest
     with pytest.raises(RefusedError, match="400"):
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -10,7 +10,7 @@
 from soak._rule_checks import late_rules, older_after_newer
 
 from gentianwharf.platform import decode_configuration
-from gentianwharf.platform.standin import MOST_VALUE_BYTES, configuration
+from gentianwharf.platform.standin import MAX_VALUE_BYTES, configuration
 
 ADDED = RulesVersion(number=5, sent_s=9.0, acknowledged_s=10.0)
 REMOVED = RulesVersion(number=8, sent_s=19.0, acknowledged_s=20.0)
@@ -157,5 +157,5 @@
 def test_the_longest_list_fits_into_a_value_of_the_store() -> None:
     paths = [f"/added-1000-{number}/" for number in range(MOST_RULES)]
     value = configuration(1000, added_paths=paths).value
-    assert len(value) <= MOST_VALUE_BYTES
+    assert len(value) <= MAX_VALUE_BYTES
     assert len(decode_configuration(value).document.rules) == MOST_RULES + 3
