--- a/src/gentianwharf/platform/_config.py
+++ b/src/gentianwharf/platform/_config.py
@@ -36,7 +36,7 @@
 UNREAD_SERVICE = "unread"
 """Stands in a rule whose treatment can't be read; no request is sent there."""
 
-MOST_REASON_CHARACTERS = 200
+MAX_REASON_CHARACTERS = 200
 
 STEP = "read-configuration"
 
@@ -266,7 +266,7 @@
 
 def _reason(error: Exception) -> str:
     """Return on one line, for the log, what a decoder said."""
-    return " ".join(str(error).split())[:MOST_REASON_CHARACTERS]
+    return " ".join(str(error).split())[:MAX_REASON_CHARACTERS]
 
 
 def _limits(raw: msgspec.Raw) -> CallerLimits:
--- a/src/gentianwharf/platform/_store.py
+++ b/src/gentianwharf/platform/_store.py
@@ -32,7 +32,7 @@
     Removal,
 )
 
-from ._store_answer import CALL_TIMEOUT_S, MOST_BODY_S, BodyReader, TimeLimit
+from ._store_answer import CALL_TIMEOUT_S, MAX_BODY_S, BodyReader, TimeLimit
 from ._units import decode_time_s, decode_value, encode_time, encode_value
 
 Body = TypeVar("Body")
@@ -228,7 +228,7 @@
             reactor=self._reactor,
             timeout_s=timeout_s,
             # What reads may bring a large value; all else is answered in a few bytes.
-            most_body_s=MOST_BODY_S if method == "GET" else 0.0,
+            max_body_s=MAX_BODY_S if method == "GET" else 0.0,
         )
         asked = Deferred.fromCoroutine(self._ask(method, path, query, body, limit))
         limit.start(asked)
--- a/src/gentianwharf/platform/_store_answer.py
+++ b/src/gentianwharf/platform/_store_answer.py
@@ -13,7 +13,7 @@
 """A store that is slow takes some tenths of a second; one that is silent gets another
 try on a new connection while most of what depends on it still holds."""
 
-MOST_BODY_S = 20.0
+MAX_BODY_S = 20.0
 """What a body may take that goes on arriving: the largest page, 1.4 MB as it travels,
 over half a megabit a second."""
 
@@ -26,10 +26,10 @@
     would be made again and again, and this host would never have what all others have.
     """
 
-    def __init__(self, *, reactor: Any, timeout_s: float, most_body_s: float) -> None:
+    def __init__(self, *, reactor: Any, timeout_s: float, max_body_s: float) -> None:
         self._reactor = reactor
         self._timeout_s = timeout_s
-        self._latest_s = reactor.seconds() + timeout_s + most_body_s
+        self._latest_s = reactor.seconds() + timeout_s + max_body_s
         self._timer: Any = None
 
     def start(self, asked: Deferred[Any]) -> None:
