--- a/src/gentianwharf/platform/standin/_items.py
+++ b/src/gentianwharf/platform/standin/_items.py
@@ -36,8 +36,10 @@
     >>> from gentianwharf.store import Put
     >>> items.change(Change(puts=(Put(key="a", value=b"1"),)))
     2
-    >>> [one.key for one in items.below("")], items.changes_after("", 1)[0].revision
-    (['a'], 2)
+    >>> [item.key for item in items.with_prefix("")]
+    ['a']
+    >>> items.changes_after("", 1)[0].revision
+    2
     """
 
     def __init__(self, *, now_s: Clock) -> None:
@@ -53,7 +55,7 @@
         """Return an item, None if there is none."""
         return self._items.get(key)
 
-    def below(self, prefix: str) -> list[Item]:
+    def with_prefix(self, prefix: str) -> list[Item]:
         """Return all items below a prefix, in the order of their keys."""
         found = [one for key, one in self._items.items() if key.startswith(prefix)]
         return sorted(found, key=lambda one: one.key)
--- a/src/gentianwharf/platform/standin/_store.py
+++ b/src/gentianwharf/platform/standin/_store.py
@@ -95,7 +95,9 @@
 
     @klein.route("/v1/kv-range", methods=["GET"])
     def _range(self, request: Request) -> bytes:
-        found = [_shown(one) for one in self._items.below(_argument(request, "prefix"))]
+        found = [
+            _shown(one) for one in self._items.with_prefix(_argument(request, "prefix"))
+        ]
         return self._answer(items=found, **{"has-more": False})
 
     @klein.route("/v1/kv-watch", methods=["GET"])
--- a/tests/builders_entryhost.py
+++ b/tests/builders_entryhost.py
@@ -50,7 +50,7 @@
         """Return what stands below a prefix."""
         await self._begin("items")
         page = Page(
-            items=tuple(self.items_.below(prefix)), revision=self.items_.revision
+            items=tuple(self.items_.with_prefix(prefix)), revision=self.items_.revision
         )
         await self._bring(page.items)
         return page
--- a/tests/test_entryhost_behind.py
+++ b/tests/test_entryhost_behind.py
@@ -142,7 +142,7 @@
     """Nothing shows that a host waits for news of a leader that leads no more."""
     fleet = Fleet(monkeypatch, hosts=3)
     fleet.run(4)
-    item = fleet.items.below("gentianwharf/leader")[0]
+    item = fleet.items.with_prefix("gentianwharf/leader")[0]
     assert {one.control.peers.followed_revision for one in fleet.hosts} == {
         item.revision
     }
--- a/tests/test_entryhost_outages.py
+++ b/tests/test_entryhost_outages.py
@@ -79,7 +79,7 @@
 
     def expected(self) -> list[str]:
         """Return the servers that the store lists."""
-        items = self.fleet.items.below("servers/")
+        items = self.fleet.items.with_prefix("servers/")
         return sorted(one.key.removeprefix("servers/") for one in items)
 
 
