--- a/src/gentianwharf/platform/__init__.py
+++ b/src/gentianwharf/platform/__init__.py
@@ -7,7 +7,7 @@
     Configuration,
     ConfiguredService,
     RequestKind,
-    Unread,
+    UnreadablePart,
     decode_configuration,
 )
 from ._header_codec import PlatformHeaderCodec
@@ -45,7 +45,7 @@
     "ServerOrders",
     "ServerState",
     "StoreLimits",
-    "Unread",
+    "UnreadablePart",
     "decode_configuration",
     "decode_host_settings",
     "decode_server_entry",
--- a/src/gentianwharf/platform/_config.py
+++ b/src/gentianwharf/platform/_config.py
@@ -79,7 +79,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Unread:
+class UnreadablePart:
     """A part of a configuration that this release can't read, and why."""
 
     part: str
@@ -102,7 +102,7 @@
     kinds: Mapping[str, RequestKind]
     limits: CallerLimits | None
     unread_rules: frozenset[str]
-    unread: tuple[Unread, ...]
+    unread: tuple[UnreadablePart, ...]
 
 
 # Bounds without which a rule can't be followed; the part that breaks one is unread.
@@ -189,7 +189,7 @@
 
     def __init__(self, config: _Config) -> None:
         self._config = config
-        self._unread: list[Unread] = []
+        self._unread: list[UnreadablePart] = []
         self._unread_rules: set[str] = set()
         self._kinds: dict[str, RequestKind] = {}
         self._services = self._read_services()
@@ -260,7 +260,7 @@
             return decode(written)
         except (msgspec.DecodeError, ValueError, ArithmeticError) as error:
             # A number too large for a time is an arithmetic error.
-            self._unread.append(Unread(part=part, reason=_reason(error)))
+            self._unread.append(UnreadablePart(part=part, reason=_reason(error)))
             return None
 
 
