--- a/src/gentianwharf/platform/standin/__init__.py
+++ b/src/gentianwharf/platform/standin/__init__.py
@@ -6,7 +6,7 @@
 
 from ._items import Items
 from ._rules import ADDED, KEYED, LOOK_UPS, POSTINGS, UNKEYED, UPLOADS, configuration
-from ._server import Run, ServerPlan, StandInServer
+from ._server import RequestRun, ServerSpec, StandInServer
 from ._settings import CALLERS_PORT, settings_text
 from ._store import MAX_VALUE_BYTES, StandInStore
 
@@ -20,8 +20,8 @@
     "UNKEYED",
     "UPLOADS",
     "Items",
-    "Run",
-    "ServerPlan",
+    "RequestRun",
+    "ServerSpec",
     "StandInServer",
     "StandInStore",
     "configuration",
--- a/src/gentianwharf/platform/standin/__main__.py
+++ b/src/gentianwharf/platform/standin/__main__.py
@@ -22,8 +22,8 @@
     LOOK_UPS,
     UNKEYED,
     Items,
-    Run,
-    ServerPlan,
+    RequestRun,
+    ServerSpec,
     StandInServer,
     StandInStore,
     configuration,
@@ -46,8 +46,10 @@
 
 def _serve_store(address: str, operators: str) -> None:
     items = Items(now_s=reactor.seconds)
-    for listens_on, is_open in ((address, False), (operators, True)):
-        store = StandInStore(items=items, reactor=reactor, is_open=is_open)
+    for listens_on, allow_reserved in ((address, False), (operators, True)):
+        store = StandInStore(
+            items=items, reactor=reactor, allow_reserved=allow_reserved
+        )
         _listen(listens_on, store.site())
 
     def expire() -> None:
@@ -58,15 +60,15 @@
     items.change(Change(puts=(configuration(1),)))
 
 
-def _serve_backend(plan: ServerPlan, store: str, seed: int) -> StandInServer:
-    server = StandInServer(plan=plan, reactor=reactor, rng=Random(seed))
-    _listen(plan.address, server.site())
+def _serve_backend(spec: ServerSpec, store: str, seed: int) -> StandInServer:
+    server = StandInServer(spec=spec, reactor=reactor, rng=Random(seed))
+    _listen(spec.address, server.site())
     client = PlatformStore(reactor=reactor, address=store)
-    Deferred.fromCoroutine(server.keep_listed(client))
+    Deferred.fromCoroutine(server.maintain_entry(client))
     return server
 
 
-def _print(run: Run) -> None:
+def _print(run: RequestRun) -> None:
     print(msgspec.json.encode(run).decode(), flush=True)
 
 
@@ -114,7 +116,7 @@
 
     """
     use_monotonic_time(reactor)
-    plan = ServerPlan(
+    spec = ServerSpec(
         id=server_id,
         service=service,
         address=address,
@@ -123,7 +125,7 @@
         work_s=work_ms / 1000,
         born_ms=int(time.time() * 1000),
     )
-    server = _serve_backend(plan, store, seed=plan.born_ms)
+    server = _serve_backend(spec, store, seed=spec.born_ms)
     server.listed_as = listed_as or address
     server.on_run = _print
     print("ready", flush=True)
@@ -137,7 +139,7 @@
     logs.configure(stream=sys.stderr, level="WARNING")
     _serve_store(DEMO_STORE, DEMO_OPERATORS)
     for number in range(DEMO_SERVERS):
-        plan = ServerPlan(
+        spec = ServerSpec(
             id=f"s{number}",
             service=(KEYED, UNKEYED)[number % 2],
             address=f"127.0.0.1:{8400 + number}",
@@ -146,7 +148,7 @@
             work_s=0.02,
             born_ms=1,
         )
-        _serve_backend(plan, DEMO_OPERATORS, seed=number)
+        _serve_backend(spec, DEMO_OPERATORS, seed=number)
     for number in range(DEMO_HOSTS):
         text = settings_text(
             name=f"host-{number}",
--- a/src/gentianwharf/platform/standin/_server.py
+++ b/src/gentianwharf/platform/standin/_server.py
@@ -34,7 +34,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Run:
+class RequestRun:
     """One request that a server ran, with its times."""
 
     server: str
@@ -47,7 +47,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ServerPlan:
+class ServerSpec:
     """What a stand-in server is like."""
 
     id: str
@@ -83,11 +83,11 @@
 
     isLeaf = True  # noqa: N815
 
-    def __init__(self, *, plan: ServerPlan, reactor: Any, rng: Random) -> None:
+    def __init__(self, *, spec: ServerSpec, reactor: Any, rng: Random) -> None:
         super().__init__()
-        self.plan = plan
-        self.listed_as = plan.address
-        self.on_run: Callable[[Run], None] = lambda run: None
+        self.spec = spec
+        self.listed_as = spec.address
+        self.on_run: Callable[[RequestRun], None] = lambda run: None
         self.state = ServerState.READY
         self._reactor = reactor
         self._rng = rng
@@ -105,7 +105,7 @@
 
     # What it says of itself.
 
-    async def keep_listed(self, store: Store) -> None:
+    async def maintain_entry(self, store: Store) -> None:
         """Renew its entry in the store for ever, whatever the store does."""
         lease_id = 0
         while True:
@@ -121,21 +121,21 @@
             await deferLater(self._reactor, HEARTBEAT_S)
 
     def _entry(self, lease_id: int) -> Put:
-        plan = self.plan
+        spec = self.spec
         self._sequence += 1
         entry = {
-            "service": plan.service,
+            "service": spec.service,
             "address": self.listed_as,
-            "zone": plan.domain,
+            "zone": spec.domain,
             "version": "v1",
-            "slots": plan.slots,
+            "slots": spec.slots,
             "state": self.state.value,
             "cold-remaining": encode_time(0.0),
             "sequence": self._sequence,
-            "born": plan.born_ms,
+            "born": spec.born_ms,
         }
         value = msgspec.json.encode(entry)
-        return Put(key=SERVERS_PREFIX + plan.id, value=value, lease_id=lease_id)
+        return Put(key=SERVERS_PREFIX + spec.id, value=value, lease_id=lease_id)
 
     # Orders.
 
@@ -147,7 +147,7 @@
         if path == b"/v1/release":
             return self._release(request)
         if path == b"/health":
-            request.setHeader(b"Instance-Id", self.plan.id.encode())
+            request.setHeader(b"Instance-Id", self.spec.id.encode())
             return b""
         self._take(request)
         return NOT_DONE_YET
@@ -177,7 +177,7 @@
         if order is None:
             return b""
         self._holds.release(order.first, order.last, token=order.fence)
-        request.setHeader(b"Handover", f"{self.plan.id}-{order.fence}".encode())
+        request.setHeader(b"Handover", f"{self.spec.id}-{order.fence}".encode())
         if not self._is_running(order):
             return b""
         self._releases.append((order, request))
@@ -195,7 +195,7 @@
 
     def _is_for_another(self, request: Request) -> bool:
         expected = request.getHeader("expected-instance")
-        return expected is not None and expected != self.plan.id
+        return expected is not None and expected != self.spec.id
 
     # Requests.
 
@@ -212,9 +212,9 @@
             self._refuse(work, STATUS_BAD)
         elif self._is_for_another(request) or not self._may_run(work):
             self._refuse(work, STATUS_ANOTHER)
-        elif len(self._running) < self.plan.slots:
+        elif len(self._running) < self.spec.slots:
             self._run(work)
-        elif len(self._waiting) < self.plan.slots * QUEUE_PER_SLOT:
+        elif len(self._waiting) < self.spec.slots * QUEUE_PER_SLOT:
             self._waiting.append(work)
         else:
             self._refuse(work, STATUS_FULL)
@@ -228,7 +228,7 @@
         work.begun_s = self._reactor.seconds()
         # A client's attempt that reaches a server twice is run twice, and seen.
         self._running[f"{work.request_id}/{work.begun_s}"] = work
-        delay_s = self.plan.work_s * self._rng.uniform(0.5, 1.5)
+        delay_s = self.spec.work_s * self._rng.uniform(0.5, 1.5)
         work.timer = self._reactor.callLater(delay_s, self._end, work)
 
     def _end(self, work: _Work) -> None:
@@ -237,7 +237,7 @@
         body = work.request_id.encode() + b" " + _content(work.request)[:64]
         request = self._headed(work)
         if is_whole:
-            request.setHeader(b"Response-Signature", self.plan.id.encode())
+            request.setHeader(b"Response-Signature", self.spec.id.encode())
         else:
             request.setResponseCode(STATUS_FAILED)
         request.write(body)
@@ -246,8 +246,8 @@
     def _finish_run(self, work: _Work, *, is_whole: bool) -> None:
         del self._running[f"{work.request_id}/{work.begun_s}"]
         self.on_run(
-            Run(
-                server=self.plan.id,
+            RequestRun(
+                server=self.spec.id,
                 request_id=work.request_id,
                 shard=work.shard,
                 begun_s=work.begun_s,
@@ -259,7 +259,7 @@
         self._run_next()
 
     def _run_next(self) -> None:
-        while self._waiting and len(self._running) < self.plan.slots:
+        while self._waiting and len(self._running) < self.spec.slots:
             work = self._waiting.popleft()
             if self._may_run(work):
                 self._run(work)
@@ -288,7 +288,7 @@
         request.finish()
 
     def _headed(self, work: _Work) -> Request:
-        load = f"{len(self._running)},{len(self._waiting)},{self.plan.slots}"
+        load = f"{len(self._running)},{len(self._waiting)},{self.spec.slots}"
         work.request.setHeader(b"Attempt-Id", work.request_id.encode())
         work.request.setHeader(b"Server-Load", load.encode())
         return work.request
--- a/src/gentianwharf/platform/standin/_store.py
+++ b/src/gentianwharf/platform/standin/_store.py
@@ -26,7 +26,7 @@
 STATUS_GONE = 410
 STATUS_CONDITION_FAILED = 412
 
-OTHERS_KEYS = (CONFIG_KEY.partition("/")[0] + "/", SERVERS_PREFIX)
+RESERVED_PREFIXES = (CONFIG_KEY.partition("/")[0] + "/", SERVERS_PREFIX)
 """What operators and servers write, and hosts may not."""
 
 
@@ -63,15 +63,15 @@
 class StandInStore:
     """Serves ``Items`` in the users' words.
 
-    ``is_open`` is for operators and servers: they may write every key.
+    ``allow_reserved`` is for operators and servers: they may write every key.
     """
 
     klein = Klein()
 
-    def __init__(self, *, items: Items, reactor: Any, is_open: bool) -> None:
+    def __init__(self, *, items: Items, reactor: Any, allow_reserved: bool) -> None:
         self._items = items
         self._reactor = reactor
-        self._is_open = is_open
+        self._allow_reserved = allow_reserved
         self._waiting: set[Deferred[None]] = set()
         items.listeners.append(self._wake)
 
@@ -118,7 +118,9 @@
     def _txn(self, request: Request) -> bytes:
         wish = _body(request, _Change)
         keys = [one.key for one in wish.puts] + list(wish.remove)
-        if not self._is_open and any(key.startswith(OTHERS_KEYS) for key in keys):
+        if not self._allow_reserved and any(
+            key.startswith(RESERVED_PREFIXES) for key in keys
+        ):
             raise _Refusal(STATUS_FORBIDDEN)
         change = Change(
             expected={one.key: one.revision for one in wish.expected},
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -13,12 +13,7 @@
     RefusedError,
 )
 from gentianwharf.platform import PlatformStore
-from gentianwharf.platform.standin import (
-    MAX_VALUE_BYTES,
-    Items,
-    StandInStore,
-    _store,
-)
+from gentianwharf.platform.standin import MAX_VALUE_BYTES, Items, StandInStore, _store
 from gentianwharf.store import (
     Change,
     HistoryGoneError,
@@ -38,11 +33,13 @@
         self.items = Items(now_s=lambda: self.now_s)
         self.reactor = running_reactor()
         self._ports: list[Any] = []
-        self.hosts: Store = in_reactor(lambda: self._client(is_open=False))
-        self.operators: Store = in_reactor(lambda: self._client(is_open=True))
+        self.hosts: Store = in_reactor(lambda: self._client(allow_reserved=False))
+        self.operators: Store = in_reactor(lambda: self._client(allow_reserved=True))
 
-    def _client(self, *, is_open: bool) -> PlatformStore:
-        store = StandInStore(items=self.items, reactor=self.reactor, is_open=is_open)
+    def _client(self, *, allow_reserved: bool) -> PlatformStore:
+        store = StandInStore(
+            items=self.items, reactor=self.reactor, allow_reserved=allow_reserved
+        )
         port = self.reactor.listenTCP(0, store.site(), interface="127.0.0.1")
         self._ports.append(port)
         address = f"127.0.0.1:{port.getHost().port}"
