--- a/tests/builders_platform.py
+++ b/tests/builders_platform.py
@@ -79,7 +79,7 @@
     return results[0]
 
 
-def now(coroutine: Coroutine[Any, Any, Result]) -> Result:
+def run_now(coroutine: Coroutine[Any, Any, Result]) -> Result:
     """Return the result of a coroutine that has nothing to wait for."""
     return result_of(Deferred.fromCoroutine(coroutine))
 
--- a/tests/test_daemon_keyed_servers.py
+++ b/tests/test_daemon_keyed_servers.py
@@ -14,7 +14,7 @@
 from gentianwharf.spread import Channel, PeerMesh
 from gentianwharf.spread._frames import FRAME_VERSION, Frame, FrameKind, encode_frame
 from gentianwharf.topology import BackendServer, Host
-from tests.builders_platform import now
+from tests.builders_platform import run_now
 
 SERVER = BackendServer(
     id="calendrier-1",
@@ -79,10 +79,10 @@
     for number in range(UNANSWERED_TO_SUSPECT):
         assert control.is_suspect(SERVER.id) is False, number
         with pytest.raises(OutcomeUnknownError):
-            now(control.report(SERVER))
+            run_now(control.report(SERVER))
     assert control.is_suspect(SERVER.id)
     inner.silent = False
-    now(control.report(SERVER))
+    run_now(control.report(SERVER))
     assert not control.is_suspect(SERVER.id)
 
 
@@ -99,13 +99,13 @@
 def test_draining_server_is_shown_as_leaving(by: str) -> None:
     inner = ScriptedControl()
     control = WatchedControl(control=inner)
-    now(control.report(SERVER))
+    run_now(control.report(SERVER))
     assert not control.is_draining(SERVER.id)
     if by == "drain":
-        now(control.drain(SERVER))
+        run_now(control.drain(SERVER))
     else:
         inner.draining = True
-        now(control.report(SERVER))
+        run_now(control.report(SERVER))
     assert control.is_draining(SERVER.id)
 
 
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -16,7 +16,7 @@
     VersionedValue,
 )
 
-from .builders_platform import HttpBench, MemoryBench, now
+from .builders_platform import HttpBench, MemoryBench, run_now
 
 DOWN = FaultKind.DOWN
 
@@ -73,7 +73,7 @@
 
 def _succeeds(store: FaultyStore) -> bool:
     try:
-        now(store.get("a"))
+        run_now(store.get("a"))
     except PeerUnavailableError:
         return False
     return True
@@ -81,17 +81,17 @@
 
 def test_silent_watch_ends_empty_though_something_changed() -> None:
     bench = MemoryBench(faults=(Fault(kind=FaultKind.SILENT_WATCH),))
-    now(bench.store.compare_and_swap("a", b"1", expected_revision=0))
+    run_now(bench.store.compare_and_swap("a", b"1", expected_revision=0))
     assert bench.run(bench.store.watch("a", after_revision=0, wait_s=5)) == []
 
 
 def test_late_answer_is_the_old_value() -> None:
     bench = MemoryBench()
-    now(bench.store.compare_and_swap("a", b"1", expected_revision=0))
+    run_now(bench.store.compare_and_swap("a", b"1", expected_revision=0))
     bench.store.faults.append(Fault(kind=FaultKind.ANSWER_LATE, delay_s=3))
     seen: list[VersionedValue | None] = []
     Deferred.fromCoroutine(bench.store.get("a")).addCallback(seen.append)
-    now(bench.inner.compare_and_swap("a", b"2", expected_revision=1))
+    run_now(bench.inner.compare_and_swap("a", b"2", expected_revision=1))
     bench.pass_time(3)
     assert [value and value.value for value in seen] == [b"1"]
 
@@ -100,10 +100,10 @@
     """A write is given up, and takes effect when its author believes it did not."""
     bench = MemoryBench(faults=(Fault(kind=FaultKind.EFFECT_LATE, delay_s=3),))
     with pytest.raises(OutcomeUnknownError):
-        now(bench.store.compare_and_swap("a", b"1", expected_revision=0))
-    assert now(bench.inner.get("a")) is None
+        run_now(bench.store.compare_and_swap("a", b"1", expected_revision=0))
+    assert run_now(bench.inner.get("a")) is None
     bench.pass_time(3)
-    assert now(bench.inner.get("a")) is not None
+    assert run_now(bench.inner.get("a")) is not None
 
 
 def test_watch_over_a_connection_gone_silent_ends() -> None:
--- a/tests/test_platform_hosts.py
+++ b/tests/test_platform_hosts.py
@@ -20,7 +20,7 @@
 )
 from gentianwharf.standin import StoreApp
 
-from .builders_platform import Loop, listed_host, now
+from .builders_platform import Loop, listed_host, run_now
 
 LAG_S = 3.0
 
@@ -32,7 +32,7 @@
         self.clock = Clock()
         self.memory = MemoryHostList(clock=self.clock, lag_s=LAG_S)
         self.hosts: HostList = self.memory
-        self.run: Callable[[Coroutine[Any, Any, Any]], Any] = now
+        self.run: Callable[[Coroutine[Any, Any, Any]], Any] = run_now
 
     def put(self, listed: ListedHost) -> None:
         """Change a line and wait until it shows."""
