--- a/src/gentianwharf/platform/_store_answer.py
+++ b/src/gentianwharf/platform/_store_response.py
@@ -69,22 +69,22 @@
     decode.
     """
 
-    def __init__(self, *, on_piece: Callable[[], None]) -> None:
+    def __init__(self, *, on_chunk: Callable[[], None]) -> None:
         self.done: Deferred[bytes] = Deferred(self._close)
-        self._on_piece = on_piece
-        self._pieces: list[bytes] = []
+        self._on_chunk = on_chunk
+        self._chunks: list[bytes] = []
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Keep a piece."""
-        self._pieces.append(data)
-        self._on_piece()
+        self._chunks.append(data)
+        self._on_chunk()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         """Hand the body on, or say why there is none."""
         if self.done.called:
             return
         if reason.check(ResponseDone, PotentialDataLoss):
-            self.done.callback(b"".join(self._pieces))
+            self.done.callback(b"".join(self._chunks))
         else:
             self.done.errback(reason)
 
--- a/src/gentianwharf/platform/standin/_holds.py
+++ b/src/gentianwharf/platform/standin/_held_shards.py
@@ -7,16 +7,16 @@
 
 
 @final
-class Holds:
+class HeldShards:
     """The highest token of each shard, and until when it is held.
 
-    >>> holds = Holds()
-    >>> holds.grant(0, 9, token=5, until_s=2.0), holds.holds(3, 1.0)
+    >>> shards = HeldShards()
+    >>> shards.grant(0, 9, token=5, until_s=2.0), shards.is_held(3, 1.0)
     (True, True)
-    >>> holds.release(2, 4, token=6)
-    >>> holds.holds(3, 1.0), holds.holds(5, 1.0), holds.holds(5, 2.0)
+    >>> shards.release(2, 4, token=6)
+    >>> shards.is_held(3, 1.0), shards.is_held(5, 1.0), shards.is_held(5, 2.0)
     (False, True, False)
-    >>> holds.grant(0, 9, token=5, until_s=4.0)
+    >>> shards.grant(0, 9, token=5, until_s=4.0)
     False
     """
 
@@ -39,6 +39,6 @@
             self._tokens[shard] = max(self._tokens[shard], token)
             self._until_s[shard] = 0.0
 
-    def holds(self, shard: int, now_s: float) -> bool:
+    def is_held(self, shard: int, now_s: float) -> bool:
         """Whether a request of a shard may run."""
         return now_s < self._until_s[shard]
--- a/src/gentianwharf/platform/standin/_server.py
+++ b/src/gentianwharf/platform/standin/_server.py
@@ -17,7 +17,7 @@
 from .._config import SHARD_HEADER
 from .._servers import SERVERS_PREFIX, ServerState
 from .._units import decode_time_s, encode_time
-from ._holds import Holds
+from ._held_shards import HeldShards
 
 HEARTBEAT_S = 0.8
 LEASE_HEARTBEATS = 3
@@ -91,7 +91,7 @@
         self.state = ServerState.READY
         self._reactor = reactor
         self._rng = rng
-        self._holds = Holds()
+        self._held_shards = HeldShards()
         self._running: dict[str, _Work] = {}
         self._waiting: deque[_Work] = deque()
         self._releases: list[tuple[_Grant, Request]] = []
@@ -166,7 +166,7 @@
         order = self._order(request)
         if order is not None:
             until_s = self._reactor.seconds() + decode_time_s(order.hold_time)
-            if not self._holds.grant(
+            if not self._held_shards.grant(
                 order.first, order.last, token=order.fence, until_s=until_s
             ):
                 request.setResponseCode(STATUS_STALE)
@@ -176,7 +176,7 @@
         order = self._order(request)
         if order is None:
             return b""
-        self._holds.release(order.first, order.last, token=order.fence)
+        self._held_shards.release(order.first, order.last, token=order.fence)
         request.setHeader(b"Handover", f"{self.spec.id}-{order.fence}".encode())
         if not self._is_running(order):
             return b""
@@ -220,7 +220,7 @@
             self._refuse(work, STATUS_FULL)
 
     def _may_run(self, work: _Work) -> bool:
-        return work.shard is None or self._holds.holds(
+        return work.shard is None or self._held_shards.is_held(
             work.shard, self._reactor.seconds()
         )
 
--- a/tests/test_users_platform_store.py
+++ b/tests/test_users_platform_store.py
@@ -12,7 +12,7 @@
 from gentianwharf.errors import OutcomeUnknownError
 from gentianwharf.platform import PlatformStore
 from gentianwharf.platform._store import RENEW_TIMEOUT_S
-from gentianwharf.platform._store_answer import CALL_TIMEOUT_S, BodyReader
+from gentianwharf.platform._store_response import CALL_TIMEOUT_S, BodyReader
 from gentianwharf.store import TELLING_PACE, Events, Page
 from tests.builders_transport import ProbedTransport
 
@@ -140,7 +140,7 @@
 
 def test_answer_without_a_length_ends_with_its_connection() -> None:
     """No host ever knows any rules where something before the store drops lengths."""
-    reader = BodyReader(on_piece=lambda: None)
+    reader = BodyReader(on_chunk=lambda: None)
     whole: list[bytes] = []
     reader.done.addCallback(whole.append)
     reader.dataReceived(b"{}")
