--- a/src/gentianwharf/platform/__init__.py
+++ b/src/gentianwharf/platform/__init__.py
@@ -1,4 +1,7 @@
-"""The users' platform: its names, formats and calls, decoded once into ours."""
+"""Adapters for the users' platform: formats, headers and clients.
+
+Data of the platform is decoded here into the router's own types.
+"""
 
 from ._config import (
     CONFIG_KEY,
--- a/src/gentianwharf/platform/_config.py
+++ b/src/gentianwharf/platform/_config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as it stands in the platform's store."""
+"""Decoding of the operators' configuration, which the platform's store holds."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -20,21 +20,21 @@
 from ._units import decode_time_s, decode_version
 
 CONFIG_KEY = "op/config"
-"""Holds the newest configuration in full."""
+"""Store key of the newest configuration, which is always complete."""
 
 SHARD_HEADER = "shard-key"
-"""Names the shard of a request to a service that is divided by key."""
+"""Request header that holds the shard number, for services that are sharded by key."""
 
 SHARD_KEY = DecodedKeySource(place=KeyPlace.HEADER, name=SHARD_HEADER, is_shard=True)
 
 SHARDS = 65_536
-"""How many shards the platform divides a service into."""
+"""Number of shards of each service that is sharded by key."""
 
 SAFE_KIND = "safe"
-"""Requests of this kind may run more than once; all others at most once."""
+"""Requests of this kind may run more than once; all others run at most once."""
 
-UNREAD_SERVICE = "unread"
-"""Stands in a rule whose treatment can't be read; no request is sent there."""
+UNREADABLE_SERVICE = "unread"
+"""Placeholder service of rules that can't be decoded; no request is sent to it."""
 
 MAX_REASON_CHARACTERS = 200
 
@@ -44,20 +44,20 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ConfiguredService:
-    """What the operators say of a service."""
+    """A service as the operators configured it."""
 
     name: str
     keyed: bool
     health_path: str
     connections: int
-    """What one server accepts from all hosts together."""
+    """Maximum number of connections to one server from all hosts together."""
     warm_up_s: float
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Size limits of callers' requests, and timeouts for heads and idle connections."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -68,7 +68,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestKind:
-    """How the requests of some rules are treated under load."""
+    """Deadline, priority and retry policy that the requests of some rules share."""
 
     name: str
     deadline_ms: int
@@ -80,7 +80,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UnreadablePart:
-    """A part of a configuration that this release can't read, and why."""
+    """A part of a configuration that this release can't decode, and the reason."""
 
     part: str
     reason: str
@@ -89,11 +89,11 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Configuration:
-    """One version of the operators' configuration, as the router's own rules.
+    """One version of the operators' configuration, decoded into the router's rules.
 
-    A rule whose treatment can't be read keeps its place in ``document``, so that its
-    requests meet no other rule; its name stands in ``unread_rules``. ``limits`` is
-    None when they can't be read.
+    A rule whose target can't be decoded stays in ``document``, so that its requests
+    don't match a later rule; ``unread_rules`` contains its name. ``limits`` is None
+    if the limits can't be decoded.
     """
 
     version: int
@@ -105,10 +105,10 @@
     unread: tuple[UnreadablePart, ...]
 
 
-# Bounds without which a rule can't be followed; the part that breaks one is unread.
+# A part with a value outside these ranges can't be applied and counts as unreadable.
 _Weight = Annotated[float, msgspec.Meta(ge=0)]
-_Rank = Annotated[int, msgspec.Meta(ge=0)]
-_Tries = Annotated[int, msgspec.Meta(gt=0)]
+_Priority = Annotated[int, msgspec.Meta(ge=0)]
+_Attempts = Annotated[int, msgspec.Meta(gt=0)]
 _Prefix = Annotated[str, msgspec.Meta(pattern="^/")]
 
 
@@ -117,8 +117,8 @@
     weight: _Weight
 
 
-class _Place(msgspec.Struct):
-    """Which requests a route is for."""
+class _RouteMatch(msgspec.Struct):
+    """The host and path prefix whose requests a route applies to."""
 
     host: str
     prefix: _Prefix
@@ -130,9 +130,9 @@
     kind: str
     timeout: str
     target_latency: str
-    # The rank of its requests; 0 is the highest.
-    priority: _Rank
-    max_attempts: _Tries
+    # 0 is the highest priority.
+    priority: _Priority
+    max_attempts: _Attempts
     service: str | None = None
     traffic_split: tuple[_Share, ...] = ()
 
@@ -152,7 +152,10 @@
 
 
 class _Config(msgspec.Struct):
-    """Its parts are decoded one by one, so that each costs only itself."""
+    """The outer structure; each part is decoded separately.
+
+    A part that can't be decoded then doesn't affect the others.
+    """
 
     version: str
     routes: dict[str, msgspec.Raw]
@@ -160,74 +163,81 @@
     limits: msgspec.Raw
 
 
-Written = TypeVar("Written")
+Encoded = TypeVar("Encoded")
 Part = TypeVar("Part")
 
 
 def decode_configuration(value: bytes) -> Configuration:
     """Return the configuration in an item's value.
 
-    The store has already acknowledged it to the operators: a part that can't be read
-    leaves all others in force. Raises ``InputError`` where that isn't safe:
-    without a version, or with a route that doesn't say which requests it is for.
+    The store has already acknowledged the configuration to the operators, so a part
+    that can't be decoded doesn't keep the others from being applied. Raises
+    ``InputError`` where that isn't safe: if the version is missing or malformed, or
+    if a route has no valid host and path prefix.
     """
     try:
         config = msgspec.json.decode(value, type=_Config)
-        return _Reader(config).configuration()
+        return _ConfigurationDecoder(config).configuration()
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        # Values nested too deeply to be read raise the last one.
+        # RecursionError is raised for values that are nested too deeply.
         raise InputError(
-            f"the configuration doesn't fit: {_reason(error)}; the one in force stays",
+            f"can't decode the configuration: {_summary(error)}; the current one stays"
+            " in force",
             step=STEP,
             peer=CONFIG_KEY,
         ) from error
 
 
 @final
-class _Reader:
-    """Reads one configuration and collects what it can't read."""
+class _ConfigurationDecoder:
+    """Decodes one configuration and collects the parts that can't be decoded."""
 
     def __init__(self, config: _Config) -> None:
         self._config = config
         self._unread: list[UnreadablePart] = []
         self._unread_rules: set[str] = set()
         self._kinds: dict[str, RequestKind] = {}
-        self._services = self._read_services()
+        self._services = self._decode_services()
 
     def configuration(self) -> Configuration:
         config = self._config
-        rules = tuple(self._rule(name, place) for name, place in self._places())
+        rules = tuple(
+            self._decode_rule(name, match) for name, match in self._route_matches()
+        )
         return Configuration(
             version=decode_version(config.version),
             document=DecodedRules(rules=rules),
             services=self._services,
             kinds=self._kinds,
-            limits=self._part("limits", config.limits, _limits),
+            limits=self._decode_part("limits", config.limits, _decode_limits),
             unread_rules=frozenset(self._unread_rules),
             unread=tuple(self._unread),
         )
 
-    def _places(self) -> list[tuple[str, _Place]]:
-        """Return the routes' names and places, in the order in which they match.
+    def _route_matches(self) -> list[tuple[str, _RouteMatch]]:
+        """Return the routes' names and conditions in matching order.
 
-        The first matching rule decides; among the routes of a host the platform wants
-        the longest prefix, so that one stands first.
+        The first rule that matches is applied. The platform requires the longest
+        matching prefix among the routes of a host, so longer prefixes come first.
         """
-        places = [
-            (name, msgspec.json.decode(raw, type=_Place))
+        matches = [
+            (name, msgspec.json.decode(raw, type=_RouteMatch))
             for name, raw in self._config.routes.items()
         ]
-        return sorted(places, key=lambda one: (-len(one[1].prefix), one[0]))
+        return sorted(matches, key=lambda match: (-len(match[1].prefix), match[0]))
 
-    def _read_services(self) -> dict[str, ConfiguredService]:
+    def _decode_services(self) -> dict[str, ConfiguredService]:
         services = {}
         for name, raw in self._config.services.items():
             part = f"services.{name}"
-            service = self._part(part, raw, _decode_service)
+            service = self._decode_part(part, raw, _decode_service)
             if service is None:
                 continue
-            # It only tunes how soon keys move: no reason to refuse requests.
-            warm_up_s = self._part(f"{part}.warm-up", service.warm_up, _time_s)
+            # The warm-up time only affects how soon keys move, so an invalid one does
+            # not make the service unusable.
+            warm_up_s = self._decode_part(
+                f"{part}.warm-up", service.warm_up, _decode_json_time_s
+            )
             services[name] = ConfiguredService(
                 name=name,
                 keyed=service.sharded,
@@ -237,39 +247,41 @@
             )
         return services
 
-    def _rule(self, name: str, place: _Place) -> DecodedRule:
-        then = self._part(f"routes.{name}", self._config.routes[name], self._target)
+    def _decode_rule(self, name: str, match: _RouteMatch) -> DecodedRule:
+        then = self._decode_part(
+            f"routes.{name}", self._config.routes[name], self._decode_target
+        )
         if then is None:
             self._unread_rules.add(name)
-            then = DecodedTarget(service=UNREAD_SERVICE)
-        when = DecodedCondition(host=place.host.lower(), path_prefix=place.prefix)
+            then = DecodedTarget(service=UNREADABLE_SERVICE)
+        when = DecodedCondition(host=match.host.lower(), path_prefix=match.prefix)
         return DecodedRule(name=name, when=when, then=then)
 
-    def _target(self, raw: msgspec.Raw) -> DecodedTarget:
+    def _decode_target(self, raw: msgspec.Raw) -> DecodedTarget:
         route = msgspec.json.decode(raw, type=_Route)
-        kind = _kind(route)
+        kind = _request_kind(route)
         target = _target(route, kind, self._services)
         self._kinds[kind.name] = kind
         return target
 
-    def _part(
-        self, part: str, written: Written, decode: Callable[[Written], Part]
+    def _decode_part(
+        self, part: str, encoded: Encoded, decode: Callable[[Encoded], Part]
     ) -> Part | None:
-        """Return what a part says, None where it can't be read."""
+        """Return a decoded part, or None and record it if it can't be decoded."""
         try:
-            return decode(written)
+            return decode(encoded)
         except (msgspec.DecodeError, ValueError, ArithmeticError) as error:
-            # A number too large for a time is an arithmetic error.
-            self._unread.append(UnreadablePart(part=part, reason=_reason(error)))
+            # ArithmeticError is raised for a number that is too large for a time.
+            self._unread.append(UnreadablePart(part=part, reason=_summary(error)))
             return None
 
 
-def _reason(error: Exception) -> str:
-    """Return on one line, for the log, what a decoder said."""
+def _summary(error: Exception) -> str:
+    """Return a decoder's message on one line and shortened, for the log."""
     return " ".join(str(error).split())[:MAX_REASON_CHARACTERS]
 
 
-def _limits(raw: msgspec.Raw) -> CallerLimits:
+def _decode_limits(raw: msgspec.Raw) -> CallerLimits:
     limits = msgspec.json.decode(raw, type=_Limits)
     return CallerLimits(
         max_header_bytes=limits.max_header_bytes,
@@ -279,12 +291,12 @@
     )
 
 
-def _kind(route: _Route) -> RequestKind:
+def _request_kind(route: _Route) -> RequestKind:
     deadline_ms = round(decode_time_s(route.timeout) * 1000)
     target_ms = round(decode_time_s(route.target_latency) * 1000)
     if deadline_ms <= 0 or target_ms <= 0:
         raise ValueError(
-            f"expected times above 0, got {route.timeout!r} and"
+            f"expected timeout and target-latency above 0, got {route.timeout!r} and"
             f" {route.target_latency!r}"
         )
     return RequestKind(
@@ -306,7 +318,7 @@
         raise ValueError("expected service or traffic-split, got neither")
     unknown = [name for name in names if name not in services]
     if unknown:
-        raise ValueError(f"expected services that are listed, got {unknown}")
+        raise ValueError(f"expected names of configured services, got {unknown}")
     keyed = any(services[name].keyed for name in names)
     return DecodedTarget(
         service=names[0],
@@ -324,7 +336,7 @@
     )
 
 
-def _time_s(raw: msgspec.Raw) -> float:
+def _decode_json_time_s(raw: msgspec.Raw) -> float:
     return decode_time_s(msgspec.json.decode(raw, type=str))
 
 
--- a/src/gentianwharf/platform/_header_codec.py
+++ b/src/gentianwharf/platform/_header_codec.py
@@ -1,4 +1,4 @@
-"""The headers by which clients, servers and hosts of the platform speak."""
+"""The request and response headers of the platform's clients, servers and hosts."""
 
 from typing import final
 
@@ -8,7 +8,7 @@
 from gentianwharf.relay import Owner, RemainingTime, ServerLoad, ServerRefusal, Ticket
 from gentianwharf.topology import BackendServer
 
-# In Twisted's case.
+# Capitalized as Twisted sends them.
 ATTEMPT_ID = b"Attempt-Id"
 DEADLINE_MS = b"Deadline-Ms"
 EXPECTED_INSTANCE = b"Expected-Instance"
@@ -21,24 +21,24 @@
 
 @final
 class PlatformHeaderCodec:
-    """Spells what the relay tells its neighbours as the platform has it."""
+    """Encodes and decodes the relay's metadata in the platform's headers."""
 
     request_id_header = ATTEMPT_ID
 
     def request_id(self, headers: Headers) -> str | None:
-        """Return the client's id of this attempt; each attempt has another one."""
+        """Return the client's id of this attempt; it differs for each attempt."""
         values = headers.getRawHeaders(ATTEMPT_ID)
         return values[0].decode("latin-1") if values else None
 
     def caller_timeout_s(self, headers: Headers) -> float | None:
-        """Return for how long the client will wait, counted from now."""
+        """Return for how many seconds from now the client will wait."""
         values = headers.getRawHeaders(DEADLINE_MS)
         if not values or not values[0].isdigit():
             return None
         return int(values[0]) / 1000
 
     def is_forwarded(self, name: bytes) -> bool:
-        """Pass every end-to-end header on."""
+        """Return True: every end-to-end header is forwarded."""
         return True
 
     def request_fields(
@@ -48,9 +48,10 @@
         owner: Owner | None,
         remaining: RemainingTime,
     ) -> dict[bytes, list[bytes]]:
-        """Return what is left of the time, and which server's life is meant.
+        """Return the headers with the attempt's id, remaining time and expected server.
 
-        An address may belong to another server by now; that one then refuses.
+        The address may have been reassigned to another server, which then refuses the
+        request because the expected instance is not its own id.
         """
         return {
             ATTEMPT_ID: [ticket.request_id.encode("latin-1")],
@@ -59,22 +60,22 @@
         }
 
     def echoed_request_id(self, headers: Headers) -> bytes | None:
-        """Return which attempt a server's answer belongs to."""
+        """Return the id of the attempt that a server's response belongs to."""
         values = headers.getRawHeaders(ATTEMPT_ID)
         return b", ".join(values) if values else None
 
     def refusal(self, response: Response) -> ServerRefusal | None:
-        """Return a server's word that it did not run the request."""
+        """Return the refusal if the server did not run the request, else None."""
         headers = response.headers
         if response.code != STATUS_NOT_OWNER and not headers.hasHeader(NOT_EXECUTED):
             return None
         return ServerRefusal(
             not_owner=response.code == STATUS_NOT_OWNER,
-            retry_after_s=_seconds(headers),
+            retry_after_s=_retry_after_s(headers),
         )
 
     def load(self, headers: Headers) -> ServerLoad | None:
-        """Return the server's running and waiting requests and its slots."""
+        """Return the numbers of running requests, queued requests and slots."""
         values = headers.getRawHeaders(SERVER_LOAD)
         parts = values[0].split(b",") if values else ()
         if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
@@ -83,11 +84,11 @@
         return ServerLoad(running=running, waiting=waiting, slots=slots)
 
     def retry_after(self, delay_s: float) -> bytes:
-        """Return seconds with a fraction, which the platform's clients read."""
+        """Return fractional seconds, which the platform's clients accept."""
         return b"%.3f" % max(0.0, delay_s)
 
 
-def _seconds(headers: Headers) -> float | None:
+def _retry_after_s(headers: Headers) -> float | None:
     values = headers.getRawHeaders(RETRY_AFTER)
     try:
         return float(values[0]) if values else None
--- a/src/gentianwharf/platform/_orders.py
+++ b/src/gentianwharf/platform/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers: which keys they hold, and for how long."""
+"""HTTP client for granting keys to backend servers and releasing them."""
 
 from typing import Any, final
 
@@ -21,43 +21,45 @@
 from ._units import encode_time
 
 CONNECT_TIMEOUT_S = 0.5
-IDLE_CONNECTION_S = 8.0
-"""Below the time after which servers close an idle connection (10 s)."""
+IDLE_TIMEOUT_S = 8.0
+"""Servers close a connection that has been idle for 10 s."""
 
-KEPT_CONNECTIONS = 2
-"""One for grants, which are given in turn, and one for the release beside them."""
+MAX_IDLE_CONNECTIONS = 2
+"""One for grants, which are sent one at a time, and one for a concurrent release."""
 
 STATUS_OK = 200
-STATUS_STALE = 409
+STATUS_STALE_TOKEN = 409
 """The server has seen a higher fencing token on one of the keys."""
 
-STATUS_ANOTHER = 421
-"""Another server than the one that is meant has the address."""
+STATUS_OTHER_SERVER = 421
+"""The address belongs to a server other than the expected one."""
 
 HANDOVER = "handover"
 
 
 @final
 class ServerOrders:
-    """Gives orders to backend servers over HTTP.
+    """Sends orders to backend servers over HTTP.
 
-    ``PeerUnavailableError``: the server did not get the order. ``RefusedError``: it
-    has seen a higher fencing token. ``HolderEndedError``: another server has the
-    address. ``OutcomeUnknownError``: it may carry the order out, perhaps seconds later.
+    The methods raise ``PeerUnavailableError`` if the server did not receive the order,
+    ``RefusedError`` if it has seen a higher fencing token, ``HolderEndedError`` if
+    another server has the address, ``PeerMismatchError`` for an unexpected status, and
+    ``OutcomeUnknownError`` if the server may carry the order out, perhaps seconds
+    later.
     """
 
     def __init__(self, *, reactor: Any) -> None:
         self._reactor = reactor
         pool = HTTPConnectionPool(reactor, persistent=True)
-        pool.maxPersistentPerHost = KEPT_CONNECTIONS
-        pool.cachedConnectionTimeout = IDLE_CONNECTION_S  # type: ignore[assignment]
+        pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
+        pool.cachedConnectionTimeout = IDLE_TIMEOUT_S  # type: ignore[assignment]
         pool.retryAutomatically = False
         self._agent = ip_agent(
             reactor=reactor, pool=pool, connect_timeout_s=CONNECT_TIMEOUT_S
         )
 
     async def grant(self, holder: Holder, grant: Grant, *, timeout_s: float) -> None:
-        """Give keys to a server, or renew what it has."""
+        """Grant keys to a server, or renew its grant."""
         body: dict[str, Any] = {
             "from": grant.first,
             "target": grant.last,
@@ -66,34 +68,36 @@
         }
         if grant.handover is not None:
             body["handover"] = grant.handover
-        await self._order(holder, "grant", body, timeout_s)
+        await self._send_order(holder, "grant", body, timeout_s)
 
     async def release(
         self, holder: Holder, release: Release, *, timeout_s: float
     ) -> str | None:
-        """Take keys back; returns what their next owner needs to serve them fast.
+        """Release keys; return the handover value for their next owner, if any.
 
-        The server takes no new work for them at once, and answers when the work that
-        was running has ended.
+        The next owner can serve the keys faster with that value. The server refuses
+        new requests for the keys at once, and responds when the running ones have
+        ended.
         """
         body = {
             "from": release.first,
             "target": release.last,
             "fence": release.token,
         }
-        headers = await self._order(holder, "release", body, timeout_s)
+        headers = await self._send_order(holder, "release", body, timeout_s)
         values = headers.getRawHeaders(HANDOVER)
         return values[0] if values else None
 
-    async def _order(
+    async def _send_order(
         self, holder: Holder, step: str, body: dict[str, Any], timeout_s: float
     ) -> Headers:
         address = holder.address
-        asked = Deferred.fromCoroutine(self._ask(holder, step, body))
-        # Cancelling resets the connection: what is still on its way is dropped there.
-        asked.addTimeout(timeout_s, self._reactor)
+        pending = Deferred.fromCoroutine(self._post(holder, step, body))
+        # Cancellation resets the connection, so the server discards an order that is
+        # still in transit.
+        pending.addTimeout(timeout_s, self._reactor)
         try:
-            status, headers = await asked
+            status, headers = await pending
         except (ConnectError, ConnectingCancelledError) as error:
             raise PeerUnavailableError(
                 f"can't connect: {type(error).__name__}", step=step, peer=address
@@ -104,23 +108,25 @@
                 step=step,
                 peer=address,
             ) from error
-        if status == STATUS_ANOTHER:
+        if status == STATUS_OTHER_SERVER:
             raise HolderEndedError(
-                f"another server has the address of {holder.server_id}",
+                f"the address of {holder.server_id} belongs to another server",
                 step=step,
                 peer=address,
             )
-        if status == STATUS_STALE:
+        if status == STATUS_STALE_TOKEN:
             raise RefusedError(
-                "the server has seen a higher token", step=step, peer=address
+                "the server has seen a higher fencing token", step=step, peer=address
             )
         if status != STATUS_OK:
             raise PeerMismatchError(
-                f"expected 200 or 409, got {status}", step=step, peer=address
+                f"expected status 200, 409 or 421, got {status}",
+                step=step,
+                peer=address,
             )
         return headers
 
-    async def _ask(
+    async def _post(
         self, holder: Holder, step: str, body: dict[str, Any]
     ) -> tuple[int, Headers]:
         response = await self._agent.request(
@@ -129,8 +135,8 @@
             Headers(
                 {
                     b"Content-Type": [b"application/json"],
-                    # The address may have passed to another server of the service,
-                    # which must not get its predecessor's keys.
+                    # The address may have been reassigned to another server of the
+                    # service, which must not receive its predecessor's keys.
                     EXPECTED_INSTANCE: [holder.server_id.encode()],
                 }
             ),
--- a/src/gentianwharf/platform/_servers.py
+++ b/src/gentianwharf/platform/_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers' entries in the platform's store."""
+"""Decoding of backend servers' entries in the platform's store."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,13 +10,13 @@
 from gentianwharf.errors import InputError
 
 SERVERS_PREFIX = "servers/"
-"""Below it each backend server keeps its own entry, by its id."""
+"""Key prefix of the entries; each backend server writes its own, under its id."""
 
 STEP = "read-server-entry"
 
 
 class ServerState(StrEnum):
-    """What a server says of itself."""
+    """A server's state as it reports it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -27,8 +27,8 @@
 class ServerEntry:
     """One backend server as it describes itself.
 
-    ``born_ms`` tells one life of a server from the next under the same id: a server
-    that was born again holds no keys and knows nothing of before.
+    ``born_ms`` distinguishes successive instances of a server under the same id. A
+    restarted server holds no keys and no state of the previous instance.
     """
 
     id: str
@@ -40,15 +40,16 @@
     state: ServerState
 
 
-# What is wider can't be passed on: the table of keys names a server's birth, and one
-# that could not be written would hold up every move of its service.
+# Larger integers can't be encoded. The ownership table contains a server's birth time,
+# and a table that can't be written would block every move of the server's service.
 _StoredInt = Annotated[int, msgspec.Meta(le=2**63 - 1)]
 
 
 class _Entry(msgspec.Struct):
-    """What hosts use of an entry. A field that none uses must not be read.
+    """The fields of an entry that hosts use.
 
-    An odd value of it would cost the server all of its requests.
+    Fields that hosts don't use must not be decoded: an unexpected value in one would
+    invalidate the entry, and the server would get no requests.
     """
 
     service: str
@@ -56,14 +57,15 @@
     zone: str
     slots: _StoredInt
     state: ServerState
-    # Not every platform of today sends it: then an id has one life only.
+    # Some platforms don't send it; each id then stands for one instance only.
     born: _StoredInt = 0
 
 
 def decode_server_entry(key: str, value: bytes) -> ServerEntry:
-    """Return the server that an item describes; raises ``InputError``.
+    """Return the server that an item describes.
 
-    Entries may come from other writers. One that can't be read names no server.
+    Raises ``InputError`` if the entry can't be decoded; it may come from a writer
+    other than a backend server.
     """
     try:
         entry = msgspec.json.decode(value, type=_Entry)
--- a/src/gentianwharf/platform/_settings.py
+++ b/src/gentianwharf/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives each process."""
+"""Decoding of the settings file that the platform provides to each process."""
 
 import tomllib
 from collections.abc import Mapping, Sequence
@@ -13,18 +13,17 @@
 from ._units import decode_time_s
 
 SETTINGS_PATH_VARIABLE = "GENTIANWHARF_NODE_FILE"
-"""Names the file in the environment of each process."""
+"""Environment variable with the path of the settings file."""
 
 STEP = "read-settings"
 
-
 BYTES_PER_MEGABIT = 125_000
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoreLimits:
-    """What the platform's store takes from all hosts together."""
+    """Rate limits of the platform's store for all hosts together, and lease limits."""
 
     address: str
     writes_per_s: float
@@ -35,27 +34,27 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Agreements:
-    """What the operators expect of every host, as figures."""
+    """Limits and timeouts that the operators require of every host."""
 
     drain_timeout_s: float
-    """A server that leaves gets no request later than this after it said so."""
+    """Time after a server starts draining within which requests may still be sent."""
     grace_period_s: float
     """From SIGTERM to SIGKILL."""
     rules_delay_s: float
-    """Rules are in force everywhere this long after they were accepted."""
+    """Time within which accepted rules must be in force on every host."""
     longest_grant_s: float
-    """A server takes no grant for longer than this."""
+    """Longest duration of a grant that servers accept."""
     retry_budget_ratio: float
-    """Repeated sends allowed for each request of a service, over all hosts."""
+    """Retries allowed per request of a service, over all hosts."""
     retry_budget_extra: float
-    """Repeated sends allowed besides in each window, over all hosts."""
+    """Additional retries allowed in each window, over all hosts."""
     retry_window_s: float
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostSettings:
-    """What a host learns about itself and its surroundings at its start."""
+    """A host's own identity and limits, and its environment, as read at its start."""
 
     name: str
     ip: str
@@ -66,11 +65,11 @@
     first_internal_port: int
     last_internal_port: int
     cores: float
-    """How much processor the host has; the platform takes the rest away."""
+    """CPU cores that the host may use; the platform throttles it above that."""
     link_bytes_per_s: float
-    """What the host's own link carries, each way."""
+    """Bandwidth of the host's own link in each direction."""
     heartbeat_interval_s: float
-    """How often a backend server renews its entry in the store."""
+    """Interval at which a backend server renews its entry in the store."""
     first_start: bool
     store: StoreLimits
     agreements: Agreements
@@ -83,7 +82,7 @@
 
 class _Platform(msgspec.Struct, rename="kebab"):
     address: str
-    # The full name of this field on the wire: ``writes-per-s``.
+    # ``writes-per-s`` in the file, since fields are renamed to kebab case.
     writes_per_s: float
     reads_per_s: float
     min_ttl: str = "1000ms"
@@ -106,7 +105,7 @@
     platform: _Platform
     bootstrap: bool = False
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    # Each is ``name=value``.
+    # Each item has the form ``name=value``.
     bounds: tuple[str, ...] = ()
 
 
@@ -116,7 +115,7 @@
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise InputError(
-            f"can't read the settings: {error}; name a readable file in"
+            f"can't read the settings: {error}; set the path of a readable file in"
             f" {SETTINGS_PATH_VARIABLE}",
             step=STEP,
             peer=str(path),
@@ -127,14 +126,15 @@
 def decode_host_settings(text: str, *, peer: str) -> HostSettings:
     """Return the settings in ``text``; ``peer`` names its origin in errors.
 
-    Fields that are not known are ignored: the platform may add some.
+    Unknown fields are ignored, since the platform may add some. Raises
+    ``InputError``.
     """
     try:
         file = msgspec.convert(tomllib.loads(text), _File)
         return _settings(file)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, ValueError) as error:
         raise InputError(
-            f"the settings don't fit: {error}; compare them with docs/OPERATIONS.md",
+            f"invalid settings: {error}; see docs/OPERATIONS.md for their format",
             step=STEP,
             peer=peer,
         ) from error
@@ -175,20 +175,20 @@
 
 @final
 class _Bounds:
-    """The list of ``name=value`` texts, by name."""
+    """Typed access to the list of ``name=value`` strings by name."""
 
     def __init__(self, texts: Sequence[str]) -> None:
         pairs = (text.partition("=") for text in texts)
         self._values: Mapping[str, str] = {name: value for name, _, value in pairs}
 
     def time_s(self, name: str) -> float:
-        return decode_time_s(self._text(name))
+        return decode_time_s(self._value(name))
 
     def number(self, name: str) -> float:
-        return float(self._text(name))
+        return float(self._value(name))
 
-    def _text(self, name: str) -> str:
+    def _value(self, name: str) -> str:
         value: Any = self._values.get(name)
         if value is None:
-            raise ValueError(f"bounds: expected '{name}=...', got none of that name")
+            raise ValueError(f"bounds: expected an item '{name}=...', got none")
         return str(value)
