--- a/src/gentianwharf/platform/_orders.py
+++ b/src/gentianwharf/platform/_orders.py
@@ -104,7 +104,7 @@
             ) from error
         except Exception as error:
             raise OutcomeUnknownError(
-                f"expected an answer within {timeout_s} s, got {type(error).__name__}",
+                f"expected a response within {timeout_s} s, got {type(error).__name__}",
                 step=step,
                 peer=address,
             ) from error
--- a/src/gentianwharf/platform/_store.py
+++ b/src/gentianwharf/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store: items, conditions, leases and watches over HTTP."""
+"""HTTP client of the platform's store: items, conditions, leases and watches."""
 
 import socket
 from collections.abc import Mapping
@@ -38,26 +38,27 @@
 Body = TypeVar("Body")
 
 RENEW_TIMEOUT_S = 0.7
-"""Of a lease's renewal: when its answer is lost another one must follow in time, and a
-store that is slow takes a quarter of a second."""
+"""Timeout of a lease renewal. If the response is lost, another renewal must follow
+while the lease still holds; a slow store takes a quarter of a second."""
 
 CONNECT_TIMEOUT_S = 0.6
-"""A cut-off store does not answer at all; the kernel repeats a lost packet only after
-about a second, and a new try comes sooner."""
+"""An unreachable store doesn't respond at all. The kernel retransmits a lost packet
+only after about a second; a new connection attempt is made sooner."""
 
 PAGE_TIMEOUT_S = 1.2
-"""Until a page of items begins to arrive. A host that is back from an outage reads them
-all, and has to have them within three seconds of its end."""
+"""Time until a page of items begins to arrive. After an outage a host reads all items,
+which must be complete within three seconds of the outage's end."""
 
 WATCH_GRACE_S = 1.0
-"""What an answer may take beyond the time that the watch was to wait: a store that is
-slow takes half a second."""
+"""Time that a response may take beyond the watch's own wait; a slow store takes half a
+second."""
 
-IDLE_CONNECTION_S = 10.0
-CONNECTIONS = 4
+IDLE_TIMEOUT_S = 10.0
+MAX_IDLE_CONNECTIONS = 4
 
-# A connection to the store may fall silent for good. A watch waits for many seconds
-# and would not notice: probes after a second without a byte end it within three.
+# A connection to the store may stop delivering data without being closed. A watch that
+# waits for many seconds would not detect that; keep-alive probes after an idle second
+# end such a connection within three seconds.
 KEEPALIVE = {
     socket.TCP_KEEPIDLE: 1,
     socket.TCP_KEEPINTVL: 1,
@@ -68,68 +69,70 @@
 STATUS_NOT_FOUND = 404
 STATUS_GONE = 410
 STATUS_CONDITION_FAILED = 412
-STATUS_TOO_MANY = 429
+STATUS_TOO_MANY_REQUESTS = 429
 STATUS_UNAVAILABLE = 503
 
 
 class _Item(msgspec.Struct):
     key: str
     revision: int
-    # Missing from the event of a removal.
+    # Absent from removal events.
     value: str | None = None
     lease: int = 0
     deleted: bool = False
 
 
-class _Range(msgspec.Struct, rename="kebab"):
+class _RangeResult(msgspec.Struct, rename="kebab"):
     items: tuple[_Item, ...]
     has_more: bool
-    # The store's revision when it answered.
+    # The store's revision at the time of the response.
     as_of: int
 
 
-class _Watch(msgspec.Struct, rename="kebab"):
+class _WatchResult(msgspec.Struct, rename="kebab"):
     events: tuple[_Item, ...]
     as_of: int
 
 
-class _Written(msgspec.Struct):
+class _ChangeResult(msgspec.Struct):
     revision: int
 
 
-class _Lease(msgspec.Struct):
-    # How long the lease lasts, as text with a unit.
+class _LeaseResult(msgspec.Struct):
+    # The duration of the lease, as a string with a unit.
     ttl_time: str
     lease: int = 0
 
 
 @final
 class PlatformStore:
-    """Calls to the store, each bounded in time.
+    """Makes calls to the store, each with a timeout.
 
-    ``PeerUnavailableError``: the store did nothing. ``OutcomeUnknownError``: the call
-    may have taken effect, or may still do so seconds later.
+    The methods raise ``PeerUnavailableError`` if the call had no effect, and
+    ``OutcomeUnknownError`` if it may have taken effect or may still do so seconds
+    later.
     """
 
     def __init__(self, *, reactor: Any, address: str) -> None:
         self.address = address
         self._reactor = reactor
         pool = HTTPConnectionPool(reactor, persistent=True)
-        pool.maxPersistentPerHost = CONNECTIONS
-        pool.cachedConnectionTimeout = IDLE_CONNECTION_S  # type: ignore[assignment]
-        # A repeated call may take effect twice; who calls knows which may repeat.
+        pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
+        pool.cachedConnectionTimeout = IDLE_TIMEOUT_S  # type: ignore[assignment]
+        # A repeated call may take effect twice; the caller decides which to repeat.
         pool.retryAutomatically = False
         self._agent = ip_agent(
             reactor=reactor,
             pool=pool,
             connect_timeout_s=CONNECT_TIMEOUT_S,
-            wrap=_ProbedEndpoint,
+            wrap=_KeepaliveEndpoint,
         )
 
     async def items(self, prefix: str) -> Page:
-        """Return all items below ``prefix``, as of the first page's revision.
+        """Return all items below ``prefix`` and the revision of the first page.
 
-        Pages are no snapshot: changes after the first revision come by a watch.
+        The pages are not a snapshot; a watch from that revision returns the changes
+        made in the meantime.
         """
         found: list[Item] = []
         after = ""
@@ -139,26 +142,27 @@
             body = await self._call(
                 "GET", "/v1/kv-range", query=query, timeout_s=PAGE_TIMEOUT_S
             )
-            page = self._decode("range", body, _Range)
-            found += [_item(one) for one in page.items]
+            page = self._decode("range", body, _RangeResult)
+            found += [_item(item) for item in page.items]
             revision = page.as_of if revision is None else revision
             if not page.has_more or not page.items:
                 return Page(items=tuple(found), revision=revision)
             after = page.items[-1].key
 
     async def item(self, key: str) -> Item | None:
-        """Return an item, None if there is none."""
+        """Return an item, or None if it doesn't exist."""
         try:
             body = await self._call("GET", "/v1/kv-key", query={"key": key})
         except LeaseEndedError:
-            # The store's word for whatever it doesn't have.
+            # 404 stands for a missing item as well as for a missing lease.
             return None
         return _item(self._decode("item", body, _Item))
 
     async def watch(self, prefix: str, *, after_revision: int, wait_s: float) -> Events:
-        """Return what changes below ``prefix``, waiting for something to change.
+        """Return the changes below ``prefix``, waiting up to ``wait_s`` for one.
 
-        Raises ``HistoryGoneError`` when the items have to be read anew.
+        Raises ``HistoryGoneError`` if the store no longer has the changes since
+        ``after_revision``; the items must then be read again.
         """
         body = await self._call(
             "GET",
@@ -170,15 +174,20 @@
             },
             timeout_s=wait_s + WATCH_GRACE_S,
         )
-        watched = self._decode("watch", body, _Watch)
+        watched = self._decode("watch", body, _WatchResult)
         changes = tuple(
-            Removal(key=one.key, revision=one.revision) if one.deleted else _item(one)
-            for one in watched.events
+            Removal(key=event.key, revision=event.revision)
+            if event.deleted
+            else _item(event)
+            for event in watched.events
         )
         return Events(changes=changes, revision=watched.as_of)
 
     async def change(self, change: Change) -> int:
-        """Make a change and return its revision; ``ConflictError`` on a condition."""
+        """Apply a change and return its revision.
+
+        Raises ``ConflictError`` if one of its conditions doesn't hold.
+        """
         body = {
             "expected": [
                 {"key": key, "revision": revision}
@@ -194,24 +203,27 @@
             ],
             "remove": list(change.removals),
         }
-        answer = await self._call("POST", "/v1/kv-txn", body=body)
-        return self._decode("change", answer, _Written).revision
+        content = await self._call("POST", "/v1/kv-txn", body=body)
+        return self._decode("change", content, _ChangeResult).revision
 
     async def open_lease(self, duration_s: float) -> int:
-        """Open a lease that lasts ``duration_s`` from the arrival of the call."""
+        """Open a lease and return its id.
+
+        The duration is counted from the arrival of the call at the store.
+        """
         body = {"ttl_time": encode_time(duration_s)}
-        answer = await self._call("POST", "/v1/kv-lease", body=body)
-        return self._decode("lease", answer, _Lease).lease
+        content = await self._call("POST", "/v1/kv-lease", body=body)
+        return self._decode("lease", content, _LeaseResult).lease
 
     async def renew_lease(self, lease_id: int) -> float:
-        """Let a lease begin anew and return its duration in seconds."""
-        answer = await self._call(
+        """Renew a lease for its full duration and return that in seconds."""
+        content = await self._call(
             "POST", f"/v1/kv-keep/{lease_id}", body={}, timeout_s=RENEW_TIMEOUT_S
         )
-        return decode_time_s(self._decode("renew", answer, _Lease).ttl_time)
+        return decode_time_s(self._decode("renew", content, _LeaseResult).ttl_time)
 
     async def end_lease(self, lease_id: int) -> None:
-        """End a lease; its items go at once."""
+        """End a lease, which removes its items at once."""
         await self._call("DELETE", f"/v1/kv-lease-end/{lease_id}")
 
     async def _call(
@@ -227,28 +239,30 @@
         limit = TimeLimit(
             reactor=self._reactor,
             timeout_s=timeout_s,
-            # What reads may bring a large value; all else is answered in a few bytes.
+            # Reads may return large values; other responses have a few bytes.
             max_body_s=MAX_BODY_S if method == "GET" else 0.0,
         )
-        asked = Deferred.fromCoroutine(self._ask(method, path, query, body, limit))
-        limit.start(asked)
+        pending = Deferred.fromCoroutine(
+            self._request(method, path, query, body, limit)
+        )
+        limit.start(pending)
         try:
-            status, answer = await asked
+            status, content = await pending
         except (ConnectError, ConnectingCancelledError) as error:
             raise PeerUnavailableError(
                 f"can't connect: {type(error).__name__}", step=step, peer=self.address
             ) from error
         except Exception as error:
             raise OutcomeUnknownError(
-                f"expected an answer within {timeout_s} s, got {type(error).__name__}",
+                f"expected a response within {timeout_s} s, got {type(error).__name__}",
                 step=step,
                 peer=self.address,
             ) from error
         if status != STATUS_OK:
-            raise self._error(step, status, answer)
-        return answer
+            raise self._error(step, status, content)
+        return content
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         path: str,
@@ -270,66 +284,69 @@
         response.deliverBody(reader)
         return response.code, await reader.done
 
-    def _error(self, step: str, status: int, answer: bytes) -> GentianwharfError:
-        known: dict[int, type[GentianwharfError]] = {
+    def _error(self, step: str, status: int, content: bytes) -> GentianwharfError:
+        error_types: dict[int, type[GentianwharfError]] = {
             STATUS_NOT_FOUND: LeaseEndedError,
             STATUS_GONE: HistoryGoneError,
             STATUS_CONDITION_FAILED: ConflictError,
-            STATUS_TOO_MANY: PeerUnavailableError,
+            STATUS_TOO_MANY_REQUESTS: PeerUnavailableError,
             STATUS_UNAVAILABLE: PeerUnavailableError,
         }
-        kind = known.get(status, RefusedError)
-        text = answer[:200].decode("utf-8", "replace")
-        return kind(
-            f"the store answered {status}: {text}", step=step, peer=self.address
+        error_type = error_types.get(status, RefusedError)
+        text = content[:200].decode("utf-8", "replace")
+        return error_type(
+            f"the store responded with {status}: {text}", step=step, peer=self.address
         )
 
-    def _decode(self, step: str, body: bytes, kind: type[Body]) -> Body:
+    def _decode(self, step: str, body: bytes, body_type: type[Body]) -> Body:
         try:
-            return msgspec.json.decode(body, type=kind)
+            return msgspec.json.decode(body, type=body_type)
         except msgspec.DecodeError as error:
             raise OutcomeUnknownError(
-                f"the store's answer doesn't fit: {error}", step=step, peer=self.address
+                f"can't decode the store's response: {error}",
+                step=step,
+                peer=self.address,
             ) from error
 
 
-def _item(one: _Item) -> Item:
+def _item(item: _Item) -> Item:
     return Item(
-        key=one.key,
-        value=_value(one),
-        revision=one.revision,
-        lease_id=one.lease,
+        key=item.key,
+        value=_value(item),
+        revision=item.revision,
+        lease_id=item.lease,
     )
 
 
-def _value(one: _Item) -> bytes:
+def _value(item: _Item) -> bytes:
     try:
-        return decode_value(one.value or "")
+        return decode_value(item.value or "")
     except ValueError as error:
-        # Raised from here it would cost every other item of the answer, at each try.
-        # Without bytes the readers of this key refuse it, and use no older value.
+        # Raising here would discard the other items of the response on every attempt.
+        # An empty value is rejected by the readers of this key, which then don't use
+        # an older value either.
         log.error(
             "value can't be decoded: {}",
             error,
-            extra={"step": "read-value", "peer": one.key, "revision": one.revision},
+            extra={"step": "read-value", "peer": item.key, "revision": item.revision},
         )
         return b""
 
 
 @final
-class _ProbedEndpoint:
-    """Lets the kernel probe each connection that an endpoint makes."""
+class _KeepaliveEndpoint:
+    """Enables TCP keep-alive on each connection that an endpoint opens."""
 
     def __init__(self, endpoint: IStreamClientEndpoint) -> None:
         self._endpoint = endpoint
 
     def connect(self, factory: Any) -> Any:
-        """Connect, and turn probes on."""
-        connected: Any = self._endpoint.connect(factory)
-        return connected.addCallback(_probe)
+        """Connect and enable keep-alive probes."""
+        connecting: Any = self._endpoint.connect(factory)
+        return connecting.addCallback(_enable_keepalive)
 
 
-def _probe(protocol: Any) -> Any:
+def _enable_keepalive(protocol: Any) -> Any:
     transport = protocol.transport
     handle = transport.getHandle()
     handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/src/gentianwharf/platform/_store_response.py
+++ b/src/gentianwharf/platform/_store_response.py
@@ -1,4 +1,4 @@
-"""One answer of the platform's store, read within a limit of time."""
+"""Reading of one response of the platform's store within a time limit."""
 
 from collections.abc import Callable
 from typing import Any, final
@@ -10,48 +10,50 @@
 from twisted.web.http import PotentialDataLoss
 
 CALL_TIMEOUT_S = 2.0
-"""A store that is slow takes some tenths of a second; one that is silent gets another
-try on a new connection while most of what depends on it still holds."""
+"""A slow store takes some tenths of a second. If it doesn't respond, the call is
+retried on a new connection while most of what depends on it is still valid."""
 
 MAX_BODY_S = 20.0
-"""What a body may take that goes on arriving: the largest page, 1.4 MB as it travels,
-over half a megabit a second."""
+"""Time limit for a body that keeps arriving, enough for the largest page (1.4 MB when
+encoded) at half a megabit per second."""
 
 
 @final
 class TimeLimit:
-    """Ends a call that is silent for too long, but not one whose answer goes on.
+    """Cancels a call that receives no data for too long.
 
-    A large value takes seconds over a slow link. Ended after a fixed time the call
-    would be made again and again, and this host would never have what all others have.
+    A large value takes seconds over a slow link. With a fixed timeout the call would be
+    cancelled and repeated again and again, and this host would never get the value.
     """
 
     def __init__(self, *, reactor: Any, timeout_s: float, max_body_s: float) -> None:
         self._reactor = reactor
         self._timeout_s = timeout_s
-        self._latest_s = reactor.seconds() + timeout_s + max_body_s
+        self._end_s = reactor.seconds() + timeout_s + max_body_s
         self._timer: Any = None
 
-    def start(self, asked: Deferred[Any]) -> None:
-        """Begin to count a call's time, and cancel it when that is over.
+    def start(self, pending: Deferred[Any]) -> None:
+        """Start the timeout of a call, which is cancelled when it expires.
 
-        That closes the connection, so that a late answer meets nobody's call.
+        Cancellation closes the connection, so that a late response is not taken for
+        that of another call.
         """
-        if asked.called:
+        if pending.called:
             return
-        self._timer = self._reactor.callLater(self._timeout_s, asked.cancel)
-        asked.addBoth(self._stop)
+        self._timer = self._reactor.callLater(self._timeout_s, pending.cancel)
+        pending.addBoth(self._stop)
 
     def extend(self) -> None:
-        """Wait for the next piece of the body for as long as for a short answer.
+        """Restart the timeout when a chunk of the body has arrived.
 
-        That is less than a watch waits for its first piece.
+        The next chunk must arrive within the usual call timeout, which is shorter than
+        the time that a watch waits for its first chunk.
         """
         if self._timer is None or not self._timer.active():
             return
         now_s = self._reactor.seconds()
-        due_s = min(now_s + min(self._timeout_s, CALL_TIMEOUT_S), self._latest_s)
-        self._timer.reset(max(0.0, due_s - now_s))
+        deadline_s = min(now_s + min(self._timeout_s, CALL_TIMEOUT_S), self._end_s)
+        self._timer.reset(max(0.0, deadline_s - now_s))
 
     def _stop(self, result: Any) -> Any:
         if self._timer.active():
@@ -63,10 +65,10 @@
 
 @final
 class BodyReader(Protocol):
-    """Gathers a body and tells of each piece.
+    """Collects a response body and calls ``on_chunk`` for each chunk.
 
-    A body without a length ends with its connection; one that was cut off then doesn't
-    decode.
+    A body without a Content-Length ends when its connection closes. A truncated one is
+    detected when decoding it fails.
     """
 
     def __init__(self, *, on_chunk: Callable[[], None]) -> None:
@@ -75,12 +77,12 @@
         self._chunks: list[bytes] = []
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Keep a piece."""
+        """Store a chunk."""
         self._chunks.append(data)
         self._on_chunk()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Hand the body on, or say why there is none."""
+        """Fire ``done`` with the body, or with the failure that ended it."""
         if self.done.called:
             return
         if reason.check(ResponseDone, PotentialDataLoss):
@@ -89,8 +91,8 @@
             self.done.errback(reason)
 
     def _close(self, _: object) -> None:
-        # The rest of an answer that nobody waits for would fill the link beside the
-        # next one. The body's transport offers no abort.
+        # The rest of a cancelled response would compete with the next one for the link.
+        # The body's transport has no method to abort the connection.
         transport: Any = self.transport
         if transport is not None:
             transport.loseConnection()
--- a/src/gentianwharf/platform/_units.py
+++ b/src/gentianwharf/platform/_units.py
@@ -1,4 +1,4 @@
-"""Times, versions and values as the platform writes them."""
+"""Encoding of the platform's times, versions and values."""
 
 import re
 from base64 import b64decode, b64encode
@@ -9,22 +9,22 @@
 
 
 def decode_time_s(text: str) -> float:
-    """Return the seconds of a time, a number with the unit ``ms`` or ``s``.
+    """Return the seconds of a time, which is a number with the unit ``ms`` or ``s``.
 
     >>> decode_time_s("1500ms"), decode_time_s("2.5s")
     (1.5, 2.5)
     """
-    found = _TIME.fullmatch(text)
-    if found is None:
+    match = _TIME.fullmatch(text)
+    if match is None:
         raise ValueError(
             f"expected a time such as '1500ms' or '2.5s', got {text[:40]!r}"
         )
-    number, unit = found.groups()
+    number, unit = match.groups()
     return float(number) / 1000 if unit == "ms" else float(number)
 
 
 def encode_time(time_s: float) -> str:
-    """Return a time in whole milliseconds.
+    """Return a time as a string of whole milliseconds.
 
     >>> encode_time(4.0)
     '4000ms'
@@ -38,14 +38,14 @@
     >>> decode_version("r12")
     12
     """
-    found = _VERSION.fullmatch(text)
-    if found is None:
+    match = _VERSION.fullmatch(text)
+    if match is None:
         raise ValueError(f"expected a version such as 'r12', got {text[:40]!r}")
-    return int(found.group(1))
+    return int(match.group(1))
 
 
 def decode_value(text: str) -> bytes:
-    """Return the bytes of a stored value, which travels as padded base64."""
+    """Return the bytes of a stored value, which is encoded as padded base64."""
     try:
         return b64decode(text, validate=True)
     except Base64Error as error:
@@ -53,5 +53,5 @@
 
 
 def encode_value(value: bytes) -> str:
-    """Return a value as it travels to the store."""
+    """Return a value as padded base64, for the store."""
     return b64encode(value).decode("ascii")
