--- a/src/gentianwharf/platform/standin/__init__.py
+++ b/src/gentianwharf/platform/standin/__init__.py
@@ -1,7 +1,7 @@
 """Stand-ins for the users' platform: its store and its backend servers.
 
-For trials and tests on one machine. They speak the users' wire, so that an entry host
-runs there as it runs on the platform.
+For trials and tests on one machine. They implement the platform's HTTP interfaces, so
+an entry host runs against them as it runs on the platform.
 """
 
 from ._items import Items
--- a/src/gentianwharf/platform/standin/__main__.py
+++ b/src/gentianwharf/platform/standin/__main__.py
@@ -29,7 +29,7 @@
     configuration,
 )
 from ._settings import CALLERS_PORT, settings_text
-from ._store import EXPIRE_EVERY_S
+from ._store import EXPIRY_INTERVAL_S
 
 DEMO_STORE, DEMO_OPERATORS = "127.0.0.1:8384", "127.0.0.1:8385"
 DEMO_SERVERS = 6
@@ -54,7 +54,7 @@
 
     def expire() -> None:
         items.expire()
-        reactor.callLater(EXPIRE_EVERY_S, expire)
+        reactor.callLater(EXPIRY_INTERVAL_S, expire)
 
     expire()
     items.change(Change(puts=(configuration(1),)))
--- a/src/gentianwharf/platform/standin/_held_shards.py
+++ b/src/gentianwharf/platform/standin/_held_shards.py
@@ -1,4 +1,4 @@
-"""Which keys a stand-in server holds, by the orders that it got."""
+"""The shards that a stand-in server holds according to its grants and releases."""
 
 from array import array
 from typing import final
@@ -8,7 +8,7 @@
 
 @final
 class HeldShards:
-    """The highest token of each shard, and until when it is held.
+    """Stores the highest fencing token of each shard, and until when it is held.
 
     >>> shards = HeldShards()
     >>> shards.grant(0, 9, token=5, until_s=2.0), shards.is_held(3, 1.0)
@@ -25,7 +25,10 @@
         self._until_s = array("d", [0.0]) * SHARDS
 
     def grant(self, first: int, last: int, *, token: int, until_s: float) -> bool:
-        """Take shards, all of them or none; False when a higher token was seen."""
+        """Hold a range of shards until a time.
+
+        Return False and change nothing if a higher token was seen for one of them.
+        """
         if max(self._tokens[first : last + 1]) > token:
             return False
         count = last - first + 1
@@ -34,11 +37,11 @@
         return True
 
     def release(self, first: int, last: int, *, token: int) -> None:
-        """Give shards back, and take no lower token for them."""
+        """Release a range of shards, and refuse lower tokens for them from now on."""
         for shard in range(first, last + 1):
             self._tokens[shard] = max(self._tokens[shard], token)
             self._until_s[shard] = 0.0
 
     def is_held(self, shard: int, now_s: float) -> bool:
-        """Whether a request of a shard may run."""
+        """Return whether a request for a shard may run."""
         return now_s < self._until_s[shard]
--- a/src/gentianwharf/platform/standin/_items.py
+++ b/src/gentianwharf/platform/standin/_items.py
@@ -1,4 +1,4 @@
-"""The items, leases and history of a stand-in for the platform's store."""
+"""Items, leases and change history of a stand-in for the platform's store."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -6,18 +6,18 @@
 
 from gentianwharf.store import Change, Item, Removal
 
-HISTORY = 2000
-"""Changes that a watch may ask for; older ones are gone."""
+MAX_HISTORY = 2000
+"""Number of changes that are kept for watches; older ones are discarded."""
 
-Clock = Callable[[], float]
+TimeSource = Callable[[], float]
 
 
 class ConditionError(Exception):
-    """A change whose condition does not hold."""
+    """A condition of the change does not hold."""
 
 
 class UnknownLeaseError(Exception):
-    """A lease that was never opened, or is over."""
+    """The lease was never opened, or has ended."""
 
 
 @final
@@ -30,7 +30,7 @@
 
 @final
 class Items:
-    """A store in memory: every change has a revision, and some items end with a lease.
+    """An in-memory store with a revision for each change, and items bound to leases.
 
     >>> items = Items(now_s=lambda: 0.0)
     >>> from gentianwharf.store import Put
@@ -42,7 +42,7 @@
     2
     """
 
-    def __init__(self, *, now_s: Clock) -> None:
+    def __init__(self, *, now_s: TimeSource) -> None:
         self.revision = 1
         self.listeners: list[Callable[[], None]] = []
         self._now_s = now_s
@@ -52,29 +52,35 @@
         self._last_lease_id = 0
 
     def get(self, key: str) -> Item | None:
-        """Return an item, None if there is none."""
+        """Return an item, or None if it doesn't exist."""
         return self._items.get(key)
 
     def with_prefix(self, prefix: str) -> list[Item]:
-        """Return all items below a prefix, in the order of their keys."""
-        found = [one for key, one in self._items.items() if key.startswith(prefix)]
-        return sorted(found, key=lambda one: one.key)
+        """Return all items whose keys start with a prefix, sorted by key."""
+        found = [item for key, item in self._items.items() if key.startswith(prefix)]
+        return sorted(found, key=lambda item: item.key)
 
     def changes_after(self, prefix: str, revision: int) -> list[Item | Removal] | None:
-        """Return what changed below a prefix, None if that is no longer known."""
-        if len(self._history) == HISTORY and revision < self._history[0].revision - 1:
+        """Return the changes below a prefix, or None if the history is too short."""
+        if (
+            len(self._history) == MAX_HISTORY
+            and revision < self._history[0].revision - 1
+        ):
             return None
         return [
-            one
-            for one in self._history
-            if one.revision > revision and one.key.startswith(prefix)
+            change
+            for change in self._history
+            if change.revision > revision and change.key.startswith(prefix)
         ]
 
     def change(self, change: Change) -> int:
-        """Make a change whole, or raise ``ConditionError``; return its revision."""
+        """Apply a change atomically and return its revision.
+
+        Raises ``ConditionError`` or ``UnknownLeaseError``, and then changes nothing.
+        """
         for key, revision in change.expected.items():
-            known = self._items.get(key)
-            if (known.revision if known is not None else 0) != revision:
+            current = self._items.get(key)
+            if (current.revision if current is not None else 0) != revision:
                 raise ConditionError(key)
         for put in change.puts:
             if put.lease_id and put.lease_id not in self._leases:
@@ -89,11 +95,11 @@
             )
             self._put(item)
         self._remove(change.removals)
-        self._tell()
+        self._notify_listeners()
         return self.revision
 
     def open_lease(self, duration_s: float) -> int:
-        """Open a lease that lasts from now."""
+        """Open a lease that starts now, and return its id."""
         self._last_lease_id += 1
         until_s = self._now_s() + duration_s
         lease = _Lease(duration_s=duration_s, until_s=until_s)
@@ -101,7 +107,7 @@
         return self._last_lease_id
 
     def renew_lease(self, lease_id: int) -> float:
-        """Let a lease begin anew; return how long it lasts."""
+        """Renew a lease for its full duration, and return that in seconds."""
         lease = self._leases.get(lease_id)
         if lease is None:
             raise UnknownLeaseError(lease_id)
@@ -109,45 +115,49 @@
         return lease.duration_s
 
     def end_lease(self, lease_id: int) -> None:
-        """End a lease, and its items with it."""
+        """End a lease and remove its items."""
         lease = self._leases.pop(lease_id, None)
         if lease is None:
             raise UnknownLeaseError(lease_id)
         if lease.keys:
             self.revision += 1
             self._remove(sorted(lease.keys))
-            self._tell()
+            self._notify_listeners()
 
     def expire(self) -> None:
-        """End the leases whose time is over; to be called a few times a second."""
+        """End the expired leases; to be called a few times per second."""
         now_s = self._now_s()
-        over = [one for one, lease in self._leases.items() if lease.until_s <= now_s]
-        for lease_id in over:
+        expired = [
+            lease_id
+            for lease_id, lease in self._leases.items()
+            if lease.until_s <= now_s
+        ]
+        for lease_id in expired:
             self.end_lease(lease_id)
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self.listeners:
             listener()
 
     def _put(self, item: Item) -> None:
-        self._forget_lease(item.key)
+        self._detach_from_lease(item.key)
         self._items[item.key] = item
         if item.lease_id:
             self._leases[item.lease_id].keys.add(item.key)
-        self._remember(item)
+        self._append_to_history(item)
 
     def _remove(self, keys: Iterable[str]) -> None:
         for key in keys:
             if key in self._items:
-                self._forget_lease(key)
+                self._detach_from_lease(key)
                 del self._items[key]
-                self._remember(Removal(key=key, revision=self.revision))
+                self._append_to_history(Removal(key=key, revision=self.revision))
 
-    def _forget_lease(self, key: str) -> None:
-        known = self._items.get(key)
-        if known is not None and known.lease_id in self._leases:
-            self._leases[known.lease_id].keys.discard(key)
+    def _detach_from_lease(self, key: str) -> None:
+        item = self._items.get(key)
+        if item is not None and item.lease_id in self._leases:
+            self._leases[item.lease_id].keys.discard(key)
 
-    def _remember(self, change: Item | Removal) -> None:
+    def _append_to_history(self, change: Item | Removal) -> None:
         self._history.append(change)
-        del self._history[:-HISTORY]
+        del self._history[:-MAX_HISTORY]
--- a/src/gentianwharf/platform/standin/_rules.py
+++ b/src/gentianwharf/platform/standin/_rules.py
@@ -1,4 +1,4 @@
-"""Configurations as operators write them, for trials."""
+"""Configurations in the operators' format, for trials."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -13,15 +13,15 @@
 POSTINGS = "postings.example"
 UPLOADS = "uploads.example"
 ADDED = "added.example"
-"""Has no rule but for the paths that were added."""
+"""Host that has rules only for the added paths."""
 
 KEYED, UNKEYED = "calendar", "seats"
 
 
 def configuration(version: int, *, added_paths: Iterable[str] = ()) -> Put:
-    """Return a configuration with a service of each sort, to be written.
+    """Return a put of a configuration with a sharded and an unsharded service.
 
-    ``added_paths`` are served below the name ``ADDED``.
+    ``added_paths`` are served on the host ``ADDED``.
     """
     routes = {
         "look-ups": _route(LOOK_UPS, "safe", service=KEYED),
--- a/src/gentianwharf/platform/standin/_settings.py
+++ b/src/gentianwharf/platform/standin/_settings.py
@@ -1,4 +1,4 @@
-"""A host's settings file as the platform writes it, for trials on one machine."""
+"""A host's settings file in the platform's format, for trials on one machine."""
 
 CALLERS_PORT = 8381
 READINESS_PORT = 8388
@@ -6,7 +6,7 @@
 
 
 def settings_text(*, name: str, ip: str, domain: str, store: str) -> str:
-    """Return the settings of a host with an IP number of its own."""
+    """Return the settings of a host that has its own IP address."""
     return f"""\
 node-name = "{name}"
 role = "entry"
--- a/src/gentianwharf/platform/standin/_store.py
+++ b/src/gentianwharf/platform/standin/_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: the users' calls over ``Items``."""
+"""A stand-in for the platform's store, which serves ``Items`` over HTTP."""
 
 from typing import Any, final
 
@@ -15,19 +15,19 @@
 from .._units import decode_time_s, decode_value, encode_time, encode_value
 from ._items import ConditionError, Items, UnknownLeaseError
 
-EXPIRE_EVERY_S = 0.05
+EXPIRY_INTERVAL_S = 0.05
 MAX_WAIT_MS = 30_000
 MAX_VALUE_BYTES = 1 << 20
-"""What the sites of the users' platform set for a value of their stores."""
+"""The value size limit of the stores on the users' platform."""
 
-STATUS_BAD = 400
+STATUS_BAD_REQUEST = 400
 STATUS_FORBIDDEN = 403
 STATUS_NOT_FOUND = 404
 STATUS_GONE = 410
 STATUS_CONDITION_FAILED = 412
 
 RESERVED_PREFIXES = (CONFIG_KEY.partition("/")[0] + "/", SERVERS_PREFIX)
-"""What operators and servers write, and hosts may not."""
+"""Prefixes of keys that only operators and backend servers may write."""
 
 
 class _Expected(msgspec.Struct):
@@ -47,12 +47,12 @@
     remove: tuple[str, ...] = ()
 
 
-class _LeaseWish(msgspec.Struct):
+class _LeaseRequest(msgspec.Struct):
     ttl_time: str
 
 
-class _Refusal(Exception):  # noqa: N818
-    """A call that is answered with a status and no result."""
+class _Rejection(Exception):  # noqa: N818
+    """Rejects a call with an HTTP status and an empty result."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -61,9 +61,10 @@
 
 @final
 class StandInStore:
-    """Serves ``Items`` in the users' words.
+    """Serves ``Items`` over the HTTP interface of the platform's store.
 
-    ``allow_reserved`` is for operators and servers: they may write every key.
+    With ``allow_reserved`` calls may write every key; it is meant for operators and
+    backend servers.
     """
 
     klein = Klein()
@@ -72,17 +73,17 @@
         self._items = items
         self._reactor = reactor
         self._allow_reserved = allow_reserved
-        self._waiting: set[Deferred[None]] = set()
-        items.listeners.append(self._wake)
+        self._waiters: set[Deferred[None]] = set()
+        items.listeners.append(self._notify_waiters)
 
     def site(self) -> Site:
-        """Return what to listen with."""
+        """Return the HTTP site of the store."""
         site = Site(self.klein.resource(), reactor=self._reactor)
         site.noisy = False
         return site
 
-    @klein.handle_errors(_Refusal)  # type: ignore[arg-type]
-    def _refused(self, request: Request, failure: Any) -> bytes:
+    @klein.handle_errors(_Rejection)  # type: ignore[arg-type]
+    def _reject(self, request: Request, failure: Any) -> bytes:
         request.setResponseCode(failure.value.status)
         return b"{}"
 
@@ -90,15 +91,16 @@
     def _key(self, request: Request) -> bytes:
         item = self._items.get(_argument(request, "key"))
         if item is None:
-            raise _Refusal(STATUS_NOT_FOUND)
-        return self._answer(**_shown(item))
+            raise _Rejection(STATUS_NOT_FOUND)
+        return self._response_body(**_encode(item))
 
     @klein.route("/v1/kv-range", methods=["GET"])
     def _range(self, request: Request) -> bytes:
         found = [
-            _shown(one) for one in self._items.with_prefix(_argument(request, "prefix"))
+            _encode(item)
+            for item in self._items.with_prefix(_argument(request, "prefix"))
         ]
-        return self._answer(items=found, **{"has-more": False})
+        return self._response_body(items=found, **{"has-more": False})
 
     @klein.route("/v1/kv-watch", methods=["GET"])
     async def _watch(self, request: Request) -> bytes:
@@ -107,88 +109,90 @@
         wait_s = min(MAX_WAIT_MS, int(_argument(request, "wait-ms"))) / 1000
         end_s = self._reactor.seconds() + wait_s
         while not self._changes(prefix, after):
-            left_s = end_s - self._reactor.seconds()
-            if left_s <= 0:
+            remaining_s = end_s - self._reactor.seconds()
+            if remaining_s <= 0:
                 break
-            await self._wait(left_s)
-        changes = [_shown(one) for one in self._changes(prefix, after)]
-        return self._answer(events=changes)
+            await self._wait(remaining_s)
+        changes = [_encode(change) for change in self._changes(prefix, after)]
+        return self._response_body(events=changes)
 
     @klein.route("/v1/kv-txn", methods=["POST"])
     def _txn(self, request: Request) -> bytes:
-        wish = _body(request, _Change)
-        keys = [one.key for one in wish.puts] + list(wish.remove)
+        body = _body(request, _Change)
+        keys = [put.key for put in body.puts] + list(body.remove)
         if not self._allow_reserved and any(
             key.startswith(RESERVED_PREFIXES) for key in keys
         ):
-            raise _Refusal(STATUS_FORBIDDEN)
+            raise _Rejection(STATUS_FORBIDDEN)
         change = Change(
-            expected={one.key: one.revision for one in wish.expected},
+            expected={condition.key: condition.revision for condition in body.expected},
             puts=tuple(
-                Put(key=one.key, value=decode_value(one.value), lease_id=one.lease)
-                for one in wish.puts
+                Put(key=put.key, value=decode_value(put.value), lease_id=put.lease)
+                for put in body.puts
             ),
-            removals=wish.remove,
+            removals=body.remove,
         )
         if any(len(put.value) > MAX_VALUE_BYTES for put in change.puts):
-            raise _Refusal(STATUS_BAD)
+            raise _Rejection(STATUS_BAD_REQUEST)
         try:
-            return self._answer(revision=self._items.change(change))
+            return self._response_body(revision=self._items.change(change))
         except ConditionError:
             request.setResponseCode(STATUS_CONDITION_FAILED)
-            known = [self._items.get(key) for key in change.expected]
-            return self._answer(items=[_shown(one) for one in known if one])
+            current = [self._items.get(key) for key in change.expected]
+            return self._response_body(
+                items=[_encode(item) for item in current if item]
+            )
         except UnknownLeaseError as error:
-            raise _Refusal(STATUS_NOT_FOUND) from error
+            raise _Rejection(STATUS_NOT_FOUND) from error
 
     @klein.route("/v1/kv-lease", methods=["POST"])
     def _lease(self, request: Request) -> bytes:
-        duration_s = decode_time_s(_body(request, _LeaseWish).ttl_time)
+        duration_s = decode_time_s(_body(request, _LeaseRequest).ttl_time)
         lease_id = self._items.open_lease(duration_s)
-        return self._answer(lease=lease_id, ttl_time=encode_time(duration_s))
+        return self._response_body(lease=lease_id, ttl_time=encode_time(duration_s))
 
     @klein.route("/v1/kv-keep/<int:lease_id>", methods=["POST"])
     def _keep(self, request: Request, lease_id: int) -> bytes:
         try:
             duration_s = self._items.renew_lease(lease_id)
         except UnknownLeaseError as error:
-            raise _Refusal(STATUS_NOT_FOUND) from error
-        return self._answer(lease=lease_id, ttl_time=encode_time(duration_s))
+            raise _Rejection(STATUS_NOT_FOUND) from error
+        return self._response_body(lease=lease_id, ttl_time=encode_time(duration_s))
 
     @klein.route("/v1/kv-lease-end/<int:lease_id>", methods=["DELETE"])
     def _end(self, request: Request, lease_id: int) -> bytes:
         try:
             self._items.end_lease(lease_id)
         except UnknownLeaseError as error:
-            raise _Refusal(STATUS_NOT_FOUND) from error
-        return self._answer()
+            raise _Rejection(STATUS_NOT_FOUND) from error
+        return self._response_body()
 
     def _changes(self, prefix: str, after: int) -> list[Item | Removal]:
         changes = self._items.changes_after(prefix, after)
         if changes is None:
-            raise _Refusal(STATUS_GONE)
+            raise _Rejection(STATUS_GONE)
         return changes
 
-    async def _wait(self, longest_s: float) -> None:
-        waiting: Deferred[None] = Deferred()
-        self._waiting.add(waiting)
-        waiting.addTimeout(longest_s, self._reactor)
+    async def _wait(self, timeout_s: float) -> None:
+        waiter: Deferred[None] = Deferred()
+        self._waiters.add(waiter)
+        waiter.addTimeout(timeout_s, self._reactor)
         try:
-            await waiting
+            await waiter
         except defer.TimeoutError:
             return
         finally:
-            self._waiting.discard(waiting)
+            self._waiters.discard(waiter)
 
-    def _wake(self) -> None:
-        for waiting in list(self._waiting):
-            waiting.callback(None)
+    def _notify_waiters(self) -> None:
+        for waiter in list(self._waiters):
+            waiter.callback(None)
 
-    def _answer(self, **fields: Any) -> bytes:
+    def _response_body(self, **fields: Any) -> bytes:
         return msgspec.json.encode({**fields, "as-of": self._items.revision})
 
 
-def _shown(change: Item | Removal) -> dict[str, Any]:
+def _encode(change: Item | Removal) -> dict[str, Any]:
     if isinstance(change, Removal):
         return {"key": change.key, "revision": change.revision, "deleted": True}
     return {
@@ -202,15 +206,15 @@
 def _argument(request: Request, name: str) -> str:
     values = request.args.get(name.encode())
     if not values:
-        raise _Refusal(STATUS_BAD)
+        raise _Rejection(STATUS_BAD_REQUEST)
     return str(values[0].decode())
 
 
-def _body(request: Request, kind: Any) -> Any:
+def _body(request: Request, body_type: Any) -> Any:
     try:
-        return msgspec.json.decode(_content(request), type=kind)
+        return msgspec.json.decode(_content(request), type=body_type)
     except msgspec.DecodeError as error:
-        raise _Refusal(STATUS_BAD) from error
+        raise _Rejection(STATUS_BAD_REQUEST) from error
 
 
 def _content(request: Request) -> bytes:
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -192,12 +192,12 @@
 
     The whole answer is given up for it, each time that the store is asked.
     """
-    shown = _store._shown
+    shown = _store._encode
     store.call(lambda: store.hosts.change(put("own/a", b"1")))
     store.call(lambda: store.hosts.change(put("own/odd")))
     monkeypatch.setattr(
         _store,
-        "_shown",
+        "_encode",
         lambda one: shown(one) | ({"value": value} if one.key == "own/odd" else {}),
     )
     page = store.call(lambda: store.hosts.items("own/"))
