--- a/src/gentianwharf/platform/standin/__main__.py
+++ b/src/gentianwharf/platform/standin/__main__.py
@@ -46,11 +46,11 @@
 
 def _serve_store(address: str, operators: str) -> None:
     items = Items(now_s=reactor.seconds)
-    for listens_on, allow_reserved in ((address, False), (operators, True)):
+    for listen_address, allow_reserved in ((address, False), (operators, True)):
         store = StandInStore(
             items=items, reactor=reactor, allow_reserved=allow_reserved
         )
-        _listen(listens_on, store.site())
+        _listen(listen_address, store.site())
 
     def expire() -> None:
         items.expire()
@@ -68,7 +68,7 @@
     return server
 
 
-def _print(run: RequestRun) -> None:
+def _print_run(run: RequestRun) -> None:
     print(msgspec.json.encode(run).decode(), flush=True)
 
 
@@ -127,7 +127,7 @@
     )
     server = _serve_backend(spec, store, seed=spec.born_ms)
     server.listed_as = listed_as or address
-    server.on_run = _print
+    server.on_run = _print_run
     print("ready", flush=True)
     reactor.run()
 
--- a/src/gentianwharf/platform/standin/_server.py
+++ b/src/gentianwharf/platform/standin/_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server of the platform: slots, a queue and held keys."""
+"""A stand-in for a backend server, with request slots, a queue and held keys."""
 
 from collections import deque
 from collections.abc import Callable
@@ -21,21 +21,21 @@
 
 HEARTBEAT_S = 0.8
 LEASE_HEARTBEATS = 3
-"""Entries of silent servers go after so many of them."""
+"""Number of missed heartbeats after which a server's entry expires."""
 
 QUEUE_PER_SLOT = 4
 
-STATUS_BAD = 400
-STATUS_STALE = 409
-STATUS_ANOTHER = 421
-STATUS_FULL = 503
-STATUS_FAILED = 500
+STATUS_BAD_REQUEST = 400
+STATUS_STALE_TOKEN = 409
+STATUS_OTHER_SERVER = 421
+STATUS_UNAVAILABLE = 503
+STATUS_SERVER_ERROR = 500
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestRun:
-    """One request that a server ran, with its times."""
+    """A request that a server ran, with its start and end times."""
 
     server: str
     request_id: str
@@ -48,7 +48,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerSpec:
-    """What a stand-in server is like."""
+    """The properties of a stand-in server."""
 
     id: str
     service: str
@@ -69,7 +69,7 @@
     timer: Any = None
 
 
-class _Grant(msgspec.Struct, rename={"first": "from", "last": "target"}):
+class _Order(msgspec.Struct, rename={"first": "from", "last": "target"}):
     first: int
     last: int
     fence: int
@@ -79,7 +79,7 @@
 
 @final
 class StandInServer(Resource):
-    """One life of a backend server; ``on_run`` is told of all that it ran."""
+    """One instance of a backend server; calls ``on_run`` for each request it ran."""
 
     isLeaf = True  # noqa: N815
 
@@ -94,19 +94,19 @@
         self._held_shards = HeldShards()
         self._running: dict[str, _Work] = {}
         self._waiting: deque[_Work] = deque()
-        self._releases: list[tuple[_Grant, Request]] = []
+        self._releases: list[tuple[_Order, Request]] = []
         self._sequence = 0
 
     def site(self) -> Site:
-        """Return what to listen with."""
+        """Return the HTTP site of the server."""
         site = Site(self, reactor=self._reactor)
         site.noisy = False
         return site
 
-    # What it says of itself.
+    # The server's entry in the store.
 
     async def maintain_entry(self, store: Store) -> None:
-        """Renew its entry in the store for ever, whatever the store does."""
+        """Renew the server's entry in the store for ever, also after errors."""
         lease_id = 0
         while True:
             try:
@@ -116,7 +116,7 @@
                     await store.renew_lease(lease_id)
                 await store.change(Change(puts=(self._entry(lease_id),)))
             except Exception as error:
-                log.info("entry not renewed: {}", error)
+                log.info("can't renew the server entry: {}", error)
                 lease_id = 0
             await deferLater(self._reactor, HEARTBEAT_S)
 
@@ -137,10 +137,10 @@
         value = msgspec.json.encode(entry)
         return Put(key=SERVERS_PREFIX + spec.id, value=value, lease_id=lease_id)
 
-    # Orders.
+    # Grants and releases.
 
     def render(self, request: Request) -> Any:
-        """Carry out an order, or run a request."""
+        """Handle a grant, a release or a health check, or run a request."""
         path = request.path
         if path == b"/v1/grant":
             return self._grant(request)
@@ -149,31 +149,31 @@
         if path == b"/health":
             request.setHeader(b"Instance-Id", self.spec.id.encode())
             return b""
-        self._take(request)
+        self._accept(request)
         return NOT_DONE_YET
 
-    def _order(self, request: Request) -> _Grant | None:
-        if self._is_for_another(request):
-            request.setResponseCode(STATUS_ANOTHER)
+    def _decode_order(self, request: Request) -> _Order | None:
+        if self._expects_other_server(request):
+            request.setResponseCode(STATUS_OTHER_SERVER)
             return None
         try:
-            return msgspec.json.decode(_content(request), type=_Grant)
+            return msgspec.json.decode(_content(request), type=_Order)
         except msgspec.DecodeError:
-            request.setResponseCode(STATUS_BAD)
+            request.setResponseCode(STATUS_BAD_REQUEST)
             return None
 
     def _grant(self, request: Request) -> bytes:
-        order = self._order(request)
+        order = self._decode_order(request)
         if order is not None:
             until_s = self._reactor.seconds() + decode_time_s(order.hold_time)
             if not self._held_shards.grant(
                 order.first, order.last, token=order.fence, until_s=until_s
             ):
-                request.setResponseCode(STATUS_STALE)
+                request.setResponseCode(STATUS_STALE_TOKEN)
         return b""
 
     def _release(self, request: Request) -> Any:
-        order = self._order(request)
+        order = self._decode_order(request)
         if order is None:
             return b""
         self._held_shards.release(order.first, order.last, token=order.fence)
@@ -181,25 +181,27 @@
         if not self._is_running(order):
             return b""
         self._releases.append((order, request))
-        request.notifyFinish().addErrback(lambda _: self._forget(request))
+        request.notifyFinish().addErrback(lambda _: self._remove_release(request))
         return NOT_DONE_YET
 
-    def _forget(self, request: Request) -> None:
-        self._releases = [one for one in self._releases if one[1] is not request]
+    def _remove_release(self, request: Request) -> None:
+        self._releases = [
+            release for release in self._releases if release[1] is not request
+        ]
 
-    def _is_running(self, order: _Grant) -> bool:
+    def _is_running(self, order: _Order) -> bool:
         return any(
-            one.shard is not None and order.first <= one.shard <= order.last
-            for one in self._running.values()
+            work.shard is not None and order.first <= work.shard <= order.last
+            for work in self._running.values()
         )
 
-    def _is_for_another(self, request: Request) -> bool:
+    def _expects_other_server(self, request: Request) -> bool:
         expected = request.getHeader("expected-instance")
         return expected is not None and expected != self.spec.id
 
     # Requests.
 
-    def _take(self, request: Request) -> None:
+    def _accept(self, request: Request) -> None:
         request_id = request.getHeader("attempt-id") or ""
         shard = request.getHeader(SHARD_HEADER)
         work = _Work(
@@ -207,17 +209,17 @@
             request_id=request_id,
             shard=int(shard) if shard is not None else None,
         )
-        request.notifyFinish().addErrback(lambda _: self._drop(work))
+        request.notifyFinish().addErrback(lambda _: self._cancel(work))
         if not request_id:
-            self._refuse(work, STATUS_BAD)
-        elif self._is_for_another(request) or not self._may_run(work):
-            self._refuse(work, STATUS_ANOTHER)
+            self._refuse(work, STATUS_BAD_REQUEST)
+        elif self._expects_other_server(request) or not self._may_run(work):
+            self._refuse(work, STATUS_OTHER_SERVER)
         elif len(self._running) < self.spec.slots:
             self._run(work)
         elif len(self._waiting) < self.spec.slots * QUEUE_PER_SLOT:
             self._waiting.append(work)
         else:
-            self._refuse(work, STATUS_FULL)
+            self._refuse(work, STATUS_UNAVAILABLE)
 
     def _may_run(self, work: _Work) -> bool:
         return work.shard is None or self._held_shards.is_held(
@@ -226,20 +228,20 @@
 
     def _run(self, work: _Work) -> None:
         work.begun_s = self._reactor.seconds()
-        # A client's attempt that reaches a server twice is run twice, and seen.
+        # An attempt that reaches the server twice is run and reported twice.
         self._running[f"{work.request_id}/{work.begun_s}"] = work
         delay_s = self.spec.work_s * self._rng.uniform(0.5, 1.5)
-        work.timer = self._reactor.callLater(delay_s, self._end, work)
+        work.timer = self._reactor.callLater(delay_s, self._complete, work)
 
-    def _end(self, work: _Work) -> None:
+    def _complete(self, work: _Work) -> None:
         is_whole = self._may_run(work)
         self._finish_run(work, is_whole=is_whole)
         body = work.request_id.encode() + b" " + _content(work.request)[:64]
-        request = self._headed(work)
+        request = self._with_headers(work)
         if is_whole:
             request.setHeader(b"Response-Signature", self.spec.id.encode())
         else:
-            request.setResponseCode(STATUS_FAILED)
+            request.setResponseCode(STATUS_SERVER_ERROR)
         request.write(body)
         request.finish()
 
@@ -255,7 +257,7 @@
                 is_whole=is_whole,
             )
         )
-        self._tell_released()
+        self._finish_releases()
         self._run_next()
 
     def _run_next(self) -> None:
@@ -264,16 +266,16 @@
             if self._may_run(work):
                 self._run(work)
             else:
-                self._refuse(work, STATUS_ANOTHER)
+                self._refuse(work, STATUS_OTHER_SERVER)
 
-    def _tell_released(self) -> None:
+    def _finish_releases(self) -> None:
         for order, request in list(self._releases):
             if not self._is_running(order):
-                self._forget(request)
+                self._remove_release(request)
                 request.finish()
 
-    def _drop(self, work: _Work) -> None:
-        """Run no more of what nobody waits for."""
+    def _cancel(self, work: _Work) -> None:
+        """Cancel a queued or running request whose client has disconnected."""
         if work in self._waiting:
             self._waiting.remove(work)
         elif work.timer is not None and work.timer.active():
@@ -281,13 +283,13 @@
             self._finish_run(work, is_whole=False)
 
     def _refuse(self, work: _Work, status: int) -> None:
-        request = self._headed(work)
+        request = self._with_headers(work)
         request.setResponseCode(status)
         request.setHeader(b"Not-Executed", b"1")
         request.setHeader(b"Content-Length", b"0")
         request.finish()
 
-    def _headed(self, work: _Work) -> Request:
+    def _with_headers(self, work: _Work) -> Request:
         load = f"{len(self._running)},{len(self._waiting)},{self.spec.slots}"
         work.request.setHeader(b"Attempt-Id", work.request_id.encode())
         work.request.setHeader(b"Server-Load", load.encode())
