--- a/src/gentianwharf/platform/_servers.py
+++ b/src/gentianwharf/platform/_servers.py
@@ -86,5 +86,5 @@
         )
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
         raise InputError(
-            f"entry names no server: {error}", step=STEP, peer=key
+            f"invalid server entry: {error}", step=STEP, peer=key
         ) from error
--- a/tests/builders_users_platform.py
+++ b/tests/builders_users_platform.py
@@ -1,4 +1,4 @@
-"""What the users' platform writes: settings, configurations and server entries."""
+"""Sample data of the users' platform: settings, configurations and server entries."""
 
 import json
 from typing import Any
@@ -32,8 +32,8 @@
 
 
 def route(**fields: Any) -> dict[str, Any]:
-    """Return a route of the configuration; ``fields`` replace the usual ones."""
-    usual = {
+    """Return a route of the configuration; ``fields`` override the defaults."""
+    defaults = {
         "host": "schedule.example",
         "prefix": "/visits/",
         "kind": "safe",
@@ -43,7 +43,9 @@
         "service": "calendar",
         "max-attempts": 2,
     }
-    return {name: one for name, one in (usual | fields).items() if one is not None}
+    return {
+        name: value for name, value in (defaults | fields).items() if value is not None
+    }
 
 
 def configuration(
@@ -52,8 +54,8 @@
     routes: dict[str, dict[str, Any]] | None = None,
     **fields: Any,
 ) -> bytes:
-    """Return a configuration as it stands in the store."""
-    usual = {
+    """Return a configuration as it is stored."""
+    defaults = {
         "version": version,
         "routes": routes if routes is not None else {"visits": route()},
         "services": {
@@ -80,12 +82,12 @@
             "idle-timeout": "15000ms",
         },
     }
-    return json.dumps(usual | fields).encode()
+    return json.dumps(defaults | fields).encode()
 
 
 def server_entry(**fields: Any) -> bytes:
-    """Return a backend server's entry; a field that is None is left out."""
-    usual: dict[str, Any] = {
+    """Return a backend server's entry; fields that are None are omitted."""
+    defaults: dict[str, Any] = {
         "service": "calendar",
         "address": "10.128.0.9:8080",
         "zone": "lac",
@@ -96,5 +98,7 @@
         "sequence": 4,
         "born": 1_780_000_000_000,
     }
-    entry = {name: one for name, one in (usual | fields).items() if one is not None}
+    entry = {
+        name: value for name, value in (defaults | fields).items() if value is not None
+    }
     return json.dumps(entry).encode()
--- a/tests/test_users_platform_decoding.py
+++ b/tests/test_users_platform_decoding.py
@@ -1,4 +1,4 @@
-"""What the platform writes is decoded once; what doesn't fit changes nothing."""
+"""Decoding of the platform's settings, configurations and server entries."""
 
 from typing import Any
 
@@ -20,12 +20,14 @@
     server_entry,
 )
 
-NO_SUCH = {"calendar": SHARDS, "seats": 0}
+SHARDS_BY_SERVICE = {"calendar": SHARDS, "seats": 0}
 
 
 def rules_of(value: bytes) -> RuleSet:
     return RuleSet(
-        document=decode_configuration(value).document, revision=1, shards=NO_SUCH
+        document=decode_configuration(value).document,
+        revision=1,
+        shards=SHARDS_BY_SERVICE,
     )
 
 
@@ -33,7 +35,7 @@
     return RequestFacts(method="GET", host=host, path=path, headers=headers)
 
 
-def test_settings_say_where_to_listen_and_what_was_agreed() -> None:
+def test_settings_contain_addresses_and_bounds() -> None:
     settings = decode_host_settings(SETTINGS, peer="test")
     assert settings.callers_address == "10.1.0.18:8381"
     assert settings.domain == "lac"
@@ -45,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("replacement", "message"),
     [
         pytest.param(("zone = ", "zones-of = "), "zone", id="field-missing"),
         pytest.param(('"870ms"', '"870"'), "870", id="time-without-unit"),
@@ -54,16 +56,18 @@
         pytest.param(("[zones]", "[zones"), "line", id="not-toml"),
     ],
 )
-def test_bad_settings_name_what_is_wrong(change: tuple[str, str], named: str) -> None:
-    with pytest.raises(InputError, match=named):
-        decode_host_settings(SETTINGS.replace(*change), peer="test")
+def test_error_names_the_invalid_setting(
+    replacement: tuple[str, str], message: str
+) -> None:
+    with pytest.raises(InputError, match=message):
+        decode_host_settings(SETTINGS.replace(*replacement), peer="test")
 
 
-def test_unknown_settings_are_passed_over() -> None:
+def test_unknown_settings_are_ignored() -> None:
     decode_host_settings('novelty = "x"\n' + SETTINGS, peer="test")
 
 
-def test_longest_prefix_of_a_host_decides() -> None:
+def test_longest_prefix_of_a_host_matches() -> None:
     rules = rules_of(
         configuration(
             routes={
@@ -83,7 +87,7 @@
     assert rules.match(facts("/other/")) is None
 
 
-def test_rule_carries_how_its_requests_are_treated() -> None:
+def test_rule_contains_the_policy_of_its_requests() -> None:
     decoded = decode_configuration(
         configuration(routes={"seats": route(kind="unsafe", service="seats")})
     )
@@ -96,7 +100,7 @@
     assert decoded.version == 7
 
 
-def test_split_names_every_service_and_reads_the_key_for_those_that_need_it() -> None:
+def test_split_reads_the_key_for_its_sharded_services() -> None:
     parts = [
         {"service": "seats", "weight": 90},
         {"service": "calendar", "weight": 10},
@@ -113,7 +117,7 @@
 
 
 @pytest.mark.parametrize("key", ["65536", "-1", "x", "1.5", "٣"])
-def test_number_that_is_no_shard_has_none(key: str) -> None:
+def test_invalid_shard_number_gives_no_shard(key: str) -> None:
     rules = rules_of(configuration())
     match = rules.match(facts("/visits/1", **{"shard-key": key}))
     assert match is not None
@@ -130,12 +134,12 @@
         pytest.param(configuration(routes={"x": route(host=None)}), id="no-host"),
     ],
 )
-def test_configuration_that_does_not_fit_is_refused_whole(value: bytes) -> None:
+def test_invalid_configuration_is_rejected(value: bytes) -> None:
     with pytest.raises(InputError, match="configuration"):
         decode_configuration(value)
 
 
-def test_server_entry_says_what_a_server_is() -> None:
+def test_server_entry_is_decoded() -> None:
     entry = decode_server_entry("servers/i-1", server_entry())
     assert (entry.id, entry.service, entry.domain) == ("i-1", "calendar", "lac")
     assert entry.state is ServerState.READY
@@ -158,19 +162,19 @@
         pytest.param({"slots": 2**64}, id="slots-beyond-any-server"),
     ],
 )
-def test_entry_that_does_not_fit_names_no_server(fields: dict[str, Any]) -> None:
-    with pytest.raises(InputError, match="names no server"):
+def test_invalid_entry_is_rejected(fields: dict[str, Any]) -> None:
+    with pytest.raises(InputError, match="invalid server entry"):
         decode_server_entry("servers/i-1", server_entry(**fields))
 
 
 @pytest.mark.parametrize(
     "cold", ["soon", "1e-05s", "-3ms", "", 0, "9" * 400 + "s", {"left": 1}]
 )
-def test_what_nobody_reads_in_an_entry_costs_no_server(cold: Any) -> None:
-    """A sound server gets no request, and the others of its service are full.
+def test_unused_entry_fields_are_not_decoded(cold: Any) -> None:
+    """A healthy server gets no requests, and the others of its service are overloaded.
 
-    It writes how long it stays slow in a form that this host doesn't know. No host
-    uses that time, and all refused the whole entry for it.
+    Its entry has the field ``cold-remaining`` in an unknown format. No host uses that
+    field, but every host rejected the whole entry because of it.
     """
     value = server_entry(**{"cold-remaining": cold, "sequence": "x", "newer": [1]})
     assert decode_server_entry("servers/i-1", value).slots == 6
@@ -184,6 +188,6 @@
         pytest.param(b'{"newer": ' + b"[" * 10_000 + b"]" * 10_000 + b"}", id="deep"),
     ],
 )
-def test_bytes_that_are_no_entry_name_no_server(value: bytes) -> None:
-    with pytest.raises(InputError, match="names no server"):
+def test_undecodable_entry_is_rejected(value: bytes) -> None:
+    with pytest.raises(InputError, match="invalid server entry"):
         decode_server_entry("servers/i-1", value)
--- a/tests/test_users_platform_orders.py
+++ b/tests/test_users_platform_orders.py
@@ -1,4 +1,4 @@
-"""Orders on the wire: to whom they go, and what each answer means."""
+"""Orders to backend servers over HTTP: the requests, and the meaning of responses."""
 
 import json
 import socket
@@ -23,12 +23,15 @@
 from tests.builders_relay import read_head, running_reactor
 
 
-class OrderedServer:
-    """Answers every order with one status, and keeps what it was sent."""
+class ScriptedServer:
+    """Sends the same response to every order, and records the requests.
+
+    With the status ``000`` it sends no response.
+    """
 
     def __init__(self, status: str, extra: str = "") -> None:
-        self.answer = f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n{extra}\r\n"
-        self.heard: list[bytes] = []
+        self.response = f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n{extra}\r\n"
+        self.requests: list[bytes] = []
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         threading.Thread(target=self._serve, daemon=True).start()
@@ -40,11 +43,11 @@
             except OSError:
                 return
             with suppress(OSError), connection:
-                self.heard.append(read_head(connection))
-                if self.answer.startswith("HTTP/1.1 000"):
+                self.requests.append(read_head(connection))
+                if self.response.startswith("HTTP/1.1 000"):
                     connection.recv(1)
                 else:
-                    connection.sendall(self.answer.encode())
+                    connection.sendall(self.response.encode())
 
     def close(self) -> None:
         self._listener.close()
@@ -57,30 +60,30 @@
 GRANT = Grant(first=3, last=9, token=12, duration_s=2.5, handover="5c0e")
 
 
-def give(address: str, *, timeout_s: float = 2.0) -> None:
+def send_grant(address: str, *, timeout_s: float = 2.0) -> None:
     reactor = running_reactor()
 
-    def ask() -> Any:
+    def send() -> Any:
         orders = ServerOrders(reactor=reactor)
         grant = orders.grant(holder_at(address), GRANT, timeout_s=timeout_s)
         return Deferred.fromCoroutine(grant)
 
-    blockingCallFromThread(reactor, ask)
+    blockingCallFromThread(reactor, send)
 
 
 @pytest.fixture
-def server(request: pytest.FixtureRequest) -> Iterator[OrderedServer]:
-    made = OrderedServer(*request.param)
-    yield made
-    made.close()
+def server(request: pytest.FixtureRequest) -> Iterator[ScriptedServer]:
+    server = ScriptedServer(*request.param)
+    yield server
+    server.close()
 
 
 @pytest.mark.parametrize("server", [("200 OK",)], indirect=True)
-def test_grant_names_keys_token_time_and_the_server_that_is_meant(
-    server: OrderedServer,
+def test_grant_contains_keys_token_duration_and_expected_server(
+    server: ScriptedServer,
 ) -> None:
-    give(server.address)
-    head, _, body = server.heard[0].partition(b"\r\n\r\n")
+    send_grant(server.address)
+    head, _, body = server.requests[0].partition(b"\r\n\r\n")
     assert head.startswith(b"POST /v1/grant HTTP/1.1")
     assert b"Expected-Instance: i-1" in head
     assert json.loads(body) == {
@@ -102,30 +105,30 @@
     ],
     indirect=["server"],
 )
-def test_answer_to_a_grant_says_what_became_of_it(
-    server: OrderedServer, error: type[GentianwharfError]
+def test_error_of_a_grant_follows_from_the_response(
+    server: ScriptedServer, error: type[GentianwharfError]
 ) -> None:
     with pytest.raises(error):
-        give(server.address, timeout_s=0.5)
+        send_grant(server.address, timeout_s=0.5)
 
 
-def test_server_that_does_not_listen_did_not_get_the_grant() -> None:
+def test_unreachable_server_raises_peer_unavailable() -> None:
     listener = socket.create_server(("127.0.0.1", 0))
     address = f"127.0.0.1:{listener.getsockname()[1]}"
     listener.close()
     with pytest.raises(PeerUnavailableError):
-        give(address)
+        send_grant(address)
 
 
 @pytest.mark.parametrize("server", [("200 OK", "Handover: 77\r\n")], indirect=True)
-def test_release_brings_the_handover(server: OrderedServer) -> None:
+def test_release_returns_the_handover(server: ScriptedServer) -> None:
     reactor = running_reactor()
 
-    def ask() -> Any:
+    def send() -> Any:
         orders = ServerOrders(reactor=reactor)
         release = Release(first=3, last=9, token=13)
-        given = orders.release(holder_at(server.address), release, timeout_s=2.0)
-        return Deferred.fromCoroutine(given)
+        releasing = orders.release(holder_at(server.address), release, timeout_s=2.0)
+        return Deferred.fromCoroutine(releasing)
 
-    assert blockingCallFromThread(reactor, ask) == "77"
-    assert b"Expected-Instance: i-1" in server.heard[0]
+    assert blockingCallFromThread(reactor, send) == "77"
+    assert b"Expected-Instance: i-1" in server.requests[0]
--- a/tests/test_users_platform_store.py
+++ b/tests/test_users_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store on virtual time: how long it waits for what."""
+"""Timeouts of the client of the platform's store, tested on virtual time."""
 
 from collections.abc import Callable
 from typing import Any, final
@@ -16,14 +16,14 @@
 from gentianwharf.store import TELLING_PACE, Events, Page
 from tests.builders_transport import ProbedTransport
 
-PIECE_EVERY_S = 0.1
-SLOW_LINK_S = 6.0
-"""What the largest value takes over 2 Mbit/s."""
+CHUNK_INTERVAL_S = 0.1
+SLOW_TRANSFER_S = 6.0
+"""Transfer time of the largest value over 2 Mbit/s."""
 
 
 @final
 class SlowLink:
-    """One call to the store, whose answer a test hands on in pieces."""
+    """One call to the store, whose response a test delivers in chunks."""
 
     def __init__(self, call: Callable[[PlatformStore], Any]) -> None:
         self.reactor: Any = MemoryReactorClock()
@@ -34,115 +34,117 @@
         self.transport = ProbedTransport()
         self._protocol.makeConnection(self.transport)
 
-    def bring(self, answer: bytes, *, within_s: float, left_out: int = 0) -> None:
-        """Hand the answer on, in as many pieces as it takes time, but for its end."""
-        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer)
+    def deliver(
+        self, response: bytes, *, within_s: float, missing_bytes: int = 0
+    ) -> None:
+        """Deliver the response in chunks, except for its last ``missing_bytes``."""
+        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(response)
         self._protocol.dataReceived(head)
-        size = -(-len(answer) // round(within_s / PIECE_EVERY_S))
-        for start in range(0, len(answer) - left_out, size):
-            self.reactor.advance(PIECE_EVERY_S)
+        size = -(-len(response) // round(within_s / CHUNK_INTERVAL_S))
+        for start in range(0, len(response) - missing_bytes, size):
+            self.reactor.advance(CHUNK_INTERVAL_S)
             if self.result.called:
                 return
-            end = min(start + size, len(answer) - left_out)
-            self._protocol.dataReceived(answer[start:end])
+            end = min(start + size, len(response) - missing_bytes)
+            self._protocol.dataReceived(response[start:end])
 
-    def has_given_up(self) -> bool:
-        """Whether the call ended without an answer."""
-        caught: list[Any] = []
-        self.result.addErrback(caught.append)
-        return bool(caught and caught[0].check(OutcomeUnknownError))
+    def has_timed_out(self) -> bool:
+        """Return whether the call ended without a response."""
+        failures: list[Any] = []
+        self.result.addErrback(failures.append)
+        return bool(failures and failures[0].check(OutcomeUnknownError))
 
 
 LARGE = {"key": "op/config", "revision": 7, "value": "QUJD" * 250_000, "lease": 0}
 
 
-def test_large_value_on_a_slow_link_arrives_at_a_host_that_starts() -> None:
-    """A host that is started again never knows any rules and answers 503 for good.
+def test_large_value_on_a_slow_link_arrives_at_startup() -> None:
+    """A restarted host never gets any rules and responds with 503 to all requests.
 
-    Its link is slow, and reading what the store has takes longer than a call may. It
-    gives up each time midway and begins anew.
+    Over its slow link, reading the store takes longer than the call timeout. Each read
+    is cancelled midway and started again.
     """
     link = SlowLink(lambda store: store.items(""))
-    answer = {"items": [LARGE], "has-more": False, "as-of": 9}
-    link.bring(msgspec.json.encode(answer), within_s=SLOW_LINK_S)
-    page: list[Page] = []
-    link.result.addCallback(page.append)
-    assert [len(one.value) for one in page[0].items] == [750_000]
+    response = {"items": [LARGE], "has-more": False, "as-of": 9}
+    link.deliver(msgspec.json.encode(response), within_s=SLOW_TRANSFER_S)
+    pages: list[Page] = []
+    link.result.addCallback(pages.append)
+    assert [len(item.value) for item in pages[0].items] == [750_000]
 
 
-def test_large_change_on_a_slow_link_arrives_at_the_leader() -> None:
-    """New rules are never in force on the leader, which tells all others.
+def test_large_change_on_a_slow_link_arrives_by_watch() -> None:
+    """New rules are never in force on the leader, which distributes them to the others.
 
-    It watches in turns of 0.8 s, and what such a watch brings takes longer than the
-    turn and its grace. Each turn gives up midway and the next one asks for the same.
+    Its watches wait 0.8 s each, and the response to one takes longer than that and the
+    grace period. Each watch is cancelled midway, and the next one starts over.
     """
     link = SlowLink(
         lambda store: store.watch("", after_revision=3, wait_s=TELLING_PACE.wait_s)
     )
-    answer = {"events": [LARGE], "as-of": 9}
-    link.bring(msgspec.json.encode(answer), within_s=SLOW_LINK_S)
-    brought: list[Events] = []
-    link.result.addCallback(brought.append)
-    assert [one.revision for one in brought[0].changes] == [7]
+    response = {"events": [LARGE], "as-of": 9}
+    link.deliver(msgspec.json.encode(response), within_s=SLOW_TRANSFER_S)
+    events: list[Events] = []
+    link.result.addCallback(events.append)
+    assert [change.revision for change in events[0].changes] == [7]
 
 
-def test_answer_that_falls_silent_midway_is_given_up() -> None:
-    # A connection on which an answer is lost brings nothing any more.
+def test_response_that_stalls_times_out() -> None:
+    # No more data arrives on a connection on which a response is lost.
     link = SlowLink(lambda store: store.items(""))
-    answer = msgspec.json.encode({"items": [LARGE], "has-more": False, "as-of": 9})
-    link.bring(answer, within_s=SLOW_LINK_S, left_out=10)
+    response = msgspec.json.encode({"items": [LARGE], "has-more": False, "as-of": 9})
+    link.deliver(response, within_s=SLOW_TRANSFER_S, missing_bytes=10)
     assert not link.result.called
     link.reactor.advance(CALL_TIMEOUT_S)
-    assert link.has_given_up()
-    assert link.transport.disconnecting, "its rest would fill the link"
+    assert link.has_timed_out()
+    assert link.transport.disconnecting, "the rest of the response would fill the link"
 
 
-def test_answer_that_never_begins_is_given_up_in_time() -> None:
+def test_response_that_never_begins_times_out() -> None:
     link = SlowLink(lambda store: store.items(""))
     link.reactor.advance(CALL_TIMEOUT_S)
-    assert link.has_given_up()
+    assert link.has_timed_out()
 
 
-def test_renewal_whose_answer_is_lost_midway_is_given_up_in_time() -> None:
-    # The next one has to come while the lease still holds.
+def test_renewal_whose_response_stalls_times_out() -> None:
+    # The next renewal must be sent while the lease still holds.
     link = SlowLink(lambda store: store.renew_lease(7))
-    link.bring(b'{"ttl_time": "1200ms"}', within_s=0.1, left_out=1)
+    link.deliver(b'{"ttl_time": "1200ms"}', within_s=0.1, missing_bytes=1)
     link.reactor.advance(RENEW_TIMEOUT_S)
-    assert link.has_given_up()
+    assert link.has_timed_out()
 
 
-def test_answer_that_trickles_for_ever_is_given_up() -> None:
-    """A host learns nothing: each tenth of a second one more byte comes."""
+def test_response_that_trickles_for_ever_times_out() -> None:
+    """A host gets no data, since its response arrives at one byte per 0.1 s."""
     link = SlowLink(lambda store: store.items(""))
-    link.bring(b" " * 10_000, within_s=1_000.0)
-    assert link.has_given_up()
+    link.deliver(b" " * 10_000, within_s=1_000.0)
+    assert link.has_timed_out()
 
 
-def test_watch_that_falls_silent_midway_is_given_up_in_time() -> None:
-    """A host waits for 21 s for the rest of an answer that is lost.
+def test_watch_that_stalls_midway_times_out() -> None:
+    """A host waits 21 s for the rest of a response that is lost.
 
-    What a watch brings comes at once when it comes; only its beginning may take long.
+    Only the start of a watch's response may take long; the rest follows at once.
     """
     link = SlowLink(lambda store: store.watch("", after_revision=3, wait_s=20.0))
-    answer = msgspec.json.encode({"events": [LARGE], "as-of": 9})
-    link.bring(answer, within_s=SLOW_LINK_S, left_out=10)
+    response = msgspec.json.encode({"events": [LARGE], "as-of": 9})
+    link.deliver(response, within_s=SLOW_TRANSFER_S, missing_bytes=10)
     link.reactor.advance(CALL_TIMEOUT_S)
-    assert link.has_given_up()
+    assert link.has_timed_out()
 
 
-def test_renewal_that_trickles_is_given_up_while_its_lease_holds() -> None:
-    """A leader waits for one answer while its lease runs out, and doesn't ask again."""
+def test_renewal_that_trickles_times_out_while_its_lease_holds() -> None:
+    """A leader waits for one response until its lease expires, and doesn't retry."""
     link = SlowLink(lambda store: store.renew_lease(7))
-    link.bring(b" " * 100, within_s=10.0)
-    assert link.reactor.seconds() <= RENEW_TIMEOUT_S + PIECE_EVERY_S
-    assert link.has_given_up()
+    link.deliver(b" " * 100, within_s=10.0)
+    assert link.reactor.seconds() <= RENEW_TIMEOUT_S + CHUNK_INTERVAL_S
+    assert link.has_timed_out()
 
 
-def test_answer_without_a_length_ends_with_its_connection() -> None:
-    """No host ever knows any rules where something before the store drops lengths."""
+def test_response_without_a_length_ends_with_its_connection() -> None:
+    """No host gets any rules if a proxy at the store removes Content-Length."""
     reader = BodyReader(on_chunk=lambda: None)
-    whole: list[bytes] = []
-    reader.done.addCallback(whole.append)
+    bodies: list[bytes] = []
+    reader.done.addCallback(bodies.append)
     reader.dataReceived(b"{}")
     reader.connectionLost(Failure(PotentialDataLoss()))
-    assert whole == [b"{}"]
+    assert bodies == [b"{}"]
