--- a/tests/builders_platform.py
+++ b/tests/builders_platform.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the platform: loops, coroutines, stores in two shapes."""
+"""Builders for platform tests: event loops, coroutine results and store benches."""
 
 from collections.abc import Coroutine
 from random import Random
@@ -22,39 +22,39 @@
 
 Result = TypeVar("Result")
 
-MOST_ITERATIONS = 20_000
-"""A hundred seconds when nothing happens: a test that hangs ends."""
+MAX_ITERATIONS = 20_000
+"""Ends a test that hangs; an idle loop takes about 100 s for them."""
 
 
 @final
 class Loop:
-    """An event loop of its own, so that a test with sockets leaves nothing behind."""
+    """A separate event loop, so that a test with sockets leaves none of them open."""
 
     def __init__(self) -> None:
         self.reactor = EPollReactor()
         self.reactor.startRunning(installSignalHandlers=False)
 
     def run(self, coroutine: Coroutine[Any, Any, Result]) -> Result:
-        """Run the loop until the coroutine is done; return or raise what it gave."""
+        """Run the loop until the coroutine ends; return its result or raise."""
         done = Deferred.fromCoroutine(coroutine)
         self.run_until(lambda: done.called)
         return result_of(done)
 
     def run_until(self, condition: Any) -> None:
-        """Run the loop until ``condition()`` holds."""
-        for _ in range(MOST_ITERATIONS):
+        """Run the loop until ``condition()`` is true."""
+        for _ in range(MAX_ITERATIONS):
             if condition():
                 return
             self.reactor.iterate(0.005)
         raise AssertionError("the condition did not come true")
 
     def listen(self, site: Any) -> str:
-        """Listen on a free loopback port; return ``ip:port``."""
+        """Listen on a free loopback port and return ``ip:port``."""
         port = self.reactor.listenTCP(0, site, interface="127.0.0.1")
         return f"127.0.0.1:{port.getHost().port}"
 
     def free_address(self) -> str:
-        """Return an ``ip:port`` that nobody listens on at the moment."""
+        """Return an ``ip:port`` on which no process listens at the moment."""
         port = self.reactor.listenTCP(0, Factory(), interface="127.0.0.1")
         address = f"127.0.0.1:{port.getHost().port}"
         port.stopListening()
@@ -62,31 +62,31 @@
         return address
 
     def close(self) -> None:
-        """Stop the loop and close every socket of it."""
+        """Stop the loop and close its sockets."""
         self.reactor.fireSystemEvent("shutdown")
         for reader in self.reactor.removeAll():
             reader.connectionLost(None)
 
 
 def result_of(done: "Deferred[Result]") -> Result:
-    """Return what a fired ``Deferred`` holds, or raise its error."""
+    """Return the result of a fired ``Deferred``, or raise its error."""
     results: list[Result] = []
     failures: list[Any] = []
     done.addCallbacks(results.append, failures.append)
     if failures:
         failures[0].raiseException()
-    assert results, "it still waits"
+    assert results, "the Deferred has not fired"
     return results[0]
 
 
 def run_now(coroutine: Coroutine[Any, Any, Result]) -> Result:
-    """Return the result of a coroutine that has nothing to wait for."""
+    """Return the result of a coroutine that ends without waiting."""
     return result_of(Deferred.fromCoroutine(coroutine))
 
 
 @final
 class MemoryBench:
-    """A store in memory behind a fault table, on a virtual clock."""
+    """An in-memory store behind a fault table, on a virtual clock."""
 
     def __init__(self, *, faults: tuple[Fault, ...] = ()) -> None:
         self.clock = Clock()
@@ -96,7 +96,7 @@
         )
 
     def run(self, coroutine: Coroutine[Any, Any, Result]) -> Result:
-        """Run a coroutine on the virtual clock, at most a minute of it."""
+        """Run a coroutine for up to a minute of virtual time."""
         done = Deferred.fromCoroutine(coroutine)
         for _ in range(600):
             if done.called:
@@ -105,19 +105,19 @@
         return result_of(done)
 
     def pass_time(self, duration_s: float) -> None:
-        """Let time pass."""
+        """Advance the virtual clock."""
         self.clock.advance(duration_s)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, since no socket is open."""
 
 
 @final
 class HttpBench:
-    """The same behind the stand-in's HTTP side, on real sockets.
+    """The same store behind the stand-in's HTTP interface, on real sockets.
 
-    The store keeps virtual time, so that leases lapse without waiting; the watches
-    that a test waits out are made short by ``pass_time``.
+    The store runs on virtual time, so that leases expire without waiting. ``pass_time``
+    shortens the watches that a test waits for.
     """
 
     def __init__(self, *, faults: tuple[Fault, ...] = ()) -> None:
@@ -136,7 +136,7 @@
         )
 
     def run(self, coroutine: Coroutine[Any, Any, Result]) -> Result:
-        """Run a coroutine on sockets, moving the store's clock along."""
+        """Run a coroutine on sockets while advancing the store's clock."""
         done = Deferred.fromCoroutine(coroutine)
 
         def is_done() -> bool:
@@ -147,7 +147,7 @@
         return result_of(done)
 
     def pass_time(self, duration_s: float) -> None:
-        """Let the store's time pass."""
+        """Advance the store's clock."""
         self.clock.advance(duration_s)
 
     def close(self) -> None:
@@ -157,5 +157,5 @@
 
 
 def listed_host(name: str = "lac-1", *, leaving: bool = False) -> ListedHost:
-    """Build a line of the host list."""
+    """Build an entry of the host list."""
     return ListedHost(id=name, domain="lac", address="127.0.0.1:1", leaving=leaving)
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -1,7 +1,7 @@
-"""The contract of ``BackendControl``: the stand-in, or ``--servers-bench``.
+"""Contract tests of ``BackendControl``, for the stand-in or ``--servers-bench``.
 
 A bench has ``control``, ``server`` (a ``BackendServer`` that has just started and holds
-nothing), ``run(coroutine)`` and ``close()``.
+no shards), ``run(coroutine)`` and ``close()``.
 """
 
 from collections.abc import Coroutine, Iterator
@@ -26,7 +26,7 @@
 
 
 class StandInServer:
-    """The stand-in's backend server on a real socket."""
+    """A stand-in backend server that listens on a real socket."""
 
     def __init__(self) -> None:
         self._loop = Loop()
@@ -46,7 +46,7 @@
         self.control: BackendControl = self._adapter
 
     def run(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
-        """Run a call."""
+        """Run a call and return its result."""
         return self._loop.run(coroutine)
 
     def close(self) -> None:
@@ -60,13 +60,13 @@
 
 @pytest.fixture
 def bench(servers_bench_class: type[StandInServer]) -> Iterator[StandInServer]:
-    made = servers_bench_class()
-    yield made
-    made.close()
+    bench = servers_bench_class()
+    yield bench
+    bench.close()
 
 
-def granted(bench: StandInServer, tokens: dict[int, int]) -> GrantOutcome:
-    """Order the server to hold shards; it says what it made of it."""
+def grant(bench: StandInServer, tokens: dict[int, int]) -> GrantOutcome:
+    """Grant shards to the server and return the outcome."""
     order = Grant(
         service=bench.server.service,
         giver="lac-1",
@@ -80,7 +80,7 @@
     return outcome
 
 
-def released(bench: StandInServer, tokens: dict[int, int]) -> GrantOutcome:
+def release(bench: StandInServer, tokens: dict[int, int]) -> GrantOutcome:
     service = bench.server.service
     outcome: GrantOutcome = bench.run(
         bench.control.release(bench.server, service, tokens)
@@ -89,54 +89,56 @@
 
 
 def report(bench: StandInServer) -> ServerReport:
-    told: ServerReport = bench.run(bench.control.report(bench.server))
-    return told
+    server_report: ServerReport = bench.run(bench.control.report(bench.server))
+    return server_report
 
 
 def test_granted_shards_are_held_under_their_tokens(bench: StandInServer) -> None:
-    assert granted(bench, {7: 11, 8: 12}) is GrantOutcome.ACCEPTED
-    assert granted(bench, {7: 11}) is GrantOutcome.ACCEPTED
+    assert grant(bench, {7: 11, 8: 12}) is GrantOutcome.ACCEPTED
+    assert grant(bench, {7: 11}) is GrantOutcome.ACCEPTED
     assert report(bench).held == {7: 11, 8: 12}
 
 
-def test_lower_token_is_fenced_and_takes_nothing(bench: StandInServer) -> None:
-    """An order that was delayed comes after the shard's next assignment.
+def test_lower_token_is_fenced_and_changes_nothing(bench: StandInServer) -> None:
+    """A delayed grant arrives after the shard's next assignment.
 
-    Taken, it would bring back an owner that has been replaced.
+    If it were accepted, the replaced owner would hold the shard again.
     """
-    granted(bench, {7: 11})
-    assert granted(bench, {7: 10, 9: 10}) is GrantOutcome.FENCED
+    grant(bench, {7: 11})
+    assert grant(bench, {7: 10, 9: 10}) is GrantOutcome.FENCED
     assert report(bench).held == {7: 11}
 
 
-def test_release_fences_the_shard_for_good(bench: StandInServer) -> None:
-    """The old owner's renewal is still on its way when the shard is given back."""
-    granted(bench, {7: 11, 8: 11})
-    assert released(bench, {7: 12}) is GrantOutcome.ACCEPTED
+def test_release_fences_the_shard_permanently(bench: StandInServer) -> None:
+    """The old owner's renewal is still in transit when the shard is released."""
+    grant(bench, {7: 11, 8: 11})
+    assert release(bench, {7: 12}) is GrantOutcome.ACCEPTED
     assert report(bench).held == {8: 11}
-    assert granted(bench, {7: 11}) is GrantOutcome.FENCED
-    assert released(bench, {7: 11}) is GrantOutcome.FENCED
-    assert released(bench, {7: 12}) is GrantOutcome.ACCEPTED
+    assert grant(bench, {7: 11}) is GrantOutcome.FENCED
+    assert release(bench, {7: 11}) is GrantOutcome.FENCED
+    assert release(bench, {7: 12}) is GrantOutcome.ACCEPTED
 
 
-def test_draining_server_says_so_and_takes_no_new_shard(bench: StandInServer) -> None:
-    granted(bench, {7: 11})
+def test_draining_server_reports_it_and_refuses_new_shards(
+    bench: StandInServer,
+) -> None:
+    grant(bench, {7: 11})
     bench.run(bench.control.drain(bench.server))
     assert report(bench).draining
-    assert granted(bench, {7: 11}) is GrantOutcome.ACCEPTED
-    assert granted(bench, {8: 11}) is GrantOutcome.LEAVING
+    assert grant(bench, {7: 11}) is GrantOutcome.ACCEPTED
+    assert grant(bench, {8: 11}) is GrantOutcome.LEAVING
     bench.run(bench.control.drain(bench.server))
 
 
-def test_stamp_never_goes_back(bench: StandInServer) -> None:
+def test_stamp_never_decreases(bench: StandInServer) -> None:
     stamps_s = [report(bench).stamp_s for _ in range(3)]
     assert stamps_s == sorted(stamps_s)
     assert report(bench).server == bench.server.id
 
 
-def test_server_that_is_gone_had_no_effect() -> None:
+def test_unreachable_server_raises_peer_unavailable() -> None:
     bench = StandInServer()
-    nobody = BackendServer(
+    unreachable = BackendServer(
         id="calendrier-2",
         service=SERVICE,
         domain="lac",
@@ -145,5 +147,5 @@
         connections=130,
     )
     with pytest.raises(PeerUnavailableError):
-        bench.run(bench.control.report(nobody))
+        bench.run(bench.control.report(unreachable))
     bench.close()
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -1,4 +1,4 @@
-"""The fault table itself: which calls a line hits, and what they see."""
+"""The fault table: which calls a fault applies to, and its effect on them."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "operation", "key", "now_s", "hit"),
+    ("fault", "operation", "key", "now_s", "expected"),
     [
         pytest.param(Fault(kind=DOWN), "get", "a", 0, True, id="all"),
         pytest.param(Fault(kind=DOWN, from_s=5), "get", "a", 4.9, False, id="before"),
@@ -50,10 +50,10 @@
         ),
     ],
 )
-def test_line_hits_the_calls_in_its_reach(
-    fault: Fault, operation: str, key: str, now_s: float, hit: bool
+def test_fault_applies_to_matching_calls(
+    fault: Fault, operation: str, key: str, now_s: float, expected: bool
 ) -> None:
-    assert fault.applies(StoreOperation(operation), key, now_s) is hit
+    assert fault.applies(StoreOperation(operation), key, now_s) is expected
 
 
 def test_share_of_the_calls_is_drawn_from_the_seed() -> None:
@@ -97,7 +97,7 @@
 
 
 def test_late_effect_comes_after_the_error() -> None:
-    """A write is given up, and takes effect when its author believes it did not."""
+    """A write takes effect after its caller has taken it for failed."""
     bench = MemoryBench(faults=(Fault(kind=FaultKind.EFFECT_LATE, delay_s=3),))
     with pytest.raises(OutcomeUnknownError):
         run_now(bench.store.compare_and_swap("a", b"1", expected_revision=0))
@@ -106,10 +106,10 @@
     assert run_now(bench.inner.get("a")) is not None
 
 
-def test_watch_over_a_connection_gone_silent_ends() -> None:
-    """A waiting watch's connection is forgotten by a box in between.
+def test_watch_on_a_silent_connection_times_out() -> None:
+    """A middlebox drops the connection of a waiting watch without closing it.
 
-    The host would wait for rules on it for good.
+    Without a timeout the host would wait for rules on it for ever.
     """
     bench = HttpBench(faults=(Fault(kind=FaultKind.HANGS),))
     with pytest.raises(OutcomeUnknownError) as caught:
--- a/tests/test_platform_hosts.py
+++ b/tests/test_platform_hosts.py
@@ -1,7 +1,7 @@
-"""The contract of ``HostList``: in memory, over HTTP, or ``--hosts-bench``.
+"""Contract tests of ``HostList``, in memory, over HTTP or for ``--hosts-bench``.
 
-A bench has ``hosts``, ``run(coroutine)``, ``close()``, and ``put(listed)`` and
-``remove(id)``, after which the list shows the change, however long that takes.
+A bench has ``hosts``, ``run(coroutine)``, ``close()``, ``put(listed)`` and
+``remove(id)``. The last two return only when the list shows the change.
 """
 
 from collections.abc import Callable, Coroutine, Iterator
@@ -26,7 +26,7 @@
 
 
 class MemoryHosts:
-    """The list in memory, which lags on a virtual clock."""
+    """An in-memory list, whose changes show after a lag of virtual time."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -35,21 +35,21 @@
         self.run: Callable[[Coroutine[Any, Any, Any]], Any] = run_now
 
     def put(self, listed: ListedHost) -> None:
-        """Change a line and wait until it shows."""
+        """Add or change an entry and wait until the list shows it."""
         self.memory.put(listed)
         self.clock.advance(LAG_S)
 
     def remove(self, host_id: str) -> None:
-        """Take a line away and wait until that shows."""
+        """Remove an entry and wait until the list shows that."""
         self.memory.remove(host_id)
         self.clock.advance(LAG_S)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, since no socket is open."""
 
 
 class HttpHosts(MemoryHosts):
-    """The same behind the stand-in's HTTP side."""
+    """The same list behind the stand-in's HTTP interface."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -74,34 +74,34 @@
 
 @pytest.fixture
 def bench(hosts_bench_class: type[MemoryHosts]) -> Iterator[MemoryHosts]:
-    made = hosts_bench_class()
-    yield made
-    made.close()
+    bench = hosts_bench_class()
+    yield bench
+    bench.close()
 
 
-def listed(bench: MemoryHosts) -> dict[str, ListedHost]:
-    return {one.id: one for one in bench.run(bench.hosts.read())}
+def read_hosts(bench: MemoryHosts) -> dict[str, ListedHost]:
+    return {host.id: host for host in bench.run(bench.hosts.read())}
 
 
-def test_list_shows_who_joins_leaves_and_is_gone(bench: MemoryHosts) -> None:
+def test_list_shows_joining_leaving_and_removed_hosts(bench: MemoryHosts) -> None:
     bench.put(listed_host("lac-1"))
     bench.put(listed_host("lac-2"))
-    assert listed(bench) == {one: listed_host(one) for one in ("lac-1", "lac-2")}
+    assert read_hosts(bench) == {name: listed_host(name) for name in ("lac-1", "lac-2")}
     bench.put(listed_host("lac-1", leaving=True))
-    assert listed(bench)["lac-1"].leaving
+    assert read_hosts(bench)["lac-1"].leaving
     bench.remove("lac-1")
-    assert list(listed(bench)) == ["lac-2"]
+    assert list(read_hosts(bench)) == ["lac-2"]
 
 
-def test_empty_list_is_a_list(bench: MemoryHosts) -> None:
+def test_empty_list_is_read_as_empty(bench: MemoryHosts) -> None:
     assert bench.run(bench.hosts.read()) == []
 
 
 @pytest.mark.parametrize("make", HOSTS_BENCHES)
-def test_stand_in_lags(make: type[MemoryHosts]) -> None:
+def test_stand_in_shows_changes_after_its_lag(make: type[MemoryHosts]) -> None:
     bench = make()
     bench.memory.put(listed_host("lac-1"))
-    assert listed(bench) == {}
+    assert read_hosts(bench) == {}
     bench.clock.advance(LAG_S)
-    assert list(listed(bench)) == ["lac-1"]
+    assert list(read_hosts(bench)) == ["lac-1"]
     bench.close()
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers over HTTP, and calls that the platform refuses."""
+"""Orders to backend servers over HTTP, and store calls that are refused."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -44,19 +44,19 @@
 
 
 class ScriptedServer(Resource):
-    """Answers every order with the same status and body, and keeps what it got."""
+    """Sends the same status and body for every order, and records the requests."""
 
     isLeaf = True
 
     def __init__(self, status: int, body: bytes | None) -> None:
         super().__init__()
         self.status, self.body = status, body
-        self.got: list[tuple[bytes, bytes]] = []
+        self.requests: list[tuple[bytes, bytes]] = []
 
     def render_POST(self, request: Request) -> Any:  # noqa: N802
-        """Answer as scripted."""
+        """Send the scripted response, or none if the body is None."""
         assert request.content is not None
-        self.got.append((request.path, request.content.read()))
+        self.requests.append((request.path, request.content.read()))
         if self.body is None:
             return NOT_DONE_YET
         request.setResponseCode(self.status)
@@ -65,9 +65,9 @@
 
 @pytest.fixture
 def loop() -> Iterator[Loop]:
-    made = Loop()
-    yield made
-    made.close()
+    loop = Loop()
+    yield loop
+    loop.close()
 
 
 def _server(address: str) -> BackendServer:
@@ -87,7 +87,7 @@
     )
 
 
-def test_orders_reach_their_paths_and_come_back_typed(loop: Loop) -> None:
+def test_orders_use_their_paths_and_return_typed_outcomes(loop: Loop) -> None:
     resource = ScriptedServer(200, b'{"outcome":"fenced","news":1}')
     server = _server(loop.listen(Site(resource, reactor=loop.reactor)))
     control = _control(loop)
@@ -95,7 +95,7 @@
     released = loop.run(control.release(server, "calendrier", {7: 12}))
     assert released is GrantOutcome.FENCED
     loop.run(control.drain(server))
-    paths, bodies = zip(*resource.got, strict=True)
+    paths, bodies = zip(*resource.requests, strict=True)
     assert paths == tuple(
         b"/_gentianwharf/" + name for name in (b"grant", b"release", b"drain")
     )
@@ -149,7 +149,9 @@
     assert (caught.value.step, caught.value.peer) == ("server grant", server.address)
 
 
-def test_endless_answer_is_cut_off(loop: Loop, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_oversized_response_is_rejected(
+    loop: Loop, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("gentianwharf.infra._http.MOST_ANSWER_BYTES", 1_000)
     site = Site(ScriptedServer(200, b" " * 1_001), reactor=loop.reactor)
     with pytest.raises(OutcomeUnknownError):
@@ -166,7 +168,7 @@
 def test_call_that_never_connects_had_no_effect(
     loop: Loop, address: str, error: type[GentianwharfError]
 ) -> None:
-    """Nobody listens, or the settings name a host: nothing was sent."""
+    """The port is closed, or the address is a host name: no request is sent."""
     with pytest.raises(error):
         loop.run(_control(loop).grant(_server(address), GRANT))
 
@@ -185,7 +187,7 @@
         ),
     ],
 )
-def test_call_that_the_platform_does_not_know_is_refused(
+def test_unknown_store_call_is_refused(
     loop: Loop, path: str, body: bytes, expected: str
 ) -> None:
     clock = Clock()
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, over the wire, against a stand-in."""
+"""The client of the platform's store over HTTP against the stand-in store."""
 
 from collections.abc import Awaitable, Callable, Iterator
 from typing import Any
@@ -26,7 +26,7 @@
 
 
 class RunningStore:
-    """A stand-in that listens, with a client for hosts and one for operators."""
+    """A listening stand-in store, with a client for hosts and one for operators."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -50,36 +50,36 @@
         return in_reactor(lambda: Deferred.fromCoroutine(call()))  # type: ignore[arg-type]
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         for port in self._ports:
             in_reactor(port.stopListening)
 
 
 @pytest.fixture
 def store() -> Iterator[RunningStore]:
-    running = RunningStore()
-    yield running
-    running.stop()
+    store = RunningStore()
+    yield store
+    store.stop()
 
 
 def put(key: str, value: bytes = b"v", lease_id: int = 0) -> Change:
     return Change(puts=(Put(key=key, value=value, lease_id=lease_id),))
 
 
-def test_what_is_written_is_read(store: RunningStore) -> None:
+def test_written_item_is_read_back(store: RunningStore) -> None:
     revision = store.call(lambda: store.hosts.change(put("own/a", b"\x00\xff")))
     found = store.call(lambda: store.hosts.item("own/a"))
     assert (found.value, found.revision) == (b"\x00\xff", revision)
     page = store.call(lambda: store.hosts.items("own/"))
-    assert [one.key for one in page.items] == ["own/a"]
+    assert [item.key for item in page.items] == ["own/a"]
     assert page.revision == revision
 
 
-def test_an_item_that_is_not_there_is_none(store: RunningStore) -> None:
+def test_missing_item_is_none(store: RunningStore) -> None:
     assert store.call(lambda: store.hosts.item("own/none")) is None
 
 
-def test_a_condition_that_does_not_hold_changes_nothing(store: RunningStore) -> None:
+def test_failed_condition_changes_nothing(store: RunningStore) -> None:
     store.call(lambda: store.hosts.change(put("own/a")))
     change = Change(expected={"own/a": 0}, puts=(Put(key="own/a", value=b"new"),))
     with pytest.raises(ConflictError):
@@ -87,7 +87,7 @@
     assert store.call(lambda: store.hosts.item("own/a")).value == b"v"
 
 
-def test_a_watch_brings_what_came_after(store: RunningStore) -> None:
+def test_watch_returns_later_changes(store: RunningStore) -> None:
     first = store.call(lambda: store.hosts.change(put("own/a")))
     second = store.call(lambda: store.hosts.change(Change(removals=("own/a",))))
     events = store.call(
@@ -97,34 +97,35 @@
     assert events.revision == second
 
 
-def test_a_watch_waits_for_a_change(store: RunningStore) -> None:
-    waiting: list[Any] = []
+def test_watch_waits_for_a_change(store: RunningStore) -> None:
+    results: list[Any] = []
 
-    def begin() -> None:
+    def start_watch() -> None:
         watch = store.hosts.watch(
             "own/", after_revision=store.items.revision, wait_s=5.0
         )
-        Deferred.fromCoroutine(watch).addCallback(waiting.append)
+        Deferred.fromCoroutine(watch).addCallback(results.append)
 
-    in_reactor(begin)
+    in_reactor(start_watch)
     store.call(lambda: store.hosts.change(put("other/b")))
     store.call(lambda: store.hosts.change(put("own/a")))
-    # Answered in order of arrival: a later call's answer shows that it was sent.
+    # Calls are served in order of arrival, so the response to this one shows that the
+    # watch has been served.
     store.call(lambda: store.hosts.items("own/"))
-    assert [[one.key for one in events.changes] for events in waiting] == [["own/a"]]
+    assert [[item.key for item in events.changes] for events in results] == [["own/a"]]
 
 
-def test_history_that_is_gone_says_so(store: RunningStore) -> None:
-    def write_much() -> None:
+def test_discarded_history_is_reported(store: RunningStore) -> None:
+    def fill_history() -> None:
         for _ in range(2_100):
             store.items.change(put("own/a"))
 
-    in_reactor(write_much)
+    in_reactor(fill_history)
     with pytest.raises(HistoryGoneError):
         store.call(lambda: store.hosts.watch("own/", after_revision=5, wait_s=5.0))
 
 
-def test_items_go_with_their_lease(store: RunningStore) -> None:
+def test_items_are_removed_with_their_lease(store: RunningStore) -> None:
     lease_id = store.call(lambda: store.hosts.open_lease(1.2))
     store.call(lambda: store.hosts.change(put("own/a", lease_id=lease_id)))
     store.now_s = 1.0
@@ -140,13 +141,13 @@
 
 
 @pytest.mark.parametrize("key", ["op/config", "servers/s1"])
-def test_hosts_may_not_write_for_others(store: RunningStore, key: str) -> None:
+def test_hosts_may_not_write_reserved_keys(store: RunningStore, key: str) -> None:
     with pytest.raises(RefusedError, match="403"):
         store.call(lambda: store.hosts.change(put(key)))
     store.call(lambda: store.operators.change(put(key)))
 
 
-def test_a_value_is_taken_up_to_its_bound(store: RunningStore) -> None:
+def test_value_is_accepted_up_to_the_size_limit(store: RunningStore) -> None:
     longest = b"x" * MAX_VALUE_BYTES
     store.call(lambda: store.operators.change(put("op/config", longest)))
     assert store.call(lambda: store.hosts.item("op/config")).value == longest
@@ -155,16 +156,16 @@
     assert store.call(lambda: store.hosts.item("op/config")).value == longest
 
 
-def test_a_store_that_is_not_there_did_nothing(store: RunningStore) -> None:
+def test_unreachable_store_raises_peer_unavailable(store: RunningStore) -> None:
     store.stop()
     with pytest.raises(PeerUnavailableError):
         store.call(lambda: store.hosts.change(put("own/a")))
 
 
-def test_an_answer_that_is_lost_leaves_the_outcome_open(store: RunningStore) -> None:
-    """The connection breaks after the store has taken the change."""
+def test_lost_response_leaves_the_outcome_unknown(store: RunningStore) -> None:
+    """The connection breaks after the store has received the change."""
 
-    def lose(request: Any) -> bytes:
+    def abort(request: Any) -> bytes:
         request.transport.abortConnection()
         return b""
 
@@ -173,7 +174,7 @@
 
     resource = Resource()
     resource.isLeaf = True
-    resource.render = lose  # type: ignore[method-assign]
+    resource.render = abort  # type: ignore[method-assign]
     port = in_reactor(
         lambda: store.reactor.listenTCP(0, Site(resource), interface="127.0.0.1")
     )
@@ -185,27 +186,27 @@
 
 
 @pytest.mark.parametrize("value", ["no base64!", "YQ", "é"])
-def test_value_that_is_no_base64_costs_its_key_alone(
+def test_invalid_base64_value_affects_only_its_key(
     store: RunningStore, monkeypatch: pytest.MonkeyPatch, value: str
 ) -> None:
-    """No host learns any change once one key has a value that can't be decoded.
+    """One value that can't be decoded keeps every host from getting any change.
 
-    The whole answer is given up for it, each time that the store is asked.
+    That happens if the whole response is rejected because of it on each read.
     """
-    shown = _store._encode
+    encode = _store._encode
     store.call(lambda: store.hosts.change(put("own/a", b"1")))
     store.call(lambda: store.hosts.change(put("own/odd")))
     monkeypatch.setattr(
         _store,
         "_encode",
-        lambda one: shown(one) | ({"value": value} if one.key == "own/odd" else {}),
+        lambda item: encode(item) | ({"value": value} if item.key == "own/odd" else {}),
     )
     page = store.call(lambda: store.hosts.items("own/"))
-    assert [(one.key, one.value) for one in page.items] == [
+    assert [(item.key, item.value) for item in page.items] == [
         ("own/a", b"1"),
         ("own/odd", b""),
     ]
     events = store.call(
         lambda: store.hosts.watch("own/", after_revision=page.revision - 2, wait_s=1)
     )
-    assert [one.value for one in events.changes] == [b"1", b""]
+    assert [item.value for item in events.changes] == [b"1", b""]
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,7 +1,7 @@
-"""The contract of ``KeyValueStore``: in memory, over HTTP, or ``--store-bench``.
+"""Contract tests of ``KeyValueStore``, in memory, over HTTP or for ``--store-bench``.
 
-A bench has ``store``, ``run(coroutine)``, ``pass_time(seconds)`` for leases to lapse,
-and ``close()``; its store begins empty.
+A bench has ``store``, ``run(coroutine)``, ``pass_time(seconds)``, which lets leases
+expire, and ``close()``. Its store is empty at the start.
 """
 
 from collections.abc import Iterator
@@ -33,13 +33,13 @@
 
 @pytest.fixture
 def bench(store_bench_class: type[Bench]) -> Iterator[Bench]:
-    made = store_bench_class()
-    yield made
-    made.close()
+    bench = store_bench_class()
+    yield bench
+    bench.close()
 
 
-NOW = -1
-"""Stands in a table for the revision that key ``a`` has."""
+CURRENT = -1
+"""Placeholder in parameters for the current revision of key ``a``."""
 
 
 async def _write(bench: Bench, key: str, value: bytes = b"x") -> VersionedValue:
@@ -50,7 +50,7 @@
 
 def test_revisions_grow_over_the_whole_store(bench: Bench) -> None:
     written = [bench.run(_write(bench, key)) for key in ("a", "b", "a")]
-    revisions = [one.revision for one in written]
+    revisions = [value.revision for value in written]
     assert revisions == sorted(set(revisions))
 
 
@@ -70,7 +70,7 @@
     for key in ("t/2", "t/1", "u/1"):
         bench.run(_write(bench, key))
     found = bench.run(bench.store.get_many("t/"))
-    assert sorted(one.key for one in found) == ["t/1", "t/2"]
+    assert sorted(value.key for value in found) == ["t/1", "t/2"]
 
 
 @pytest.mark.parametrize(
@@ -78,14 +78,14 @@
     [
         pytest.param("a", 0, 1, None, ConflictError, id="present-not-absent"),
         pytest.param("a", 7, 1, None, ConflictError, id="other-revision"),
-        pytest.param("b", NOW, 1, None, ConflictError, id="absent-not-present"),
+        pytest.param("b", CURRENT, 1, None, ConflictError, id="absent-not-present"),
         pytest.param(
-            "a", NOW, MOST_VALUE_BYTES + 1, None, RefusedError, id="too-large"
+            "a", CURRENT, MOST_VALUE_BYTES + 1, None, RefusedError, id="too-large"
         ),
-        pytest.param("a", NOW, 1, "lease-9", RefusedError, id="no-such-lease"),
+        pytest.param("a", CURRENT, 1, "lease-9", RefusedError, id="no-such-lease"),
     ],
 )
-def test_write_refused_has_no_effect(
+def test_refused_write_has_no_effect(
     bench: Bench,
     key: str,
     expected_revision: int,
@@ -100,7 +100,9 @@
                 key,
                 b"y" * size_bytes,
                 expected_revision=(
-                    before.revision if expected_revision == NOW else expected_revision
+                    before.revision
+                    if expected_revision == CURRENT
+                    else expected_revision
                 ),
                 lease_id=lease_id,
             )
@@ -108,12 +110,12 @@
     assert bench.run(bench.store.get_many("")) == [before]
 
 
-def test_largest_value_is_taken(bench: Bench) -> None:
+def test_largest_value_is_accepted(bench: Bench) -> None:
     value = b"y" * MOST_VALUE_BYTES
     assert bench.run(_write(bench, "a", value)).value == value
 
 
-def test_lease_lapses_with_its_keys_unless_renewed(bench: Bench) -> None:
+def test_lease_expires_with_its_keys_unless_renewed(bench: Bench) -> None:
     lease = bench.run(bench.store.lease_grant(ttl_s=5))
     first = bench.run(
         bench.store.compare_and_swap(
@@ -131,7 +133,7 @@
     assert bench.run(_write(bench, "held")).revision > first.revision
 
 
-def test_revoked_lease_takes_its_keys_at_once(bench: Bench) -> None:
+def test_revoked_lease_removes_its_keys_at_once(bench: Bench) -> None:
     lease = bench.run(bench.store.lease_grant(ttl_s=5))
     bench.run(
         bench.store.compare_and_swap("k", b"1", expected_revision=0, lease_id=lease.id)
@@ -151,11 +153,11 @@
     assert bench.run(bench.store.get("k")) is not None
 
 
-def test_watch_answers_at_once_when_something_is_newer(bench: Bench) -> None:
+def test_watch_returns_at_once_if_newer_changes_exist(bench: Bench) -> None:
     first = bench.run(_write(bench, "a/1"))
     bench.run(_write(bench, "a/2"))
     found = bench.run(bench.store.watch("a/", after_revision=first.revision, wait_s=30))
-    assert [one.key for one in found] == ["a/2"]
+    assert [value.key for value in found] == ["a/2"]
 
 
 def test_watch_waits_for_a_change_under_its_prefix(bench: Bench) -> None:
@@ -169,14 +171,14 @@
         await _write(bench, "a/1")
         return await watch
 
-    assert [one.key for one in bench.run(change())] == ["a/1"]
+    assert [value.key for value in bench.run(change())] == ["a/1"]
 
 
 def test_watch_ends_empty_when_nothing_changes(bench: Bench) -> None:
     assert bench.run(bench.store.watch("a/", after_revision=0, wait_s=0.3)) == []
 
 
-def test_writes_at_once_let_one_win(bench: Bench) -> None:
+def test_one_of_concurrent_writes_succeeds(bench: Bench) -> None:
     async def race() -> list[bool]:
         writes = [
             Deferred.fromCoroutine(
@@ -198,7 +200,7 @@
 
 @pytest.mark.parametrize("make", [MemoryBench, HttpBench], ids=["memory", "http"])
 def test_calls_are_counted_as_the_platform_counts_them(make: type[Bench]) -> None:
-    """A read of a prefix, and a watch however long it waits, are one call each."""
+    """A read of a prefix counts as one call, and so does a watch of any duration."""
     bench = make()
     for key in ("t/2", "t/1"):
         bench.run(_write(bench, key))
@@ -236,10 +238,10 @@
     error: type[GentianwharfError] | None,
     takes_effect: bool,
 ) -> None:
-    """An operator applies rules while the store fails under the write.
+    """An operator applies rules while the store fails during the write.
 
-    The tool must say "not applied" only when it wasn't: a lost answer read as a
-    failure makes the operator write again over a change that is in force.
+    The tool may report "not applied" only if the write had no effect. If it takes a
+    lost response for a failure, the operator writes again over a change in force.
     """
     bench = make(faults=(fault,))
     write = bench.store.compare_and_swap("a", b"1", expected_revision=0)
@@ -253,10 +255,10 @@
     bench.close()
 
 
-def test_connection_gone_silent_ends_by_the_timeout() -> None:
-    """A box between host and store forgets the connection: no answer, no close.
+def test_silent_connection_ends_by_the_timeout() -> None:
+    """A middlebox between host and store drops the connection without closing it.
 
-    Without a timeout of its own the host would wait on it for good.
+    Without its own timeout the host would wait for a response for ever.
     """
     bench = HttpBench(faults=(Fault(kind=FaultKind.HANGS),))
     with pytest.raises(OutcomeUnknownError, match="within 0.5 s") as caught:
