--- a/bench/rules.py
+++ b/bench/rules.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from gentianwharf.rules import (
-    MOST_RULES,
+    MAX_RULES,
     RequestFacts,
     RuleChecker,
     RuleDocument,
@@ -29,7 +29,7 @@
 SEED = 1
 SHARDS = 65_536
 MATCHES = 5_000
-SIZES = (25, 50, 100, 200, MOST_RULES)
+SIZES = (25, 50, 100, 200, MAX_RULES)
 COMMITTED_SIZES = (819, 1219, 2400, 4800)
 NESTED = 8
 MEGABYTE = 1_000_000
@@ -186,7 +186,7 @@
 
 def _memory_figures() -> Iterator[Figure]:
     """Yield what lists add to a process's resident memory, each in a new one."""
-    for size in (MOST_RULES, *COMMITTED_SIZES):
+    for size in (MAX_RULES, *COMMITTED_SIZES):
         value = _document(_split, size).model_dump_json(exclude_none=True)
         for versions in (1, 2):
             with ProcessPoolExecutor(1, mp_context=get_context("spawn")) as pool:
--- a/src/gentianwharf/matching/__init__.py
+++ b/src/gentianwharf/matching/__init__.py
@@ -25,12 +25,12 @@
     ServiceShare,
     Target,
 )
-from ._shards import MOST_KEY_CHARACTERS, holds, shard_in
+from ._shards import MAX_KEY_CHARACTERS, holds, shard_in
 from ._split import Splitter
 
 __all__ = [
     "KEY_HEADER",
-    "MOST_KEY_CHARACTERS",
+    "MAX_KEY_CHARACTERS",
     "SAFE_METHODS",
     "CompiledRule",
     "Condition",
--- a/src/gentianwharf/matching/_facts.py
+++ b/src/gentianwharf/matching/_facts.py
@@ -6,7 +6,7 @@
 from urllib.parse import parse_qsl, unquote
 
 from ._rule import KeyPlace, KeySource, Rule
-from ._shards import MOST_KEY_CHARACTERS
+from ._shards import MAX_KEY_CHARACTERS
 
 KEY_HEADER = "gentianwharf-key"
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
@@ -68,7 +68,7 @@
     if named and placed and named != placed:
         return None
     key = named or placed
-    if not key or len(key) > MOST_KEY_CHARACTERS:
+    if not key or len(key) > MAX_KEY_CHARACTERS:
         return None
     return key
 
--- a/src/gentianwharf/matching/_shards.py
+++ b/src/gentianwharf/matching/_shards.py
@@ -4,7 +4,7 @@
 
 from ._rule import KeySource
 
-MOST_KEY_CHARACTERS = 512
+MAX_KEY_CHARACTERS = 512
 """Keys travel in a header; servers commonly take 8 KiB for all headers together."""
 
 
@@ -23,7 +23,7 @@
         return shard_of(key, shards)
     if not (key.isascii() and key.isdigit()):
         return None
-    if len(key) > MOST_KEY_CHARACTERS:
+    if len(key) > MAX_KEY_CHARACTERS:
         # No request's key is so long. Python refuses to read thousands of digits: one
         # rule for such a key would keep its whole list from being put in force.
         return None
--- a/src/gentianwharf/rules/__init__.py
+++ b/src/gentianwharf/rules/__init__.py
@@ -4,9 +4,9 @@
 
 from ._book import RuleBook
 from ._check import (
-    MOST_DOCUMENT_BYTES,
-    MOST_RULES,
-    MOST_SINGLE_KEYS,
+    MAX_DOCUMENT_BYTES,
+    MAX_RULES,
+    MAX_SINGLE_KEY_RULES,
     RuleChecker,
 )
 from ._codec import StoredRules, decode_rules, encode_rules
@@ -37,9 +37,9 @@
 from ._scope import RuleScope
 
 __all__ = [
-    "MOST_DOCUMENT_BYTES",
-    "MOST_RULES",
-    "MOST_SINGLE_KEYS",
+    "MAX_DOCUMENT_BYTES",
+    "MAX_RULES",
+    "MAX_SINGLE_KEY_RULES",
     "ApplyResult",
     "ChangeKind",
     "Condition",
--- a/src/gentianwharf/rules/_bounds.py
+++ b/src/gentianwharf/rules/_bounds.py
@@ -11,7 +11,7 @@
 from typing import final
 
 from gentianwharf.matching import (
-    MOST_KEY_CHARACTERS,
+    MAX_KEY_CHARACTERS,
     Condition,
     Rule,
     ServiceShare,
@@ -66,8 +66,8 @@
     yield from _most("when.headers", len(when.headers), MOST_HEADERS, "headers")
     for name, value in when.headers.items():
         yield from _header_breaches(name, value)
-    if when.key is not None and not 1 <= len(when.key) <= MOST_KEY_CHARACTERS:
-        expected = f"a key of 1 to {MOST_KEY_CHARACTERS} characters"
+    if when.key is not None and not 1 <= len(when.key) <= MAX_KEY_CHARACTERS:
+        expected = f"a key of 1 to {MAX_KEY_CHARACTERS} characters"
         yield _breach("when.key", when.key, expected)
 
 
--- a/src/gentianwharf/rules/_check.py
+++ b/src/gentianwharf/rules/_check.py
@@ -13,14 +13,14 @@
 from ._results import Finding, Severity
 from ._scope import RuleScope
 
-MOST_RULES = 500
+MAX_RULES = 500
 """Rules are compared pairwise on the daemon's only thread, which must not stand still
 for longer than a right to send lasts (400 ms); see ``bench/rules.py``."""
 
-MOST_DOCUMENT_BYTES = 256 * 1024
+MAX_DOCUMENT_BYTES = 256 * 1024
 """A quarter of what the store takes for a value, so that its record fits beside it."""
 
-MOST_SINGLE_KEYS = 200
+MAX_SINGLE_KEY_RULES = 200
 """Each takes an entry of its own in the assignment table, which every host holds."""
 
 
@@ -37,8 +37,8 @@
         The owners of keys are compared only once the rest is right: an unknown
         service has no shards to compare. A list that is too long is not looked at.
         """
-        if len(document.rules) > MOST_RULES:
-            found, expected = f"{len(document.rules)} rules", f"at most {MOST_RULES}"
+        if len(document.rules) > MAX_RULES:
+            found, expected = f"{len(document.rules)} rules", f"at most {MAX_RULES}"
             return (_document_error(found, expected),)
         compiled = compile_rules(document, self._scope.shards)
         findings = [*_check_size(document), *_check_names(compiled)]
@@ -102,9 +102,9 @@
 
 def _check_size(document: RuleDocument) -> Iterator[Finding]:
     size_bytes = document_size_bytes(document)
-    if size_bytes > MOST_DOCUMENT_BYTES:
+    if size_bytes > MAX_DOCUMENT_BYTES:
         yield _document_error(
-            f"{size_bytes} bytes", f"at most {MOST_DOCUMENT_BYTES} bytes"
+            f"{size_bytes} bytes", f"at most {MAX_DOCUMENT_BYTES} bytes"
         )
     if not document.rules:
         yield _document_error("no rule", "at least one, or every request is refused")
@@ -178,12 +178,12 @@
 
 def _check_single_keys(compiled: Sequence[CompiledRule]) -> Iterator[Finding]:
     single = [one for one in compiled if one.key is not None and one.shards]
-    if len(single) > MOST_SINGLE_KEYS:
+    if len(single) > MAX_SINGLE_KEY_RULES:
         yield _error(
-            single[MOST_SINGLE_KEYS],
+            single[MAX_SINGLE_KEY_RULES],
             "when.key",
             f"{len(single)} rules for single keys",
-            f"at most {MOST_SINGLE_KEYS}; use shard_range for more",
+            f"at most {MAX_SINGLE_KEY_RULES}; use shard_range for more",
         )
 
 
--- a/tests/test_rules_check.py
+++ b/tests/test_rules_check.py
@@ -5,9 +5,9 @@
 import pytest
 
 from gentianwharf.rules import (
-    MOST_DOCUMENT_BYTES,
-    MOST_RULES,
-    MOST_SINGLE_KEYS,
+    MAX_DOCUMENT_BYTES,
+    MAX_RULES,
+    MAX_SINGLE_KEY_RULES,
     Rule,
     RuleChecker,
     RuleDocument,
@@ -87,15 +87,15 @@
             document(
                 *(
                     keyed_rule(name=f"k-{n}", when={"key": f"k{n}"}, site="old")
-                    for n in range(MOST_SINGLE_KEYS + 1)
+                    for n in range(MAX_SINGLE_KEY_RULES + 1)
                 )
             ),
-            f"at most {MOST_SINGLE_KEYS}",
+            f"at most {MAX_SINGLE_KEY_RULES}",
             id="single-keys",
         ),
         pytest.param(
-            document(*(rule(name=f"r-{n}") for n in range(MOST_RULES + 1))),
-            f"{MOST_RULES + 1} rules; expected at most {MOST_RULES}",
+            document(*(rule(name=f"r-{n}") for n in range(MAX_RULES + 1))),
+            f"{MAX_RULES + 1} rules; expected at most {MAX_RULES}",
             id="rules",
         ),
         pytest.param(
@@ -105,7 +105,7 @@
                     for n in range(300)
                 )
             ),
-            f"at most {MOST_DOCUMENT_BYTES} bytes",
+            f"at most {MAX_DOCUMENT_BYTES} bytes",
             id="bytes",
         ),
     ],
