--- a/src/gentianwharf/cli/_rules.py
+++ b/src/gentianwharf/cli/_rules.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from gentianwharf.errors import InputError
-from gentianwharf.rules import RuleChange, RuleDocument, changes
+from gentianwharf.rules import RuleChange, RuleDocument, diff_documents
 from gentianwharf.settings import load_rules
 
 from ._client import AdminClient
@@ -48,7 +48,7 @@
 ) -> list[dict[str, Any]]:
     """Return the changes from a version of the store, None for none, to a document."""
     before = RuleDocument.model_validate(version["document"]) if version else None
-    return [_plain_change(one) for one in changes(before, document)]
+    return [_plain_change(one) for one in diff_documents(before, document)]
 
 
 def _plain_change(change: RuleChange) -> dict[str, Any]:
--- a/src/gentianwharf/rules/__init__.py
+++ b/src/gentianwharf/rules/__init__.py
@@ -10,7 +10,7 @@
     RuleChecker,
 )
 from ._codec import StoredRules, decode_rules, encode_rules
-from ._diff import changes
+from ._diff import diff_documents
 from ._document import (
     Condition,
     KeySource,
@@ -67,8 +67,8 @@
     "Splitter",
     "StoredRules",
     "Target",
-    "changes",
     "decode_rules",
+    "diff_documents",
     "encode_rules",
     "explain",
 ]
--- a/src/gentianwharf/rules/_book.py
+++ b/src/gentianwharf/rules/_book.py
@@ -18,7 +18,7 @@
 
 from ._check import RuleChecker
 from ._codec import FORMAT, StoredRules
-from ._diff import changes
+from ._diff import diff_documents
 from ._document import RuleDocument
 from ._record import CurrentRules, RuleRecord
 from ._results import (
@@ -207,8 +207,8 @@
             current=current.record.version(current.revision),
             edited_from_revision=edited_from_revision,
             base_known=base is not None or edited_from_revision == 0,
-            theirs=changes(document, current.record.document),
-            mine=changes(document, mine),
+            theirs=diff_documents(document, current.record.document),
+            mine=diff_documents(document, mine),
         )
 
 
--- a/src/gentianwharf/rules/_diff.py
+++ b/src/gentianwharf/rules/_diff.py
@@ -8,7 +8,9 @@
 from ._results import ChangeKind, RuleChange
 
 
-def changes(before: RuleDocument | None, after: RuleDocument) -> tuple[RuleChange, ...]:
+def diff_documents(
+    before: RuleDocument | None, after: RuleDocument
+) -> tuple[RuleChange, ...]:
     """Return the changes from ``before`` to ``after`` by rule name.
 
     Order decides which rule matches, so a rule that only stands elsewhere among the
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -33,7 +33,7 @@
     RulesConflict,
     RulesRefused,
     Severity,
-    changes,
+    diff_documents,
 )
 from tests.builders_admin import FakeDaemon, rule_version
 from tests.builders_cli import ran
@@ -234,8 +234,8 @@
         current=rule_version(3, author="karim"),
         edited_from_revision=10,
         base_known=True,
-        theirs=changes(base, theirs),
-        mine=changes(base, migration(0.1)),
+        theirs=diff_documents(base, theirs),
+        mine=diff_documents(base, migration(0.1)),
     )
     result = ran(apply(rule_file), FakeDaemon(result=conflict))
     assert result.code is Exit.CONFLICT
