--- a/src/gentianwharf/matching/_compile.py
+++ b/src/gentianwharf/matching/_compile.py
@@ -14,7 +14,7 @@
     """A rule with its conditions in the form in which they are tested.
 
     The shards from ``first_shard`` up to, not including, ``end_shard`` hold;
-    ``divides`` says whether the rule has a condition on the key at all.
+    ``has_key_condition`` says whether the rule has a condition on the key at all.
     """
 
     number: int
@@ -26,7 +26,7 @@
     header_set: frozenset[tuple[str, str]]
     source: KeySource | None
     key: str | None
-    divides: bool
+    has_key_condition: bool
     shards: int
     first_shard: int
     end_shard: int
@@ -67,7 +67,7 @@
         header_set=frozenset(when.headers.items()),
         source=source,
         key=when.key,
-        divides=(
+        has_key_condition=(
             when.key is not None
             or when.shard_share is not None
             or when.shard_range is not None
--- a/src/gentianwharf/matching/_match.py
+++ b/src/gentianwharf/matching/_match.py
@@ -51,7 +51,7 @@
             return step.first(key, shard) if key and shard is not None else None
         if isinstance(step, HeaderRun):
             return step.first(self._facts.headers)
-        if not step.divides:
+        if not step.has_key_condition:
             return step
         key = self.read(step.source)
         if key is None:
--- a/src/gentianwharf/matching/_runs.py
+++ b/src/gentianwharf/matching/_runs.py
@@ -100,13 +100,13 @@
 
 
 def _shape(rule: CompiledRule) -> _KeyShape | _HeaderShape | None:
-    if rule.divides and rule.shards:
+    if rule.has_key_condition and rule.shards:
         return _KeyShape(
             methods=rule.methods,
             headers=rule.header_set,
             source=rule.source,
             shards=rule.shards,
         )
-    if not rule.divides and len(rule.headers) == 1:
+    if not rule.has_key_condition and len(rule.headers) == 1:
         return _HeaderShape(methods=rule.methods, name=rule.headers[0][0])
     return None
--- a/src/gentianwharf/rules/_cover.py
+++ b/src/gentianwharf/rules/_cover.py
@@ -16,7 +16,7 @@
         and later.path_prefix.startswith(earlier.path_prefix)
         and (earlier.host is None or earlier.host == later.host)
         and _methods_cover(earlier.methods, later.methods)
-        and (not earlier.divides or earlier.source == later.source)
+        and (not earlier.has_key_condition or earlier.source == later.source)
     )
 
 
@@ -39,9 +39,9 @@
 
 
 def _keys_cover(earlier: CompiledRule, later: CompiledRule) -> bool:
-    if not earlier.divides:
+    if not earlier.has_key_condition:
         return True
-    if not later.divides:
+    if not later.has_key_condition:
         return False
     if earlier.key is not None:
         return earlier.key == later.key
--- a/src/gentianwharf/rules/_explain.py
+++ b/src/gentianwharf/rules/_explain.py
@@ -54,7 +54,7 @@
                 if found is not None
                 else f"header {name} is missing, the rule asks for {value!r}"
             )
-    if rule.divides:
+    if rule.has_key_condition:
         reasons.extend(_key_reasons(rule, facts))
     return reasons
 
--- a/src/gentianwharf/rules/_owners.py
+++ b/src/gentianwharf/rules/_owners.py
@@ -113,5 +113,5 @@
         rule.methods,
         rule.header_set,
         rule.source,
-        rule.divides,
+        rule.has_key_condition,
     )
