--- a/src/gentianwharf/matching/_compile.py
+++ b/src/gentianwharf/matching/_compile.py
@@ -24,7 +24,7 @@
     methods: frozenset[str]
     headers: tuple[tuple[str, str], ...]
     header_set: frozenset[tuple[str, str]]
-    source: KeySource | None
+    key_source: KeySource | None
     key: str | None
     has_key_condition: bool
     shards: int
@@ -46,14 +46,14 @@
             rule,
             number=number,
             shards=shards.get(rule.then.service, 0),
-            source=sources.setdefault(rule.then.key, rule.then.key),
+            key_source=sources.setdefault(rule.then.key, rule.then.key),
         )
         for number, rule in enumerate(document.rules, start=1)
     )
 
 
 def _compile_rule(
-    rule: Rule, *, number: int, shards: int, source: KeySource | None
+    rule: Rule, *, number: int, shards: int, key_source: KeySource | None
 ) -> CompiledRule:
     when = rule.when
     first_shard, end_shard = _shard_bounds(when, shards)
@@ -65,7 +65,7 @@
         methods=frozenset(when.methods),
         headers=tuple(when.headers.items()),
         header_set=frozenset(when.headers.items()),
-        source=source,
+        key_source=key_source,
         key=when.key,
         has_key_condition=(
             when.key is not None
--- a/src/gentianwharf/matching/_facts.py
+++ b/src/gentianwharf/matching/_facts.py
@@ -48,7 +48,7 @@
     repeatable: bool
 
 
-def read_key(source: KeySource | None, facts: RequestFacts) -> str | None:
+def read_key(key_source: KeySource | None, facts: RequestFacts) -> str | None:
     """Return the request's key, or None when it has none that can be used.
 
     It stands in the header ``Gentianwharf-Key`` or where the rule says. A request with
@@ -59,12 +59,12 @@
     two shards, and one key would have two owners.
 
     >>> from ._rule import DecodedKeySource
-    >>> source = DecodedKeySource(place=KeyPlace.PATH_SEGMENT, name="1")
-    >>> read_key(source, RequestFacts(method="GET", host="", path="/club/a%62c"))
+    >>> key_source = DecodedKeySource(place=KeyPlace.PATH_SEGMENT, name="1")
+    >>> read_key(key_source, RequestFacts(method="GET", host="", path="/club/a%62c"))
     'abc'
     """
     named = facts.headers.get(KEY_HEADER)
-    placed = _read_place(source, facts) if source is not None else None
+    placed = _read_place(key_source, facts) if key_source is not None else None
     if named and placed and named != placed:
         return None
     key = named or placed
@@ -73,13 +73,13 @@
     return key
 
 
-def _read_place(source: KeySource, facts: RequestFacts) -> str | None:
-    if source.place is KeyPlace.HEADER:
-        return facts.headers.get(source.name)
-    if source.place is KeyPlace.QUERY:
-        return _read_query(source.name, facts.query)
-    segments = facts.path.split("/", int(source.name) + 2)
-    index = int(source.name) + 1
+def _read_place(key_source: KeySource, facts: RequestFacts) -> str | None:
+    if key_source.place is KeyPlace.HEADER:
+        return facts.headers.get(key_source.name)
+    if key_source.place is KeyPlace.QUERY:
+        return _read_query(key_source.name, facts.query)
+    segments = facts.path.split("/", int(key_source.name) + 2)
+    index = int(key_source.name) + 1
     if index >= len(segments):
         return None
     segment = segments[index]
--- a/src/gentianwharf/matching/_match.py
+++ b/src/gentianwharf/matching/_match.py
@@ -30,11 +30,11 @@
         self._shard: int | None = None
         self.key: str | None = None
 
-    def read(self, source: KeySource | None) -> str | None:
-        if source is not self._read_from:
-            self._read_from = self._source = source
+    def read(self, key_source: KeySource | None) -> str | None:
+        if key_source is not self._read_from:
+            self._read_from = self._source = key_source
             self._shards = 0
-            self.key = read_key(source, self._facts)
+            self.key = read_key(key_source, self._facts)
         return self.key
 
     def shard(self, key: str, shards: int) -> int | None:
@@ -46,14 +46,14 @@
     def first(self, step: Step) -> CompiledRule | None:
         """Return the rule of ``step`` that holds, methods and headers aside."""
         if isinstance(step, KeyRun):
-            key = self.read(step.source)
+            key = self.read(step.key_source)
             shard = self.shard(key, step.shards) if key else None
             return step.first(key, shard) if key and shard is not None else None
         if isinstance(step, HeaderRun):
             return step.first(self._facts.headers)
         if not step.has_key_condition:
             return step
-        key = self.read(step.source)
+        key = self.read(step.key_source)
         if key is None:
             return None
         if step.key is not None:
@@ -101,8 +101,10 @@
     def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
         """Return ``match`` with another service of its rule's split."""
         shards = self._shards.get(service, 0)
-        source = match.rule.then.key
-        shard = shard_in(source, match.key, shards) if match.key and shards else None
+        key_source = match.rule.then.key
+        shard = (
+            shard_in(key_source, match.key, shards) if match.key and shards else None
+        )
         return replace(match, service=service, shard=shard)
 
     def site_of(self, service: str, shard: int) -> str | None:
@@ -119,7 +121,7 @@
 def _answer(
     rule: CompiledRule, facts: RequestFacts, request_key: _RequestKey
 ) -> RuleMatch:
-    key = request_key.read(rule.source)
+    key = request_key.read(rule.key_source)
     shard = None
     if key is not None and rule.shards:
         shard = request_key.shard(key, rule.shards)
--- a/src/gentianwharf/matching/_runs.py
+++ b/src/gentianwharf/matching/_runs.py
@@ -22,12 +22,12 @@
 class KeyRun:
     """Consecutive rules that agree in all but their condition on the key."""
 
-    __slots__ = ("_keys", "_ranges", "headers", "methods", "shards", "source")
+    __slots__ = ("_keys", "_ranges", "headers", "key_source", "methods", "shards")
 
     def __init__(self, rules: Sequence[CompiledRule]) -> None:
         self.methods = rules[0].methods
         self.headers = rules[0].headers
-        self.source: KeySource | None = rules[0].source
+        self.key_source: KeySource | None = rules[0].key_source
         self.shards = rules[0].shards
         self._ranges = ShardRanges(one for one in rules if one.key is None)
         self._keys: dict[str, CompiledRule] = {}
@@ -74,7 +74,7 @@
 
     methods: frozenset[str]
     headers: frozenset[tuple[str, str]]
-    source: KeySource | None
+    key_source: KeySource | None
     shards: int
 
 
@@ -104,7 +104,7 @@
         return _KeyShape(
             methods=rule.methods,
             headers=rule.header_set,
-            source=rule.source,
+            key_source=rule.key_source,
             shards=rule.shards,
         )
     if not rule.has_key_condition and len(rule.headers) == 1:
--- a/src/gentianwharf/matching/_shards.py
+++ b/src/gentianwharf/matching/_shards.py
@@ -8,7 +8,7 @@
 """Keys travel in a header; servers commonly take 8 KiB for all headers together."""
 
 
-def shard_in(source: KeySource | None, key: str, shards: int) -> int | None:
+def shard_in(key_source: KeySource | None, key: str, shards: int) -> int | None:
     """Return the shard of ``key`` among ``shards``; None for a number that is none.
 
     >>> shard_in(None, "faculte-des-sciences", 1024)
@@ -19,7 +19,7 @@
     >>> shard_in(numbered, "72", 1024), shard_in(numbered, "1024", 1024)
     (72, None)
     """
-    if source is None or not source.is_shard:
+    if key_source is None or not key_source.is_shard:
         return shard_of(key, shards)
     if not (key.isascii() and key.isdigit()):
         return None
--- a/src/gentianwharf/matching/_sites.py
+++ b/src/gentianwharf/matching/_sites.py
@@ -26,11 +26,11 @@
             if one.key is not None:
                 first_by_key.setdefault(one.key, one)
         # Placement asks without a request: the first rule says how a key has its shard.
-        source, shards = rules[0].source, rules[0].shards
+        key_source, shards = rules[0].key_source, rules[0].shards
         self.single_keys = {
             key: one.rule.then.site
             for key, one in first_by_key.items()
-            if not self._is_decided_before(one, shard_in(source, key, shards))
+            if not self._is_decided_before(one, shard_in(key_source, key, shards))
         }
 
     def site_of(self, shard: int) -> str | None:
--- a/src/gentianwharf/rules/_check.py
+++ b/src/gentianwharf/rules/_check.py
@@ -126,7 +126,7 @@
 
 
 def _check_key(one: CompiledRule) -> Iterator[Finding]:
-    if one.source is not None:
+    if one.key_source is not None:
         return
     remedy = f'"key": {{"place": "header", "name": "{KEY_HEADER}"}} or another place'
     if one.shards:
--- a/src/gentianwharf/rules/_cover.py
+++ b/src/gentianwharf/rules/_cover.py
@@ -16,7 +16,7 @@
         and later.path_prefix.startswith(earlier.path_prefix)
         and (earlier.host is None or earlier.host == later.host)
         and _methods_cover(earlier.methods, later.methods)
-        and (not earlier.has_key_condition or earlier.source == later.source)
+        and (not earlier.has_key_condition or earlier.key_source == later.key_source)
     )
 
 
@@ -57,5 +57,5 @@
 def _takes(rule: CompiledRule, key: str) -> bool:
     if not rule.shards:
         return False
-    shard = shard_in(rule.source, key, rule.shards)
+    shard = shard_in(rule.key_source, key, rule.shards)
     return holds(rule.first_shard, shard, rule.end_shard)
--- a/src/gentianwharf/rules/_explain.py
+++ b/src/gentianwharf/rules/_explain.py
@@ -60,7 +60,7 @@
 
 
 def _key_reasons(rule: CompiledRule, facts: RequestFacts) -> list[str]:
-    key = read_key(rule.source, facts)
+    key = read_key(rule.key_source, facts)
     if key is None:
         return ["the request has no key where the rule looks for it, or two of them"]
     if rule.key is not None:
@@ -69,7 +69,7 @@
         return [f"key is {key!r}, the rule asks for {rule.key!r}"]
     if not rule.shards:
         return [f"service {rule.rule.then.service} has no shards"]
-    shard = shard_in(rule.source, key, rule.shards)
+    shard = shard_in(rule.key_source, key, rule.shards)
     if holds(rule.first_shard, shard, rule.end_shard):
         return []
     return [
--- a/src/gentianwharf/rules/_owners.py
+++ b/src/gentianwharf/rules/_owners.py
@@ -65,7 +65,7 @@
     for start in sorted(edge for edge in {0, *edges} if edge < shards):
         yield f"keys of shard {start}", _holding(rules, start, None)
     for key in dict.fromkeys(one.key for one in rules if one.key is not None):
-        shard = shard_in(rules[0].source, key, shards)
+        shard = shard_in(rules[0].key_source, key, shards)
         yield f"key {key!r}", _holding(rules, shard, key)
 
 
@@ -112,6 +112,6 @@
         rule.path_prefix,
         rule.methods,
         rule.header_set,
-        rule.source,
+        rule.key_source,
         rule.has_key_condition,
     )
