--- a/src/gentianwharf/matching/__init__.py
+++ b/src/gentianwharf/matching/__init__.py
@@ -25,7 +25,7 @@
     ServiceShare,
     Target,
 )
-from ._shards import MAX_KEY_CHARACTERS, holds, shard_in
+from ._shards import MAX_KEY_CHARACTERS, find_shard, is_in_range
 from ._split import Splitter
 
 __all__ = [
@@ -52,7 +52,7 @@
     "Splitter",
     "Target",
     "compile_rules",
-    "holds",
+    "find_shard",
+    "is_in_range",
     "read_key",
-    "shard_in",
 ]
--- a/src/gentianwharf/matching/_match.py
+++ b/src/gentianwharf/matching/_match.py
@@ -10,7 +10,7 @@
 from ._index import RuleIndex
 from ._rule import KeySource, Rules
 from ._runs import HeaderRun, KeyRun, Step
-from ._shards import holds, shard_in
+from ._shards import find_shard, is_in_range
 from ._sites import sites_by_service
 
 _UNREAD = object()
@@ -40,7 +40,7 @@
     def shard(self, key: str, shards: int) -> int | None:
         if shards != self._shards:
             self._shards = shards
-            self._shard = shard_in(self._source, key, shards)
+            self._shard = find_shard(self._source, key, shards)
         return self._shard
 
     def first(self, step: Step) -> CompiledRule | None:
@@ -61,7 +61,7 @@
         if not step.shards:
             return None
         shard = self.shard(key, step.shards)
-        return step if holds(step.first_shard, shard, step.end_shard) else None
+        return step if is_in_range(step.first_shard, shard, step.end_shard) else None
 
 
 @final
@@ -103,7 +103,7 @@
         shards = self._shards.get(service, 0)
         key_source = match.rule.then.key
         shard = (
-            shard_in(key_source, match.key, shards) if match.key and shards else None
+            find_shard(key_source, match.key, shards) if match.key and shards else None
         )
         return replace(match, service=service, shard=shard)
 
--- a/src/gentianwharf/matching/_shards.py
+++ b/src/gentianwharf/matching/_shards.py
@@ -8,15 +8,15 @@
 """Keys travel in a header; servers commonly take 8 KiB for all headers together."""
 
 
-def shard_in(key_source: KeySource | None, key: str, shards: int) -> int | None:
+def find_shard(key_source: KeySource | None, key: str, shards: int) -> int | None:
     """Return the shard of ``key`` among ``shards``; None for a number that is none.
 
-    >>> shard_in(None, "faculte-des-sciences", 1024)
+    >>> find_shard(None, "faculte-des-sciences", 1024)
     72
     >>> from ._rule import DecodedKeySource, KeyPlace
     >>> numbered = DecodedKeySource(
     ...     place=KeyPlace.HEADER, name="x-shard", is_shard=True)
-    >>> shard_in(numbered, "72", 1024), shard_in(numbered, "1024", 1024)
+    >>> find_shard(numbered, "72", 1024), find_shard(numbered, "1024", 1024)
     (72, None)
     """
     if key_source is None or not key_source.is_shard:
@@ -31,10 +31,10 @@
     return shard if shard < shards else None
 
 
-def holds(first_shard: int, shard: int | None, end_shard: int) -> bool:
+def is_in_range(first_shard: int, shard: int | None, end_shard: int) -> bool:
     """Say whether there is a shard and it stands from the first up to the end.
 
-    >>> holds(0, 7, 8), holds(0, 8, 8), holds(0, None, 8)
+    >>> is_in_range(0, 7, 8), is_in_range(0, 8, 8), is_in_range(0, None, 8)
     (True, False, False)
     """
     return shard is not None and first_shard <= shard < end_shard
--- a/src/gentianwharf/matching/_sites.py
+++ b/src/gentianwharf/matching/_sites.py
@@ -9,7 +9,7 @@
 
 from ._compile import CompiledRule
 from ._ranges import ShardRanges
-from ._shards import shard_in
+from ._shards import find_shard
 
 
 @final
@@ -30,7 +30,7 @@
         self.single_keys = {
             key: one.rule.then.site
             for key, one in first_by_key.items()
-            if not self._is_decided_before(one, shard_in(key_source, key, shards))
+            if not self._is_decided_before(one, find_shard(key_source, key, shards))
         }
 
     def site_of(self, shard: int) -> str | None:
--- a/src/gentianwharf/rules/_cover.py
+++ b/src/gentianwharf/rules/_cover.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator, Sequence
 
-from gentianwharf.matching import CompiledRule, RuleIndex, holds, shard_in
+from gentianwharf.matching import CompiledRule, RuleIndex, find_shard, is_in_range
 
 
 def covers(earlier: CompiledRule, later: CompiledRule) -> bool:
@@ -57,5 +57,5 @@
 def _takes(rule: CompiledRule, key: str) -> bool:
     if not rule.shards:
         return False
-    shard = shard_in(rule.key_source, key, rule.shards)
-    return holds(rule.first_shard, shard, rule.end_shard)
+    shard = find_shard(rule.key_source, key, rule.shards)
+    return is_in_range(rule.first_shard, shard, rule.end_shard)
--- a/src/gentianwharf/rules/_explain.py
+++ b/src/gentianwharf/rules/_explain.py
@@ -4,9 +4,9 @@
     CompiledRule,
     RequestFacts,
     RuleSet,
-    holds,
+    find_shard,
+    is_in_range,
     read_key,
-    shard_in,
 )
 
 from ._results import Explanation, PassedOver
@@ -69,8 +69,8 @@
         return [f"key is {key!r}, the rule asks for {rule.key!r}"]
     if not rule.shards:
         return [f"service {rule.rule.then.service} has no shards"]
-    shard = shard_in(rule.key_source, key, rule.shards)
-    if holds(rule.first_shard, shard, rule.end_shard):
+    shard = find_shard(rule.key_source, key, rule.shards)
+    if is_in_range(rule.first_shard, shard, rule.end_shard):
         return []
     return [
         f"the key's shard is {shard}, the rule holds for shards"
--- a/src/gentianwharf/rules/_owners.py
+++ b/src/gentianwharf/rules/_owners.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import final
 
-from gentianwharf.matching import CompiledRule, holds, shard_in
+from gentianwharf.matching import CompiledRule, find_shard, is_in_range
 
 from ._cover import covers
 
@@ -65,7 +65,7 @@
     for start in sorted(edge for edge in {0, *edges} if edge < shards):
         yield f"keys of shard {start}", _holding(rules, start, None)
     for key in dict.fromkeys(one.key for one in rules if one.key is not None):
-        shard = shard_in(rules[0].key_source, key, shards)
+        shard = find_shard(rules[0].key_source, key, shards)
         yield f"key {key!r}", _holding(rules, shard, key)
 
 
@@ -73,7 +73,7 @@
     holding = 0
     for position, one in enumerate(rules):
         if one.key is None:
-            is_held = holds(one.first_shard, shard, one.end_shard)
+            is_held = is_in_range(one.first_shard, shard, one.end_shard)
         else:
             is_held = one.key == key
         holding |= is_held << position
