--- a/src/gentianwharf/daemon/_rules.py
+++ b/src/gentianwharf/daemon/_rules.py
@@ -110,10 +110,10 @@
             raise replace(NO_RULES_YET)
         return self.current.match(facts)
 
-    def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
+    def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
         """Return ``match`` with another service of its rule's split."""
         assert self.current is not None, "a match comes from rules"
-        return self.current.sent_to(match, service)
+        return self.current.with_service(match, service)
 
     def site_of(self, service: str, shard: int) -> str | None:
         """Return the site where the rules want a shard."""
--- a/src/gentianwharf/entryhost/_rules.py
+++ b/src/gentianwharf/entryhost/_rules.py
@@ -137,10 +137,10 @@
             raise replace(UNREAD_RULE)
         return match
 
-    def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
+    def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
         """Return ``match`` with another service of its rule's split."""
         assert self._rules is not None, "a match comes from rules"
-        return self._rules.sent_to(match, service)
+        return self._rules.with_service(match, service)
 
 
 def _shards(configuration: Configuration) -> Mapping[str, int]:
--- a/src/gentianwharf/matching/_match.py
+++ b/src/gentianwharf/matching/_match.py
@@ -98,7 +98,7 @@
                     return _answer(rule, facts, request_key)
         return None
 
-    def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
+    def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
         """Return ``match`` with another service of its rule's split."""
         shards = self._shards.get(service, 0)
         key_source = match.rule.then.key
--- a/src/gentianwharf/relay/_ports.py
+++ b/src/gentianwharf/relay/_ports.py
@@ -83,7 +83,7 @@
     def match(self, facts: RequestFacts) -> RuleMatch | None:
         """Return what the first matching rule says."""
 
-    def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
+    def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
         """Return ``match`` with another service of its rule's split."""
 
 
--- a/tests/test_users_platform_decoding.py
+++ b/tests/test_users_platform_decoding.py
@@ -109,7 +109,7 @@
     match = rules.match(facts("/visits/1", **{"shard-key": "65535"}))
     assert match is not None
     assert (match.service, match.shard) == ("seats", None)
-    assert rules.sent_to(match, "calendar").shard == 65535
+    assert rules.with_service(match, "calendar").shard == 65535
 
 
 @pytest.mark.parametrize("key", ["65536", "-1", "x", "1.5", "٣"])
