--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -244,7 +244,7 @@
         )
         if configuration.limits is not None:
             self._site.take_limits(limits_of(configuration.limits))
-        self.relay.splitter.keep_only(
+        self.relay.splitter.retain_rules(
             frozenset(rule.name for rule in configuration.document.rules)
         )
         for name in configuration.services:
--- a/src/gentianwharf/matching/_split.py
+++ b/src/gentianwharf/matching/_split.py
@@ -22,14 +22,14 @@
     >>> match = RuleMatch(number=1, rule=rule, service="old", site=None,
     ...                   request_class="x", key=None, shard=None, repeatable=True)
     >>> splitter = Splitter()
-    >>> [splitter.service(match) for _ in range(4)]
+    >>> [splitter.choose_service(match) for _ in range(4)]
     ['old', 'old', 'new', 'old']
     """
 
     def __init__(self) -> None:
         self._behind: dict[str, dict[str, float]] = {}
 
-    def service(self, match: RuleMatch) -> str:
+    def choose_service(self, match: RuleMatch) -> str:
         """Return the service that the next request of this rule goes to."""
         split = match.rule.then.split
         if not split:
@@ -45,7 +45,7 @@
         behind[chosen.service] -= total
         return chosen.service
 
-    def keep_only(self, names: frozenset[str]) -> None:
+    def retain_rules(self, names: frozenset[str]) -> None:
         """Forget the rules that are gone, so that the table stays bounded."""
         for name in self._behind.keys() - names:
             del self._behind[name]
--- a/src/gentianwharf/relay/_app.py
+++ b/src/gentianwharf/relay/_app.py
@@ -160,7 +160,7 @@
                 step="match",
             )
         if match.rule.then.split:
-            match = self.rules.with_service(match, self.splitter.service(match))
+            match = self.rules.with_service(match, self.splitter.choose_service(match))
         if match.service in self._keyed and match.shard is None:
             raise _bad_request(
                 f"service {match.service} is divided by key, and the request has none:"
