--- a/src/gentianwharf/rules/__init__.py
+++ b/src/gentianwharf/rules/__init__.py
@@ -26,13 +26,13 @@
     ChangeKind,
     Explanation,
     Finding,
-    PassedOver,
     RuleChange,
     RulesApplied,
     RulesConflict,
     RulesRefused,
     RuleVersion,
     Severity,
+    UnmatchedRule,
 )
 from ._scope import RuleScope
 
@@ -47,7 +47,6 @@
     "Finding",
     "KeyPlace",
     "KeySource",
-    "PassedOver",
     "RequestFacts",
     "Rule",
     "RuleBook",
@@ -67,6 +66,7 @@
     "Splitter",
     "StoredRules",
     "Target",
+    "UnmatchedRule",
     "decode_rules",
     "diff_documents",
     "encode_rules",
--- a/src/gentianwharf/rules/_explain.py
+++ b/src/gentianwharf/rules/_explain.py
@@ -9,7 +9,7 @@
     read_key,
 )
 
-from ._results import Explanation, PassedOver
+from ._results import Explanation, UnmatchedRule
 
 
 def explain(rules: RuleSet, facts: RequestFacts) -> Explanation:
@@ -27,7 +27,7 @@
         shard=match.shard if match is not None else None,
         repeatable=match.repeatable if match is not None else None,
         passed_over=tuple(
-            PassedOver(
+            UnmatchedRule(
                 number=one.number,
                 rule_name=one.rule.name,
                 reasons=tuple(_reasons(one, facts)),
--- a/src/gentianwharf/rules/_results.py
+++ b/src/gentianwharf/rules/_results.py
@@ -124,7 +124,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PassedOver:
+class UnmatchedRule:
     """A rule that did not match a request, and the conditions that failed."""
 
     number: int
@@ -146,4 +146,4 @@
     key: str | None
     shard: int | None
     repeatable: bool | None
-    passed_over: tuple[PassedOver, ...]
+    passed_over: tuple[UnmatchedRule, ...]
