--- a/src/gentianwharf/settings/__init__.py
+++ b/src/gentianwharf/settings/__init__.py
@@ -1,6 +1,6 @@
 """Settings in JSON with comments, checked before anything starts."""
 
-from ._lines import TextLines, find_lines
+from ._lines import LineMap, map_lines
 from ._load import (
     load_rules,
     load_rules_with_lines,
@@ -40,6 +40,7 @@
     "DomainSettings",
     "HostSettings",
     "KnownHost",
+    "LineMap",
     "LogLevel",
     "LogSettings",
     "NumberedServers",
@@ -49,19 +50,18 @@
     "ServiceSettings",
     "Settings",
     "ShutdownSettings",
-    "TextLines",
     "Url",
     "WeightSettings",
     "check_address",
     "check_ip_url",
     "domains_of",
-    "find_lines",
     "is_loopback",
     "line_of_finding",
     "load_initial_rules",
     "load_rules",
     "load_rules_with_lines",
     "load_settings",
+    "map_lines",
     "parse_jsonc",
     "rule_scope_of",
     "services_of",
--- a/src/gentianwharf/settings/_lines.py
+++ b/src/gentianwharf/settings/_lines.py
@@ -22,18 +22,18 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class TextLines:
+class LineMap:
     """The line of each value, and keys that one object has twice, with their line."""
 
     lines: dict[Location, int]
-    repeated: tuple[tuple[str, int], ...]
+    duplicate_keys: tuple[tuple[str, int], ...]
 
     def line_of(self, location: Iterable[str | int]) -> int:
         r"""Return the line of the value, or of the nearest one that holds it.
 
         Parts that lead nowhere are passed over: a validator adds some of its own.
 
-        >>> lines = find_lines('{\n "a": [\n  1,\n  {"b": 2}]}')
+        >>> lines = map_lines('{\n "a": [\n  1,\n  {"b": 2}]}')
         >>> lines.line_of(("a", 1, "b")), lines.line_of(("a", "tuple", 0))
         (4, 3)
         """
@@ -47,7 +47,7 @@
 @dataclass(kw_only=True, slots=True)
 class _Scan:
     lines: dict[Location, int] = field(default_factory=dict)
-    repeated: list[tuple[str, int]] = field(default_factory=list)
+    duplicate_keys: list[tuple[str, int]] = field(default_factory=list)
     path: list[str | int | None] = field(default_factory=list)
 
     def take(self, token: str, line: int) -> None:
@@ -70,7 +70,7 @@
             name = pyjson5.decode(token) if token[0] in "\"'" else token
             self.path[-1] = name
             if tuple(self.path) in self.lines:
-                self.repeated.append((name, line))
+                self.duplicate_keys.append((name, line))
         self._put(line)
 
     def _put(self, line: int) -> None:
@@ -78,7 +78,7 @@
         self.lines.setdefault(location, line)
 
 
-def find_lines(text: str) -> TextLines:
+def map_lines(text: str) -> LineMap:
     """Return the line of each value of ``text``, which must have parsed."""
     scan = _Scan()
     line, end = 1, 0
@@ -88,4 +88,4 @@
         token = match.group()
         if not token.startswith(("//", "/*")):
             scan.take(token, line)
-    return TextLines(lines=scan.lines, repeated=tuple(scan.repeated))
+    return LineMap(lines=scan.lines, duplicate_keys=tuple(scan.duplicate_keys))
--- a/src/gentianwharf/settings/_load.py
+++ b/src/gentianwharf/settings/_load.py
@@ -10,7 +10,7 @@
 from gentianwharf.errors import InputError
 from gentianwharf.rules import RuleDocument
 
-from ._lines import TextLines, find_lines
+from ._lines import LineMap, map_lines
 from ._mistakes import MistakesError
 from ._models import Settings
 
@@ -37,9 +37,9 @@
         raise InputError(
             f"{source}: nested too deeply", step="parse", peer=source
         ) from error
-    repeated = find_lines(text).repeated
-    if repeated:
-        name, line = repeated[0]
+    duplicate_keys = map_lines(text).duplicate_keys
+    if duplicate_keys:
+        name, line = duplicate_keys[0]
         raise InputError(
             f"{source}: line {line}: {name!r} stands twice in one object; remove one",
             step="parse",
@@ -58,7 +58,7 @@
 
 
 def validate(
-    model: type[Model], data: Any, *, source: str, lines: TextLines | None = None
+    model: type[Model], data: Any, *, source: str, lines: LineMap | None = None
 ) -> Model:
     """Check ``data`` against ``model``; an error lists every mistake with its line."""
     try:
@@ -75,7 +75,7 @@
         ) from error
 
 
-def _describe(detail: Any, lines: TextLines | None) -> Iterator[str]:
+def _describe(detail: Any, lines: LineMap | None) -> Iterator[str]:
     cause = detail.get("ctx", {}).get("error")
     if isinstance(cause, MistakesError):
         for mistake in cause.mistakes:
@@ -88,7 +88,7 @@
     yield _line(detail["loc"], f"{detail['msg']} (found {found})", lines)
 
 
-def _line(location: Any, text: str, lines: TextLines | None) -> str:
+def _line(location: Any, text: str, lines: LineMap | None) -> str:
     field = ".".join(str(part) for part in location) or "document"
     where = f"line {lines.line_of(location)}: " if lines is not None else ""
     return f"{where}{field}: {text}"
@@ -104,12 +104,12 @@
     return _load(RuleDocument, path)[0]
 
 
-def load_rules_with_lines(path: Path) -> tuple[RuleDocument, TextLines]:
+def load_rules_with_lines(path: Path) -> tuple[RuleDocument, LineMap]:
     """Read and check a rule file; the lines serve what a later check finds."""
     return _load(RuleDocument, path)
 
 
-def _load(model: type[Model], path: Path) -> tuple[Model, TextLines]:
+def _load(model: type[Model], path: Path) -> tuple[Model, LineMap]:
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -118,5 +118,5 @@
             f"{path}: can't be read: {reason}", step="read", peer=str(path)
         ) from error
     data = parse_jsonc(text, source=str(path))
-    lines = find_lines(text)
+    lines = map_lines(text)
     return validate(model, data, source=str(path), lines=lines), lines
--- a/src/gentianwharf/settings/_rules.py
+++ b/src/gentianwharf/settings/_rules.py
@@ -6,13 +6,13 @@
 from gentianwharf.errors import InputError
 from gentianwharf.rules import Finding, RuleChecker, RuleDocument, Severity
 
-from ._lines import TextLines
+from ._lines import LineMap
 from ._load import load_rules_with_lines
 from ._models import Settings
 from ._topology import rule_scope_of
 
 
-def line_of_finding(finding: Finding, lines: TextLines) -> int:
+def line_of_finding(finding: Finding, lines: LineMap) -> int:
     """Return the line of a rule file on which a finding stands."""
     parts = finding.location.split(".")
     return lines.line_of(int(part) if part.isdigit() else part for part in parts)
@@ -39,5 +39,5 @@
     return document
 
 
-def _listed(findings: Iterable[Finding], lines: TextLines) -> str:
+def _listed(findings: Iterable[Finding], lines: LineMap) -> str:
     return "".join(f"\n  line {line_of_finding(one, lines)}: {one}" for one in findings)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,10 +10,10 @@
 from gentianwharf.errors import InputError
 from gentianwharf.rules import RuleChecker, RuleDocument
 from gentianwharf.settings import (
-    TextLines,
-    find_lines,
+    LineMap,
     load_rules,
     load_settings,
+    map_lines,
     parse_jsonc,
     rule_scope_of,
     services_of,
@@ -162,13 +162,13 @@
 def test_every_value_has_the_line_on_which_it_stands(value: object) -> None:
     text = "// a comment: {[,\n" + json.dumps(value, indent=1)
     assert parse_jsonc(text, source="test") == value
-    lines = find_lines(text)
-    assert lines.repeated == ()
+    lines = map_lines(text)
+    assert lines.duplicate_keys == ()
     _check_lines(value, (), lines, text.split("\n"))
 
 
 def _check_lines(
-    value: object, location: tuple[str | int, ...], lines: TextLines, text: list[str]
+    value: object, location: tuple[str | int, ...], lines: LineMap, text: list[str]
 ) -> None:
     if isinstance(value, list):
         for number, one in enumerate(value):
@@ -199,6 +199,6 @@
     """Whatever an operator saves, the tool answers with a document or a message."""
     try:
         data = parse_jsonc(text, source="rules.jsonc")
-        validate(RuleDocument, data, source="rules.jsonc", lines=find_lines(text))
+        validate(RuleDocument, data, source="rules.jsonc", lines=map_lines(text))
     except InputError as error:
         assert error.message.startswith("rules.jsonc: ")
