--- a/src/gentianwharf/rules/_scope.py
+++ b/src/gentianwharf/rules/_scope.py
@@ -23,7 +23,7 @@
     deadline_caps_ms: Mapping[str, int] = field(default_factory=dict)
 
     @classmethod
-    def of(
+    def from_topology(
         cls,
         *,
         services: Iterable[Service],
--- a/src/gentianwharf/settings/_topology.py
+++ b/src/gentianwharf/settings/_topology.py
@@ -27,7 +27,7 @@
 
 def rule_scope_of(settings: Settings) -> RuleScope:
     """Return what a rule document may speak of."""
-    return RuleScope.of(
+    return RuleScope.from_topology(
         services=services_of(settings),
         domains=domains_of(settings),
         classes=[one.name for one in settings.classes],
