--- a/src/gentianwharf/settings/__init__.py
+++ b/src/gentianwharf/settings/__init__.py
@@ -1,15 +1,6 @@
 """Settings in JSON with comments, checked before anything starts."""
 
-from ._lines import LineMap, map_lines
-from ._load import (
-    load_rules,
-    load_rules_with_lines,
-    load_settings,
-    parse_jsonc,
-    validate,
-)
-from ._models import Settings
-from ._places import (
+from ._entities import (
     BackendServerSettings,
     DomainSettings,
     HostSettings,
@@ -19,6 +10,15 @@
     ServerCapabilities,
     ServiceSettings,
 )
+from ._lines import LineMap, map_lines
+from ._load import (
+    load_rules,
+    load_rules_with_lines,
+    load_settings,
+    parse_jsonc,
+    validate,
+)
+from ._models import Settings
 from ._policy import (
     CallerLimits,
     ClassSettings,
--- a/src/gentianwharf/settings/_models.py
+++ b/src/gentianwharf/settings/_models.py
@@ -5,8 +5,7 @@
 
 from pydantic import Field, model_validator
 
-from ._mistakes import Mistake, MistakesError, repeated
-from ._places import (
+from ._entities import (
     DomainSettings,
     HostSettings,
     KnownHost,
@@ -14,6 +13,7 @@
     PlatformSettings,
     ServiceSettings,
 )
+from ._mistakes import Mistake, MistakesError, repeated
 from ._policy import (
     CallerLimits,
     ClassSettings,
--- a/src/gentianwharf/settings/_topology.py
+++ b/src/gentianwharf/settings/_topology.py
@@ -3,8 +3,8 @@
 from gentianwharf.rules import RuleScope
 from gentianwharf.topology import BackendServer, Domain, Service
 
+from ._entities import NumberedServers, ServiceSettings
 from ._models import Settings
-from ._places import NumberedServers, ServiceSettings
 
 
 def domains_of(settings: Settings) -> tuple[Domain, ...]:
