--- a/tests/builders_admin.py
+++ b/tests/builders_admin.py
@@ -37,7 +37,7 @@
     RuleSet,
     RuleVersion,
 )
-from tests.builders_rules import SHARDS, document, keyed_rule, settled
+from tests.builders_rules import SHARDS, document, keyed_rule, result_of
 
 TOKEN = "a-token-of-some-length"
 JSON_HEADERS = {"content-type": "application/json", "gentianwharf-operator": "amira"}
@@ -339,7 +339,7 @@
     allowed = {"authorization": f"Bearer {TOKEN}", **JSON_HEADERS}
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     client: Any = http
-    response = settled(
+    response = result_of(
         client.request(
             method,
             f"http://127.0.0.1:8081{path}",
@@ -352,5 +352,5 @@
     return Answer(
         status=response.code,
         media_type=media_types[0],
-        body=settled(response.content()),
+        body=result_of(response.content()),
     )
--- a/tests/builders_cli.py
+++ b/tests/builders_cli.py
@@ -13,7 +13,7 @@
 from gentianwharf.cli._session import Command, perform
 from gentianwharf.cli._terminal import Terminal
 from tests.builders_admin import TOKEN, FakeDaemon, admin_app
-from tests.builders_rules import settled
+from tests.builders_rules import result_of
 
 
 @dataclass
@@ -69,7 +69,7 @@
     client = AdminClient(
         http=http, url="http://127.0.0.1:8081", token=token, operator="amira"
     )
-    code = settled(ensureDeferred(_exit(command, client, shown)))
+    code = result_of(ensureDeferred(_exit(command, client, shown)))
     return Ran(
         code=code,
         out=shown.out.getvalue(),  # type: ignore[attr-defined]
--- a/tests/builders_rules.py
+++ b/tests/builders_rules.py
@@ -105,7 +105,7 @@
     )
 
 
-def settled(waited: Any) -> Any:
+def result_of(waited: Any) -> Any:
     """Return what a coroutine or a Deferred has come to; it must not wait."""
     deferred = waited if isinstance(waited, Deferred) else ensureDeferred(waited)
     results: list[Any] = []
@@ -116,7 +116,7 @@
     return results[0]
 
 
-def settled_in(clock: Clock, waited: Any, *, most_s: float = 60.0) -> Any:
+def result_within(clock: Clock, waited: Any, *, most_s: float = 60.0) -> Any:
     """Return what a coroutine comes to within ``most_s`` of a virtual clock."""
     deferred = ensureDeferred(waited)
     step_s = 0.05
@@ -124,11 +124,11 @@
         if deferred.called:
             break
         clock.advance(step_s)
-    return settled(deferred)
+    return result_of(deferred)
 
 
 @dataclass
-class Books:
+class OperatorBooks:
     """Two operators' books on two hosts, each with faults of its own, one store."""
 
     clock: Clock = field(default_factory=Clock)
@@ -167,7 +167,7 @@
             author=author,
             change_id=change_id,
         )
-        result: ApplyResult = settled_in(self.clock, call)
+        result: ApplyResult = result_within(self.clock, call)
         return result
 
     def begin(self) -> int:
@@ -178,5 +178,5 @@
 
     def stored(self) -> RuleVersion:
         """Return what the store holds."""
-        version: RuleVersion = settled(self.theirs.read())
+        version: RuleVersion = result_of(self.theirs.read())
         return version
--- a/tests/test_rules_book.py
+++ b/tests/test_rules_book.py
@@ -15,7 +15,14 @@
     RulesConflict,
     RulesRefused,
 )
-from tests.builders_rules import Books, document, migration, rule, settled, settled_in
+from tests.builders_rules import (
+    OperatorBooks,
+    document,
+    migration,
+    result_of,
+    result_within,
+    rule,
+)
 
 SWAP = frozenset({StoreOperation.COMPARE_AND_SWAP})
 KEY = "gentianwharf/tunis/rules"
@@ -27,13 +34,13 @@
 
 
 def test_no_rules_yet() -> None:
-    books = Books()
-    assert settled(books.mine.read()) is None
-    assert settled(books.mine.history()) == []
+    books = OperatorBooks()
+    assert result_of(books.mine.read()) is None
+    assert result_of(books.mine.history()) == []
 
 
 def test_applied_document_is_read_back_with_its_author() -> None:
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     result = books.apply(books.mine, 0.1, edited_from=revision)
     assert isinstance(result, RulesApplied)
@@ -44,12 +51,12 @@
 
 
 def test_refused_document_changes_nothing() -> None:
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     call = books.mine.apply(
         document(rule(service="nobody")), edited_from_revision=revision, author="amira"
     )
-    result = settled_in(books.clock, call)
+    result = result_within(books.clock, call)
     assert isinstance(result, RulesRefused)
     assert books.stored().revision == revision
 
@@ -59,7 +66,7 @@
 
     Without a check Amira's list would undo Karim's change, and no one would be told.
     """
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     theirs = books.apply(books.theirs, 0.5, edited_from=revision, author="karim")
     assert isinstance(theirs, RulesApplied)
@@ -74,7 +81,7 @@
 
 def test_two_operators_write_at_the_same_moment() -> None:
     """Both read the same revision and write before either sees the other's write."""
-    books = Books(faults=[fault(FaultKind.SLOW, delay_s=0.5)])
+    books = OperatorBooks(faults=[fault(FaultKind.SLOW, delay_s=0.5)])
     revision = books.begin()
     mine = books.mine.apply(
         migration(0.1), edited_from_revision=revision, author="amira"
@@ -83,7 +90,7 @@
     theirs = books.apply(books.theirs, 0.5, edited_from=revision, author="karim")
     assert isinstance(theirs, RulesApplied)
     books.clock.advance(1.0)
-    assert isinstance(settled(waiting), RulesConflict)
+    assert isinstance(result_of(waiting), RulesConflict)
     assert books.stored() == theirs.version
 
 
@@ -112,7 +119,7 @@
     The operator is told that it failed and edits again from what was there before:
     a step of the migration is then applied twice or undone.
     """
-    books = Books(faults=[one])
+    books = OperatorBooks(faults=[one])
     revision = books.begin()
     result = books.apply(books.mine, 0.1, edited_from=revision)
     assert isinstance(result, RulesApplied)
@@ -127,7 +134,7 @@
 
     The document in the store is then not Amira's, yet hers did take effect.
     """
-    books = Books(faults=[fault(FaultKind.ANSWER_LOST, delay_s=1.0)])
+    books = OperatorBooks(faults=[fault(FaultKind.ANSWER_LOST, delay_s=1.0)])
     revision = books.begin()
     waiting = ensureDeferred(
         books.mine.apply(migration(0.1), edited_from_revision=revision, author="amira")
@@ -138,7 +145,7 @@
     theirs = books.apply(books.theirs, 0.5, edited_from=landed.revision, author="karim")
     assert isinstance(theirs, RulesApplied)
     books.clock.pump([0.5] * 4)
-    mine = settled(waiting)
+    mine = result_of(waiting)
     assert isinstance(mine, RulesApplied)
     assert (mine.read_back, mine.superseded) == (True, True)
     assert mine.version == landed
@@ -150,7 +157,7 @@
     Were the write repeated with a new revision, it would undo Karim's; were it only
     called lost, a late arrival could still surprise: the revision rules it out.
     """
-    books = Books(faults=[fault(FaultKind.EFFECT_LATE, delay_s=2.0)])
+    books = OperatorBooks(faults=[fault(FaultKind.EFFECT_LATE, delay_s=2.0)])
     revision = books.begin()
     waiting = ensureDeferred(
         books.mine.apply(migration(0.1), edited_from_revision=revision, author="amira")
@@ -158,13 +165,13 @@
     theirs = books.apply(books.theirs, 0.5, edited_from=revision, author="karim")
     assert isinstance(theirs, RulesApplied)
     books.clock.pump([0.5] * 20)
-    assert isinstance(settled(waiting), RulesConflict)
+    assert isinstance(result_of(waiting), RulesConflict)
     assert books.stored() == theirs.version
 
 
 def test_repeated_command_finds_its_change() -> None:
     """The daemon's answer to the operator's tool is lost, and the tool asks again."""
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     first = books.apply(books.mine, 0.1, edited_from=revision, change_id="change-1")
     again = books.apply(books.mine, 0.1, edited_from=revision, change_id="change-1")
@@ -175,7 +182,7 @@
 
 def test_document_that_is_in_force_already_is_not_a_conflict() -> None:
     """A job applies the file from version control once more."""
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     first = books.apply(books.mine, 0.1, edited_from=revision)
     again = books.apply(books.theirs, 0.1, edited_from=revision, author="karim")
@@ -186,7 +193,7 @@
 
 @pytest.mark.parametrize("operations", [SWAP, frozenset()], ids=["writes", "all"])
 def test_store_down_changes_nothing(operations: frozenset[StoreOperation]) -> None:
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     books.faulty.faults.append(Fault(kind=FaultKind.DOWN, operations=operations))
     with pytest.raises(PeerUnavailableError):
@@ -196,7 +203,7 @@
 
 def test_store_that_goes_silent_after_the_write_is_reported_as_unknown() -> None:
     """The write lands, its answer is lost, and nothing can be read any more."""
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     now_s = books.clock.seconds()
     books.faulty.faults += [
@@ -209,7 +216,7 @@
 
 
 def test_failure_of_the_history_hinders_no_change() -> None:
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     books.faulty.faults.append(
         Fault(kind=FaultKind.HANGS, key_prefix="gentianwharf/tunis/history/")
@@ -220,19 +227,19 @@
 
 
 def test_history_is_bounded_and_newest_first() -> None:
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     for step in range(30):
         result = books.apply(books.mine, step / 100, edited_from=revision)
         assert isinstance(result, RulesApplied)
         revision = result.version.revision
-    kept = settled(books.mine.history())
+    kept = result_of(books.mine.history())
     assert [one.number for one in kept] == list(range(31, 10, -1))
     assert kept[1].revision < kept[0].revision == revision
 
 
 def test_base_that_is_no_longer_kept_is_said_so() -> None:
-    books = Books()
+    books = OperatorBooks()
     old = revision = books.begin()
     for step in range(25):
         result = books.apply(books.theirs, step / 100, edited_from=revision)
@@ -245,12 +252,12 @@
 
 def test_unreadable_record_can_be_replaced() -> None:
     """A host of a later release wrote a form that this one can't read."""
-    books = Books()
-    written = settled(
+    books = OperatorBooks()
+    written = result_of(
         books.store.compare_and_swap(KEY, b'{"format": 9}', expected_revision=0)
     )
     with pytest.raises(InputError, match="rules apply"):
-        settled(books.mine.read())
+        result_of(books.mine.read())
     with pytest.raises(ConflictError, match=f"revision {written.revision}"):
         books.apply(books.mine, 0.1, edited_from=0)
     result = books.apply(books.mine, 0.1, edited_from=written.revision)
@@ -259,7 +266,7 @@
 
 def test_store_calls_of_one_change() -> None:
     """One read, one read and one write for the history, one write."""
-    books = Books()
+    books = OperatorBooks()
     revision = books.begin()
     before = books.store.reads(), books.store.writes()
     books.apply(books.mine, 0.1, edited_from=revision)
