--- a/src/gentianwharf/matching/__init__.py
+++ b/src/gentianwharf/matching/__init__.py
@@ -1,4 +1,4 @@
-"""Matching of requests against the operators' rules: the first match decides."""
+"""Matches requests against the operators' rules; the first matching rule applies."""
 
 from ._compile import CompiledRule, compile_rules
 from ._facts import (
--- a/src/gentianwharf/matching/_compile.py
+++ b/src/gentianwharf/matching/_compile.py
@@ -1,4 +1,4 @@
-"""Rules made ready for matching."""
+"""Compiles rules into the form in which they are matched."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,8 +13,9 @@
 class CompiledRule:
     """A rule with its conditions in the form in which they are tested.
 
-    The shards from ``first_shard`` up to, not including, ``end_shard`` hold;
-    ``has_key_condition`` says whether the rule has a condition on the key at all.
+    The rule matches keys whose shard is in ``range(first_shard, end_shard)``.
+    ``has_key_condition`` is True if the rule sets ``key``, ``shard_share`` or
+    ``shard_range``.
     """
 
     number: int
@@ -36,9 +37,10 @@
 def compile_rules(
     document: Rules, shards: Mapping[str, int]
 ) -> tuple[CompiledRule, ...]:
-    """Return the rules ready for matching; ``shards`` as for ``RuleSet``.
+    """Compile the rules of ``document``; ``shards`` as for ``RuleSet``.
 
-    Equal key sources become one object, so that matching tells them apart cheaply.
+    Equal key sources are replaced by one object, so that matching can compare them by
+    identity.
     """
     sources: dict[KeySource | None, KeySource | None] = {}
     return tuple(
@@ -88,8 +90,9 @@
 
 
 def _shards_in_share(share: float, shards: int) -> int:
-    """Return how many shards a share covers, rounded up.
+    """Return the number of shards that a share covers, rounded up.
 
-    Rounding first keeps 0.07 of 100 at 7: the product is 7.000000000000001.
+    The product is rounded to 6 decimals first: ``0.07 * 100`` is 7.000000000000001,
+    which ``ceil`` alone would make 8.
     """
     return ceil(round(share * shards, 6))
--- a/src/gentianwharf/matching/_facts.py
+++ b/src/gentianwharf/matching/_facts.py
@@ -1,4 +1,4 @@
-"""What rules look at in a request, and what the deciding one says."""
+"""Request attributes that rules test, and the result of a match."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,17 +10,17 @@
 
 KEY_HEADER = "gentianwharf-key"
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-MOST_QUERY_FIELDS = 100
+MAX_QUERY_FIELDS = 100
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestFacts:
-    """What a rule may look at.
+    """The attributes of a request that rules can test.
 
-    Header names and ``host`` are in lower case, ``host`` without its port; ``path``
-    as it came, still percent-encoded. Text is what UTF-8 gives with
-    ``errors="replace"``, so that a key reads the same in every place.
+    Header names and ``host`` are in lower case, and ``host`` has no port. ``path`` is
+    still percent-encoded. All text is decoded as UTF-8 with ``errors="replace"``, so
+    that a key is the same string wherever the request carries it.
     """
 
     method: str
@@ -33,9 +33,9 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RuleMatch:
-    """The rule that decides a request, and what follows from it.
+    """The first rule that matches a request, and its routing of the request.
 
-    ``key`` is None when the request carries none where the rule looks for it.
+    ``key`` is None if the request has no usable key, see ``read_key``.
     """
 
     number: int
@@ -49,31 +49,32 @@
 
 
 def read_key(key_source: KeySource | None, facts: RequestFacts) -> str | None:
-    """Return the request's key, or None when it has none that can be used.
+    """Return the request's key, or None if it has no usable key.
 
-    It stands in the header ``Gentianwharf-Key`` or where the rule says. A request with
-    two different keys has none: a server asked by the header's key would otherwise
-    run what the path asks of a key that another server owns.
+    The key is read from the header ``Gentianwharf-Key`` and from ``key_source``. If
+    both are given and differ, the request has no usable key: it would be sent to the
+    owner of the header's key, which would execute it for the key in the path, owned by
+    another server. A key longer than ``MAX_KEY_CHARACTERS`` is not usable either.
 
-    Percent-encoding is undone first: otherwise two spellings of one key would hash to
-    two shards, and one key would have two owners.
+    Percent-encoding is decoded: otherwise two spellings of one key would hash to two
+    shards, and the key would have two owners.
 
     >>> from ._rule import DecodedKeySource
     >>> key_source = DecodedKeySource(place=KeyPlace.PATH_SEGMENT, name="1")
     >>> read_key(key_source, RequestFacts(method="GET", host="", path="/club/a%62c"))
     'abc'
     """
-    named = facts.headers.get(KEY_HEADER)
-    placed = _read_place(key_source, facts) if key_source is not None else None
-    if named and placed and named != placed:
+    header_key = facts.headers.get(KEY_HEADER)
+    source_key = _read_source(key_source, facts) if key_source is not None else None
+    if header_key and source_key and header_key != source_key:
         return None
-    key = named or placed
+    key = header_key or source_key
     if not key or len(key) > MAX_KEY_CHARACTERS:
         return None
     return key
 
 
-def _read_place(key_source: KeySource, facts: RequestFacts) -> str | None:
+def _read_source(key_source: KeySource, facts: RequestFacts) -> str | None:
     if key_source.place is KeyPlace.HEADER:
         return facts.headers.get(key_source.name)
     if key_source.place is KeyPlace.QUERY:
@@ -88,7 +89,7 @@
 
 def _read_query(name: str, query: str) -> str | None:
     try:
-        fields = parse_qsl(query, max_num_fields=MOST_QUERY_FIELDS)
+        fields = parse_qsl(query, max_num_fields=MAX_QUERY_FIELDS)
     except ValueError:
         return None
     for field_name, value in fields:
--- a/src/gentianwharf/matching/_index.py
+++ b/src/gentianwharf/matching/_index.py
@@ -1,4 +1,4 @@
-"""An index of rules by host and path prefix that keeps their order."""
+"""An index of rules by host and path prefix that preserves document order."""
 
 from bisect import bisect_right
 from collections import defaultdict
@@ -12,42 +12,43 @@
 
 @final
 class RuleIndex:
-    """Finds the rules whose host and path prefix fit a request, in their order.
+    """Finds the rules whose host and path prefix match a request.
 
-    Few of many rules fit one request's host and path. Comparing only these makes
-    the cost of a match independent of how many services the document covers.
+    Only a few rules of a large document match the host and path of one request. As only
+    these are tested, the cost of a match does not depend on the number of services in
+    the document.
     """
 
     def __init__(self, rules: Sequence[CompiledRule]) -> None:
         by_host: dict[str | None, list[CompiledRule]] = defaultdict(list)
-        for one in rules:
-            by_host[one.host].append(one)
+        for rule in rules:
+            by_host[rule.host].append(rule)
         self._any_host = _PrefixIndex(by_host.pop(None, ()))
-        self._hosts = {host: _PrefixIndex(own) for host, own in by_host.items()}
+        self._hosts = {host: _PrefixIndex(group) for host, group in by_host.items()}
 
     def steps(self, host: str, path: str) -> Iterable[Step]:
-        """Return what to test, in document order, with runs put together.
+        """Return the rules to test in document order, with runs grouped.
 
-        Rules for one host between those for any are not put together: a run may
-        have one of them in its middle.
+        Runs are not grouped if both rules for this host and rules for any host match:
+        a rule of one kind may be in the middle of a run of the other kind.
         """
-        general = self._any_host.find(path)
-        own_index = self._hosts.get(host)
-        if own_index is None:
-            return general.steps
-        own = own_index.find(path)
-        if not own.rules:
-            return general.steps
-        if not general.rules:
-            return own.steps
-        return _merge(own.rules, general.rules)
+        any_host = self._any_host.find(path)
+        host_index = self._hosts.get(host)
+        if host_index is None:
+            return any_host.steps
+        same_host = host_index.find(path)
+        if not same_host.rules:
+            return any_host.steps
+        if not any_host.rules:
+            return same_host.steps
+        return _merge(same_host.rules, any_host.rules)
 
     def candidates(self, host: str | None, path: str) -> Iterable[CompiledRule]:
-        """Return the rules whose host and path prefix fit, in document order."""
-        general = self._any_host.find(path).rules
+        """Return the rules whose host and path prefix match, in document order."""
+        any_host = self._any_host.find(path).rules
         if host is None or host not in self._hosts:
-            return general
-        return _merge(self._hosts[host].find(path).rules, general)
+            return any_host
+        return _merge(self._hosts[host].find(path).rules, any_host)
 
 
 def _merge(
@@ -63,25 +64,26 @@
 
 
 class _Entry:
-    """The rules for one longest prefix, put together when a path first has it.
+    """The rules for paths whose longest known prefix is this one.
 
-    Put together for each prefix at once, rules that fit every path would be copied for
-    each: half of 4,800 rules without a prefix held a host for 0.7 s when it took them.
+    The list of rules is built when a path with this prefix is first matched. Building
+    all lists up front copies rules without a prefix into each of them: with 4,800
+    rules, half of them without a prefix, that blocked a host for 0.7 s.
     """
 
-    __slots__ = ("_parent", "_rules", "_steps", "own")
+    __slots__ = ("_parent", "_rules", "_steps", "own_rules")
 
     def __init__(
-        self, *, own: Sequence[CompiledRule], parent: "_Entry | None" = None
+        self, *, own_rules: Sequence[CompiledRule], parent: "_Entry | None" = None
     ) -> None:
-        self.own = own
+        self.own_rules = own_rules
         self._parent = parent
         self._rules: tuple[CompiledRule, ...] | None = None
         self._steps: tuple[Step, ...] | None = None
 
     @property
     def rules(self) -> tuple[CompiledRule, ...]:
-        """The rules of this prefix and of those that begin it, in document order."""
+        """The rules of this prefix and of its own prefixes, in document order."""
         if self._rules is None:
             self._rules = _in_order(self._chain())
         return self._rules
@@ -93,7 +95,7 @@
         return self._steps
 
     def _chain(self) -> list["_Entry"]:
-        # A loop: prefixes may be nested deeper than calls.
+        # Iterative, since prefixes can be nested deeper than the recursion limit.
         chain = [self]
         while chain[-1]._parent is not None:
             chain.append(chain[-1]._parent)
@@ -101,49 +103,50 @@
 
 
 class _PrefixIndex:
-    """The rules that fit the longest known prefix of a path.
+    """Finds the entry for the longest known prefix of a path.
 
-    The prefixes of one path are prefixes of each other, so the longest of them
-    settles the whole list. In sorted order it is the entry at or before the path, or
-    one of that entry's own prefixes.
+    All prefixes of one path are prefixes of each other, so the longest one determines
+    the list of rules. In sorted order it is the last entry that is not after the path,
+    or a prefix of that entry.
     """
 
     def __init__(self, rules: Iterable[CompiledRule]) -> None:
         by_prefix: dict[str, list[CompiledRule]] = {"": []}
-        for one in rules:
-            by_prefix.setdefault(one.path_prefix, []).append(one)
+        for rule in rules:
+            by_prefix.setdefault(rule.path_prefix, []).append(rule)
         self._prefixes = sorted(by_prefix)
-        self._parents = _parents(self._prefixes)
+        self._parents = _parent_indices(self._prefixes)
         self._entries: list[_Entry] = []
-        for prefix, number in zip(self._prefixes, self._parents, strict=True):
-            parent = self._entries[number] if prefix else None
-            self._entries.append(_Entry(own=by_prefix[prefix], parent=parent))
+        for prefix, index in zip(self._prefixes, self._parents, strict=True):
+            parent = self._entries[index] if prefix else None
+            self._entries.append(_Entry(own_rules=by_prefix[prefix], parent=parent))
 
     def find(self, path: str) -> _Entry:
-        number = bisect_right(self._prefixes, path) - 1
-        while not path.startswith(self._prefixes[number]):
-            number = self._parents[number]
-        return self._entries[number]
+        index = bisect_right(self._prefixes, path) - 1
+        while not path.startswith(self._prefixes[index]):
+            index = self._parents[index]
+        return self._entries[index]
 
 
-def _parents(prefixes: Sequence[str]) -> list[int]:
-    """Return for each prefix the number of the longest other one that begins it.
+def _parent_indices(prefixes: Sequence[str]) -> list[int]:
+    """Return for each prefix the index of its longest proper prefix in the list.
 
-    In sorted order all that begin with a prefix follow it at once, so that the ones
-    still open stand in a stack and each is compared a few times, however long the list
-    is: 4,800 rules of one host take 0.02 s on a core, and 9 s where each prefix is
-    compared with every other one (``bench/rules.py``).
+    The empty prefix, which is always first, is its own parent. ``prefixes`` is sorted,
+    so the strings that start with a prefix directly follow it, and a stack of the
+    enclosing prefixes suffices: each prefix is compared only a few times. 4,800 rules
+    of one host take 0.02 s on one core; comparing each prefix with every other one
+    takes 9 s (``bench/rules.py``).
     """
     parents = []
-    open_numbers = [0]
-    for number, prefix in enumerate(prefixes):
-        while not prefix.startswith(prefixes[open_numbers[-1]]):
-            open_numbers.pop()
-        parents.append(open_numbers[-1])
-        open_numbers.append(number)
+    enclosing = [0]
+    for index, prefix in enumerate(prefixes):
+        while not prefix.startswith(prefixes[enclosing[-1]]):
+            enclosing.pop()
+        parents.append(enclosing[-1])
+        enclosing.append(index)
     return parents
 
 
 def _in_order(entries: Iterable[_Entry]) -> tuple[CompiledRule, ...]:
-    rules = [one for entry in entries for one in entry.own]
+    rules = [rule for entry in entries for rule in entry.own_rules]
     return tuple(sorted(rules, key=attrgetter("number")))
--- a/src/gentianwharf/matching/_match.py
+++ b/src/gentianwharf/matching/_match.py
@@ -1,4 +1,4 @@
-"""Matching of requests against compiled rules."""
+"""Matches requests against compiled rules."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -13,26 +13,26 @@
 from ._shards import find_shard, is_in_range
 from ._sites import sites_by_service
 
-_UNREAD = object()
+_NOT_READ = object()
 
 
 @final
 class _RequestKey:
-    """Reads a request's key at most once for each place where rules look for it."""
+    """Reads the key of one request and caches it until the key source changes."""
 
-    __slots__ = ("_facts", "_read_from", "_shard", "_shards", "_source", "key")
+    __slots__ = ("_cached_source", "_facts", "_shard", "_shards", "_source", "key")
 
     def __init__(self, facts: RequestFacts) -> None:
         self._facts = facts
-        self._read_from: object = _UNREAD
+        self._cached_source: object = _NOT_READ
         self._source: KeySource | None = None
         self._shards = 0
         self._shard: int | None = None
         self.key: str | None = None
 
     def read(self, key_source: KeySource | None) -> str | None:
-        if key_source is not self._read_from:
-            self._read_from = self._source = key_source
+        if key_source is not self._cached_source:
+            self._cached_source = self._source = key_source
             self._shards = 0
             self.key = read_key(key_source, self._facts)
         return self.key
@@ -44,7 +44,10 @@
         return self._shard
 
     def first(self, step: Step) -> CompiledRule | None:
-        """Return the rule of ``step`` that holds, methods and headers aside."""
+        """Return the first matching rule of ``step``.
+
+        The caller has tested the methods, and the headers that all its rules share.
+        """
         if isinstance(step, KeyRun):
             key = self.read(step.key_source)
             shard = self.shard(key, step.shards) if key else None
@@ -66,9 +69,9 @@
 
 @final
 class RuleSet:
-    """A rule document in force, with the store revision that it came with.
+    """A rule document, compiled for matching, and its revision in the store.
 
-    ``shards`` gives the number of shards of each keyed service.
+    ``shards`` maps each keyed service to its number of shards.
     """
 
     def __init__(
@@ -82,7 +85,7 @@
         self._sites = sites_by_service(self.compiled)
 
     def match(self, facts: RequestFacts) -> RuleMatch | None:
-        """Return what the first matching rule says, or None when none matches."""
+        """Return the match of the first matching rule, or None if no rule matches."""
         method = facts.method
         header = facts.headers.get
         request_key = _RequestKey(facts)
@@ -95,11 +98,11 @@
             else:
                 rule = request_key.first(step)
                 if rule is not None:
-                    return _answer(rule, facts, request_key)
+                    return _build_match(rule, facts, request_key)
         return None
 
     def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
-        """Return ``match`` with another service of its rule's split."""
+        """Return ``match`` for ``service``, another service of its rule's split."""
         shards = self._shards.get(service, 0)
         key_source = match.rule.then.key
         shard = (
@@ -108,17 +111,17 @@
         return replace(match, service=service, shard=shard)
 
     def site_of(self, service: str, shard: int) -> str | None:
-        """Return the site where ``shard`` should stand; None leaves it open."""
+        """Return the site that the rules set for ``shard``, or None for any site."""
         sites = self._sites.get(service)
         return sites.site_of(shard) if sites is not None else None
 
     def single_key_sites(self, service: str) -> Mapping[str, str | None]:
-        """Return the keys of ``service`` that a rule of their own sends to a site."""
+        """Return the keys of ``service`` with a rule of their own, and their sites."""
         sites = self._sites.get(service)
         return MappingProxyType(sites.single_keys if sites is not None else {})
 
 
-def _answer(
+def _build_match(
     rule: CompiledRule, facts: RequestFacts, request_key: _RequestKey
 ) -> RuleMatch:
     key = request_key.read(rule.key_source)
--- a/src/gentianwharf/matching/_rule.py
+++ b/src/gentianwharf/matching/_rule.py
@@ -1,8 +1,9 @@
-"""What matching reads of a rule, and rules as an adapter decodes them.
+"""The interface of rules that matching uses, and data classes that implement it.
 
-The documents that operators write are validated models, which take a third of a host's
-start to load. A host whose rules come in another form decodes them into the data
-classes here and loads no models. Matching reads both alike.
+Documents that operators write are validated models, and importing these takes a third
+of a host's start-up time. A host that receives rules in another format decodes them
+into the data classes of this module and does not import the models. Matching accepts
+both.
 """
 
 from collections.abc import Mapping, Sequence
@@ -12,7 +13,7 @@
 
 
 class KeyPlace(StrEnum):
-    """Where in a request the key stands."""
+    """The part of a request that carries the key."""
 
     HEADER = "header"
     PATH_SEGMENT = "path_segment"
@@ -20,23 +21,23 @@
 
 
 class KeySource(Protocol):
-    """Where a rule finds a request's key; equal ones have equal hashes."""
+    """Where a rule reads a request's key; equal sources have equal hashes."""
 
     @property
     def place(self) -> KeyPlace:
-        """Which part of the request."""
+        """The part of the request."""
 
     @property
     def name(self) -> str:
-        """A header, a field or a segment's index."""
+        """The name of a header or query field, or the index of a path segment."""
 
     @property
     def is_shard(self) -> bool:
-        """Whether the key is the number of its shard."""
+        """Whether the key is the decimal number of its shard."""
 
 
 class ShardRange(Protocol):
-    """Shards from ``first`` to ``last``, both included."""
+    """The shards from ``first`` to ``last``, inclusive."""
 
     @property
     def first(self) -> int:
@@ -48,7 +49,7 @@
 
 
 class Condition(Protocol):
-    """The when-part: all that are given must hold."""
+    """The conditions of a rule; a request must meet all that are set."""
 
     @property
     def host(self) -> str | None:
@@ -56,113 +57,113 @@
 
     @property
     def path_prefix(self) -> str | None:
-        """What the path begins with."""
+        """The prefix of the request's path."""
 
     @property
     def methods(self) -> Sequence[str]:
-        """Any of these; none: all."""
+        """The accepted methods; empty accepts any method."""
 
     @property
     def headers(self) -> Mapping[str, str]:
-        """Headers and their values."""
+        """The required headers and their values."""
 
     @property
     def key(self) -> str | None:
-        """A single key."""
+        """The only key that matches."""
 
     @property
     def shard_share(self) -> float | None:
-        """The first part of the shards, from 0 to 1."""
+        """The fraction of shards that match, from 0 to 1, counted from shard 0."""
 
     @property
     def shard_range(self) -> ShardRange | None:
-        """Some of the shards."""
+        """The range of shards that match."""
 
 
 class ServiceShare(Protocol):
-    """One service of a split, and its part relative to the others' weights."""
+    """One service of a traffic split, with its weight."""
 
     @property
     def service(self) -> str:
-        """The service."""
+        """The name of the service."""
 
     @property
     def weight(self) -> float:
-        """Its weight, 0 or more."""
+        """Its weight relative to the others, 0 or more."""
 
 
 class Target(Protocol):
-    """The then-part: where the request goes and how it is treated."""
+    """Where the requests of a rule are sent and how they are treated."""
 
     @property
     def service(self) -> str:
-        """The service, or one of the split's."""
+        """The service; with a split, one of its services."""
 
     @property
     def split(self) -> Sequence[ServiceShare]:
-        """Services that share the requests."""
+        """The services that share the requests; empty without a split."""
 
     @property
     def site(self) -> str | None:
-        """Where the key's owner should stand."""
+        """The site of the key's owner, None for any site."""
 
     @property
     def request_class(self) -> str:
-        """How the requests are treated under load."""
+        """The class that determines treatment under load."""
 
     @property
     def key(self) -> KeySource | None:
-        """Where the key is read."""
+        """Where the key is read, besides the header ``Gentianwharf-Key``."""
 
     @property
     def repeatable(self) -> bool | None:
-        """Whether a request may run more than once; None: by its method."""
+        """Whether a request may be executed more than once; None: by its method."""
 
     @property
     def deadline_ms(self) -> int | None:
-        """The longest that a caller is kept waiting."""
+        """The longest time to an answer, in milliseconds; None: as for the class."""
 
     @property
     def most_tries(self) -> int | None:
-        """To how many servers one request may be sent."""
+        """The maximum number of servers that one request is sent to."""
 
     @property
     def target_latency_ms(self) -> int | None:
-        """The time within which an answer is worth most to its caller."""
+        """The latency up to which an answer has full value to its caller, in ms."""
 
     @property
     def priority(self) -> int:
-        """The rank of its requests under load, 0 first."""
+        """The priority of the requests under load; 0 is the highest."""
 
 
 class Rule(Protocol):
-    """One when-then rule."""
+    """One rule: conditions, and the target of the requests that meet them."""
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """The name of the rule."""
 
     @property
     def when(self) -> Condition:
-        """Which requests it decides."""
+        """The conditions on a request."""
 
     @property
     def then(self) -> Target:
-        """What becomes of them."""
+        """The target of matching requests."""
 
 
 class Rules(Protocol):
-    """The ordered list; the first rule that matches decides."""
+    """An ordered list of rules; the first matching rule applies."""
 
     @property
     def rules(self) -> Sequence[Rule]:
-        """The rules in their order."""
+        """The rules in document order."""
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DecodedKeySource:
-    """Where a decoded rule finds a key."""
+    """Implements ``KeySource``."""
 
     place: KeyPlace
     name: str
@@ -172,7 +173,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DecodedCondition:
-    """The when-part of a decoded rule."""
+    """Implements ``Condition``."""
 
     host: str | None = None
     path_prefix: str | None = None
@@ -186,7 +187,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DecodedShare:
-    """One service of a decoded rule's split."""
+    """Implements ``ServiceShare``."""
 
     service: str
     weight: float
@@ -195,7 +196,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DecodedTarget:
-    """The then-part of a decoded rule."""
+    """Implements ``Target``."""
 
     service: str
     split: tuple[DecodedShare, ...] = ()
@@ -212,7 +213,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DecodedRule:
-    """One rule as an adapter decodes it."""
+    """Implements ``Rule``."""
 
     name: str
     when: DecodedCondition
@@ -222,6 +223,6 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DecodedRules:
-    """The ordered list as an adapter decodes it."""
+    """Implements ``Rules``."""
 
     rules: tuple[DecodedRule, ...]
--- a/src/gentianwharf/matching/_runs.py
+++ b/src/gentianwharf/matching/_runs.py
@@ -1,8 +1,8 @@
-"""Rules that stand together and differ in one thing alone, looked up at once.
+"""Groups consecutive rules that differ in one condition, for a single lookup.
 
-A service whose keys are being moved has one rule for each key or range of shards that
-has moved, and a service with many callers may have one for each value of a header.
-Testing them one by one would make a match slower with each.
+A service whose keys are being migrated has one rule for each key or shard range that
+has moved; a service with many callers may have one rule for each value of a header.
+Testing these one by one would make the cost of a match proportional to their number.
 """
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -14,13 +14,13 @@
 from ._ranges import ShardRanges
 from ._rule import KeySource
 
-LEAST_RUN = 4
-"""Below this, testing one by one costs no more than two lookups."""
+MIN_RUN_LENGTH = 4
+"""Testing fewer rules one by one costs no more than the two lookups of a run."""
 
 
 @final
 class KeyRun:
-    """Consecutive rules that agree in all but their condition on the key."""
+    """Consecutive rules that differ only in their condition on the key."""
 
     __slots__ = ("_keys", "_ranges", "headers", "key_source", "methods", "shards")
 
@@ -29,14 +29,14 @@
         self.headers = rules[0].headers
         self.key_source: KeySource | None = rules[0].key_source
         self.shards = rules[0].shards
-        self._ranges = ShardRanges(one for one in rules if one.key is None)
+        self._ranges = ShardRanges(rule for rule in rules if rule.key is None)
         self._keys: dict[str, CompiledRule] = {}
-        for one in rules:
-            if one.key is not None:
-                self._keys.setdefault(one.key, one)
+        for rule in rules:
+            if rule.key is not None:
+                self._keys.setdefault(rule.key, rule)
 
     def first(self, key: str, shard: int) -> CompiledRule | None:
-        """Return the first rule of the run that holds for the key."""
+        """Return the first rule of the run that matches the key, if any."""
         by_shard = self._ranges.first(shard)
         by_key = self._keys.get(key)
         if by_key is None or (by_shard is not None and by_shard.number < by_key.number):
@@ -46,7 +46,7 @@
 
 @final
 class HeaderRun:
-    """Consecutive rules that agree in all but the value of their only header."""
+    """Consecutive rules that differ only in the value of their only header."""
 
     __slots__ = ("_name", "_values", "headers", "methods")
 
@@ -55,11 +55,11 @@
         self.headers: tuple[tuple[str, str], ...] = ()
         self._name = rules[0].headers[0][0]
         self._values: dict[str, CompiledRule] = {}
-        for one in rules:
-            self._values.setdefault(one.headers[0][1], one)
+        for rule in rules:
+            self._values.setdefault(rule.headers[0][1], rule)
 
     def first(self, headers: Mapping[str, str]) -> CompiledRule | None:
-        """Return the first rule of the run that asks for the header's value."""
+        """Return the first rule of the run that matches the header's value, if any."""
         value = headers.get(self._name)
         return self._values.get(value) if value is not None else None
 
@@ -70,7 +70,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _KeyShape:
-    """What the rules of a run of keys share; path and host were settled before."""
+    """What the rules of a ``KeyRun`` share besides host and path prefix."""
 
     methods: frozenset[str]
     headers: frozenset[tuple[str, str]]
@@ -81,17 +81,17 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _HeaderShape:
-    """What the rules of a run of header values share."""
+    """What the rules of a ``HeaderRun`` share besides host and path prefix."""
 
     methods: frozenset[str]
     name: str
 
 
 def gather_runs(rules: Iterable[CompiledRule]) -> Iterator[Step]:
-    """Return ``rules`` in order, with runs of at least ``LEAST_RUN`` put together."""
+    """Yield ``rules`` in order, with runs of ``MIN_RUN_LENGTH`` or more grouped."""
     for shape, group in groupby(rules, key=_shape):
         members = list(group)
-        if shape is None or len(members) < LEAST_RUN:
+        if shape is None or len(members) < MIN_RUN_LENGTH:
             yield from members
         elif isinstance(shape, _KeyShape):
             yield KeyRun(members)
--- a/src/gentianwharf/matching/_shards.py
+++ b/src/gentianwharf/matching/_shards.py
@@ -1,15 +1,18 @@
-"""The shard that a rule finds a key in."""
+"""The shard of a key, as a rule determines it."""
 
 from gentianwharf.keys import shard_of
 
 from ._rule import KeySource
 
 MAX_KEY_CHARACTERS = 512
-"""Keys travel in a header; servers commonly take 8 KiB for all headers together."""
+"""Keys are sent in a header, and servers commonly accept 8 KiB of headers in all."""
 
 
 def find_shard(key_source: KeySource | None, key: str, shards: int) -> int | None:
-    """Return the shard of ``key`` among ``shards``; None for a number that is none.
+    """Return the shard of ``key``, one of ``shards``.
+
+    If ``key_source`` says that the key is a shard number, None is returned for a key
+    that is no number or is out of range.
 
     >>> find_shard(None, "faculte-des-sciences", 1024)
     72
@@ -24,15 +27,15 @@
     if not (key.isascii() and key.isdigit()):
         return None
     if len(key) > MAX_KEY_CHARACTERS:
-        # No request's key is so long. Python refuses to read thousands of digits: one
-        # rule for such a key would keep its whole list from being put in force.
+        # No request has such a long key. int() raises ValueError for thousands of
+        # digits, so one rule for such a key would make its whole document fail to load.
         return None
     shard = int(key)
     return shard if shard < shards else None
 
 
 def is_in_range(first_shard: int, shard: int | None, end_shard: int) -> bool:
-    """Say whether there is a shard and it stands from the first up to the end.
+    """Return whether ``shard`` is in ``range(first_shard, end_shard)``; None is not.
 
     >>> is_in_range(0, 7, 8), is_in_range(0, 8, 8), is_in_range(0, None, 8)
     (True, False, False)
--- a/src/gentianwharf/matching/_split.py
+++ b/src/gentianwharf/matching/_split.py
@@ -1,4 +1,4 @@
-"""Which service of a rule's split a request goes to."""
+"""Selects a service of a rule's traffic split for each request."""
 
 from typing import final
 
@@ -7,12 +7,13 @@
 
 @final
 class Splitter:
-    """Deals each rule's requests out by the weights of its split.
+    """Distributes the requests of each rule by the weights of its split.
 
-    Smooth weighted round robin: whoever is furthest behind its weight is next. Over
-    any run of requests each service's part differs from its weight by less than one
-    request, while random choice would be off by several in a hundred. Each host deals
-    out its own requests; their sum is as even as each part.
+    Uses smooth weighted round robin: the service with the largest deficit against its
+    weight is next. In any sequence of requests, the count of each service differs from
+    its weight by less than one request, while random choice would be off by several in
+    a hundred. Each host distributes its own requests, so the total is as even as each
+    host's part.
 
     >>> from ._rule import DecodedCondition, DecodedRule, DecodedShare, DecodedTarget
     >>> parts = (DecodedShare(service="old", weight=3),
@@ -27,25 +28,25 @@
     """
 
     def __init__(self) -> None:
-        self._behind: dict[str, dict[str, float]] = {}
+        self._deficits: dict[str, dict[str, float]] = {}
 
     def choose_service(self, match: RuleMatch) -> str:
         """Return the service that the next request of this rule goes to."""
         split = match.rule.then.split
         if not split:
             return match.service
-        behind = self._behind.setdefault(match.rule.name, {})
-        if behind.keys() != {part.service for part in split}:
-            behind.clear()
+        deficits = self._deficits.setdefault(match.rule.name, {})
+        if deficits.keys() != {part.service for part in split}:
+            deficits.clear()
         total = 0.0
         for part in split:
             total += part.weight
-            behind[part.service] = behind.get(part.service, 0.0) + part.weight
-        chosen = max(split, key=lambda part: behind[part.service])
-        behind[chosen.service] -= total
+            deficits[part.service] = deficits.get(part.service, 0.0) + part.weight
+        chosen = max(split, key=lambda part: deficits[part.service])
+        deficits[chosen.service] -= total
         return chosen.service
 
     def retain_rules(self, names: frozenset[str]) -> None:
-        """Forget the rules that are gone, so that the table stays bounded."""
-        for name in self._behind.keys() - names:
-            del self._behind[name]
+        """Discard the state of rules not in ``names``, to bound memory use."""
+        for name in self._deficits.keys() - names:
+            del self._deficits[name]
