--- a/src/gentianwharf/errors.py
+++ b/src/gentianwharf/errors.py
@@ -1,4 +1,4 @@
-"""Errors that say at which step and with which peer they arose."""
+"""Exceptions of this package, with the failed operation and the peer."""
 
 from typing import final
 
@@ -14,10 +14,11 @@
 
 
 class GentianwharfError(Exception):
-    """Base of every error that this package raises on purpose.
+    """Base class of the errors that this package raises.
 
-    ``step`` names the operation that failed, ``peer`` the other side of it (an
-    ``ip:port``, a file, a store key), so that a log line can be searched by either.
+    ``step`` is the operation that failed and ``peer`` its counterpart (an ``ip:port``,
+    a file, a store key). Both are fields of log lines, so that logs can be searched by
+    either.
     """
 
     def __init__(self, message: str, *, step: str, peer: str) -> None:
@@ -32,29 +33,29 @@
 
 @final
 class InputError(GentianwharfError):
-    """Something that a person or a peer wrote is wrong; says where and what to do."""
+    """Input from a person or a peer is invalid; the message says where and why."""
 
 
 @final
 class PeerUnavailableError(GentianwharfError):
-    """The peer did not get the request: nothing took effect there."""
+    """The peer did not receive the request, which therefore had no effect."""
 
 
 @final
 class OutcomeUnknownError(GentianwharfError):
-    """The request may have taken effect; its answer was lost or came too late."""
+    """The request may have taken effect: its answer was lost or late."""
 
 
 @final
 class ConflictError(GentianwharfError):
-    """Somebody else changed the value first: nothing took effect."""
+    """Another writer changed the value first; the request had no effect."""
 
 
 @final
 class RefusedError(GentianwharfError):
-    """The peer understood the request and said no: nothing took effect."""
+    """The peer rejected a valid request, which had no effect."""
 
 
 @final
 class PeerMismatchError(GentianwharfError):
-    """An answer does not belong to the request it came for."""
+    """The answer does not belong to the request."""
--- a/src/gentianwharf/rules/__init__.py
+++ b/src/gentianwharf/rules/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' ordered when-then rules: the first match decides."""
+"""The operators' ordered rules: documents, validation, storage and explanation."""
 
 from gentianwharf.matching import KeyPlace, RequestFacts, RuleMatch, RuleSet, Splitter
 
--- a/src/gentianwharf/rules/_check.py
+++ b/src/gentianwharf/rules/_check.py
@@ -1,67 +1,69 @@
-"""The check of a whole rule document against what exists."""
+"""Checks rule documents against the existing services, sites and classes."""
 
 from collections.abc import Iterator, Sequence
 from typing import final
 
 from gentianwharf.matching import KEY_HEADER, CompiledRule, compile_rules
 
-from ._bounds import breaches
+from ._bounds import find_violations
 from ._codec import document_size_bytes
-from ._cover import unreachable
+from ._cover import find_unreachable
 from ._document import RuleDocument
-from ._owners import two_owners
+from ._owners import find_owner_conflicts
 from ._results import Finding, Severity
 from ._scope import RuleScope
 
 MAX_RULES = 500
-"""Rules are compared pairwise on the daemon's only thread, which must not stand still
-for longer than a right to send lasts (400 ms); see ``bench/rules.py``."""
+"""Rules are compared pairwise on the daemon's only thread, which must not be blocked
+for longer than a right to send is valid (400 ms); see ``bench/rules.py``."""
 
 MAX_DOCUMENT_BYTES = 256 * 1024
-"""A quarter of what the store takes for a value, so that its record fits beside it."""
+"""A quarter of the store's limit for a value, which leaves room for the record."""
 
 MAX_SINGLE_KEY_RULES = 200
-"""Each takes an entry of its own in the assignment table, which every host holds."""
+"""Each takes an entry in the assignment table, of which every host has a copy."""
 
 
 @final
 class RuleChecker:
-    """Finds what is wrong with rule documents for one customer's services."""
+    """Checks the rule documents of one customer's services."""
 
     def __init__(self, *, scope: RuleScope) -> None:
         self._scope = scope
 
     def check(self, document: RuleDocument) -> tuple[Finding, ...]:
-        """Return every finding, errors first; a document with an error is refused.
+        """Return all findings, errors first; a document with an error is refused.
 
-        The owners of keys are compared only once the rest is right: an unknown
-        service has no shards to compare. A list that is too long is not looked at.
+        The owners of keys are checked only if there is no other error, since an unknown
+        service has no shards. A document with too many rules is not checked further.
         """
         if len(document.rules) > MAX_RULES:
             found, expected = f"{len(document.rules)} rules", f"at most {MAX_RULES}"
             return (_document_error(found, expected),)
         compiled = compile_rules(document, self._scope.shards)
         findings = [*_check_size(document), *_check_names(compiled)]
-        for one in compiled:
-            findings.extend(_check_bounds(one))
-            findings.extend(self._check_rule(one))
+        for rule in compiled:
+            findings.extend(_check_bounds(rule))
+            findings.extend(self._check_rule(rule))
         findings.extend(_check_single_keys(compiled))
-        if not any(one.severity is Severity.ERROR for one in findings):
+        if not any(finding.severity is Severity.ERROR for finding in findings):
             findings.extend(_check_owners(compiled))
             findings.extend(_warn_unreachable(compiled))
             findings.extend(self._warn_unused(compiled))
-        return tuple(sorted(findings, key=lambda one: one.severity is Severity.WARNING))
+        return tuple(
+            sorted(findings, key=lambda item: item.severity is Severity.WARNING)
+        )
 
-    def _check_rule(self, one: CompiledRule) -> Iterator[Finding]:
-        then = one.rule.then
+    def _check_rule(self, rule: CompiledRule) -> Iterator[Finding]:
+        then = rule.rule.then
         scope = self._scope
         if then.service not in scope.shards:
             known = _one_of(scope.shards)
-            yield _error(one, "then.service", repr(then.service), known)
+            yield _error(rule, "then.service", repr(then.service), known)
             return
         if then.site is not None and then.site not in scope.sites[then.service]:
             yield _error(
-                one,
+                rule,
                 "then.site",
                 repr(then.site),
                 f"{_one_of(scope.sites[then.service])}, where {then.service} has"
@@ -69,26 +71,26 @@
             )
         if then.request_class not in scope.classes:
             known = _one_of(scope.classes)
-            yield _error(one, "then.request_class", repr(then.request_class), known)
-        yield from self._check_deadline(one)
-        yield from _check_key(one)
-        yield from _check_shards(one)
-        yield from _check_headers(one)
-
-    def _check_deadline(self, one: CompiledRule) -> Iterator[Finding]:
-        most = self._scope.deadline_caps_ms.get(one.rule.then.service)
-        deadline = one.rule.then.deadline_ms
-        if most is not None and deadline is not None and deadline > most:
+            yield _error(rule, "then.request_class", repr(then.request_class), known)
+        yield from self._check_deadline(rule)
+        yield from _check_key(rule)
+        yield from _check_shards(rule)
+        yield from _check_headers(rule)
+
+    def _check_deadline(self, rule: CompiledRule) -> Iterator[Finding]:
+        cap_ms = self._scope.deadline_caps_ms.get(rule.rule.then.service)
+        deadline_ms = rule.rule.then.deadline_ms
+        if cap_ms is not None and deadline_ms is not None and deadline_ms > cap_ms:
             yield _error(
-                one,
+                rule,
                 "then.deadline_ms",
-                str(deadline),
-                f"at most {most}, the service's deadline_cap_ms, since a lost server's"
-                " keys wait for the longest deadline",
+                str(deadline_ms),
+                f"at most {cap_ms}, the service's deadline_cap_ms, since a lost"
+                " server's keys wait for the longest deadline",
             )
 
     def _warn_unused(self, compiled: Sequence[CompiledRule]) -> Iterator[Finding]:
-        used = {one.rule.then.service for one in compiled}
+        used = {rule.rule.then.service for rule in compiled}
         for service in sorted(set(self._scope.shards) - used):
             yield Finding(
                 severity=Severity.WARNING,
@@ -111,84 +113,84 @@
 
 
 def _check_names(compiled: Sequence[CompiledRule]) -> Iterator[Finding]:
-    first: dict[str, int] = {}
-    for one in compiled:
-        number = first.setdefault(one.rule.name, one.number)
-        if number != one.number:
+    first_numbers: dict[str, int] = {}
+    for rule in compiled:
+        number = first_numbers.setdefault(rule.rule.name, rule.number)
+        if number != rule.number:
             yield _error(
-                one, "name", repr(one.rule.name), f"another name than rule {number}'s"
+                rule, "name", repr(rule.rule.name), f"another name than rule {number}'s"
             )
 
 
-def _check_bounds(one: CompiledRule) -> Iterator[Finding]:
-    for breach in breaches(one.rule):
-        yield _error(one, breach.field, breach.found, breach.expected)
+def _check_bounds(rule: CompiledRule) -> Iterator[Finding]:
+    for violation in find_violations(rule.rule):
+        yield _error(rule, violation.field, violation.found, violation.expected)
 
 
-def _check_key(one: CompiledRule) -> Iterator[Finding]:
-    if one.key_source is not None:
+def _check_key(rule: CompiledRule) -> Iterator[Finding]:
+    if rule.key_source is not None:
         return
     remedy = f'"key": {{"place": "header", "name": "{KEY_HEADER}"}} or another place'
-    if one.shards:
+    if rule.shards:
         yield _error(
-            one,
+            rule,
             "then.key",
             "none",
-            f"where the key stands, since {one.rule.then.service} is keyed: {remedy}",
+            f"where the key stands, since {rule.rule.then.service} is keyed: {remedy}",
         )
-    elif one.key is not None:
+    elif rule.key is not None:
         yield _error(
-            one,
+            rule,
             "then.key",
             "none",
             f"where the key stands, since the rule asks for one: {remedy}",
         )
 
 
-def _check_shards(one: CompiledRule) -> Iterator[Finding]:
-    when, service = one.rule.when, one.rule.then.service
+def _check_shards(rule: CompiledRule) -> Iterator[Finding]:
+    when, service = rule.rule.when, rule.rule.then.service
     for field in ("shard_share", "shard_range"):
-        if getattr(when, field) is not None and not one.shards:
+        if getattr(when, field) is not None and not rule.shards:
             yield _error(
-                one,
+                rule,
                 f"when.{field}",
                 str(getattr(when, field)),
                 f"no condition on shards, since {service} is not keyed",
             )
-    if when.shard_range is not None and one.shards:
+    if when.shard_range is not None and rule.shards:
         last = when.shard_range.last
-        if last >= one.shards:
+        if last >= rule.shards:
             yield _error(
-                one,
+                rule,
                 "when.shard_range.last",
                 str(last),
-                f"at most {one.shards - 1}, since {service} has {one.shards} shards",
+                f"at most {rule.shards - 1}, since {service} has {rule.shards} shards",
             )
 
 
-def _check_headers(one: CompiledRule) -> Iterator[Finding]:
-    if KEY_HEADER in one.rule.when.headers:
+def _check_headers(rule: CompiledRule) -> Iterator[Finding]:
+    if KEY_HEADER in rule.rule.when.headers:
         yield _error(
-            one,
+            rule,
             f"when.headers.{KEY_HEADER}",
-            repr(one.rule.when.headers[KEY_HEADER]),
+            repr(rule.rule.when.headers[KEY_HEADER]),
             'the condition "key", which sees the key wherever it stands',
         )
 
 
 def _check_single_keys(compiled: Sequence[CompiledRule]) -> Iterator[Finding]:
-    single = [one for one in compiled if one.key is not None and one.shards]
-    if len(single) > MAX_SINGLE_KEY_RULES:
+    key_rules = [rule for rule in compiled if rule.key is not None and rule.shards]
+    if len(key_rules) > MAX_SINGLE_KEY_RULES:
         yield _error(
-            single[MAX_SINGLE_KEY_RULES],
+            key_rules[MAX_SINGLE_KEY_RULES],
             "when.key",
-            f"{len(single)} rules for single keys",
+            f"{len(key_rules)} rules for single keys",
             f"at most {MAX_SINGLE_KEY_RULES}; use shard_range for more",
         )
 
 
 def _check_owners(compiled: Sequence[CompiledRule]) -> Iterator[Finding]:
-    for conflict in two_owners(compiled):
+    for conflict in find_owner_conflicts(compiled):
         first, second = conflict.first.rule, conflict.second.rule
         yield _error(
             conflict.second,
@@ -203,7 +205,7 @@
 
 
 def _warn_unreachable(compiled: Sequence[CompiledRule]) -> Iterator[Finding]:
-    for later, earlier in unreachable(compiled):
+    for later, earlier in find_unreachable(compiled):
         yield Finding(
             severity=Severity.WARNING,
             rule_number=later.number,
@@ -217,12 +219,12 @@
         )
 
 
-def _error(one: CompiledRule, field: str, found: str, expected: str) -> Finding:
+def _error(rule: CompiledRule, field: str, found: str, expected: str) -> Finding:
     return Finding(
         severity=Severity.ERROR,
-        rule_number=one.number,
-        rule_name=one.rule.name,
-        location=f"rules.{one.number - 1}.{field}",
+        rule_number=rule.number,
+        rule_name=rule.rule.name,
+        location=f"rules.{rule.number - 1}.{field}",
         found=found,
         expected=expected,
     )
--- a/src/gentianwharf/rules/_cover.py
+++ b/src/gentianwharf/rules/_cover.py
@@ -1,4 +1,4 @@
-"""Which rules take every request that a later one asks for."""
+"""Finds rules that are unreachable because an earlier rule always matches first."""
 
 from collections.abc import Iterator, Sequence
 
@@ -6,10 +6,10 @@
 
 
 def covers(earlier: CompiledRule, later: CompiledRule) -> bool:
-    """Say whether what ``later`` asks of a request, its key aside, implies ``earlier``.
+    """Return whether the conditions of ``later`` except the key imply ``earlier``'s.
 
-    A key that the two read in different places may differ, so an earlier rule that
-    divides by key covers only rules that read it in the same place.
+    Two rules with different key sources may read different keys, so an earlier rule
+    with a key condition covers only rules with the same key source.
     """
     return (
         earlier.header_set <= later.header_set
@@ -24,10 +24,10 @@
     return not earlier or (bool(later) and later <= earlier)
 
 
-def unreachable(
+def find_unreachable(
     rules: Sequence[CompiledRule],
 ) -> Iterator[tuple[CompiledRule, CompiledRule]]:
-    """Return each rule that an earlier one hides entirely, with that earlier one."""
+    """Yield each unreachable rule with the earlier rule that covers it."""
     index = RuleIndex(rules)
     for later in rules:
         for earlier in index.candidates(later.host, later.path_prefix):
@@ -46,7 +46,7 @@
     if earlier.key is not None:
         return earlier.key == later.key
     if later.key is not None:
-        return _takes(earlier, later.key)
+        return _matches_key(earlier, later.key)
     return (
         earlier.shards == later.shards
         and earlier.first_shard <= later.first_shard
@@ -54,7 +54,7 @@
     )
 
 
-def _takes(rule: CompiledRule, key: str) -> bool:
+def _matches_key(rule: CompiledRule, key: str) -> bool:
     if not rule.shards:
         return False
     shard = find_shard(rule.key_source, key, rule.shards)
--- a/src/gentianwharf/rules/_diff.py
+++ b/src/gentianwharf/rules/_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two rule documents, rule by rule, as an operator sees it."""
+"""Compares two rule documents rule by rule, for display to operators."""
 
 from collections.abc import Iterator, Mapping
 from difflib import SequenceMatcher
@@ -11,10 +11,10 @@
 def diff_documents(
     before: RuleDocument | None, after: RuleDocument
 ) -> tuple[RuleChange, ...]:
-    """Return the changes from ``before`` to ``after`` by rule name.
+    """Return the changes from ``before`` to ``after``, by rule name.
 
-    Order decides which rule matches, so a rule that only stands elsewhere among the
-    others is a change too.
+    The order of rules determines which one matches, so a rule that only changed its
+    position among the others is reported too.
     """
     old = _numbered(before) if before is not None else {}
     new = _numbered(after)
@@ -23,19 +23,19 @@
 
 
 def _numbered(document: RuleDocument) -> dict[str, tuple[int, Rule]]:
-    return {one.name: (number, one) for number, one in enumerate(document.rules, 1)}
+    return {rule.name: (number, rule) for number, rule in enumerate(document.rules, 1)}
 
 
 def _moved(old: list[str], new: list[str]) -> set[str]:
-    """Return the names that stand elsewhere among those that both have."""
-    both = set(old) & set(new)
-    left = [name for name in old if name in both]
-    right = [name for name in new if name in both]
+    """Return the names whose position among the common names changed."""
+    common = set(old) & set(new)
+    left = [name for name in old if name in common]
+    right = [name for name in new if name in common]
     matcher = SequenceMatcher(a=left, b=right, autojunk=False)
-    stay: set[str] = set()
+    unmoved: set[str] = set()
     for block in matcher.get_matching_blocks():
-        stay.update(left[block.a : block.a + block.size])
-    return both - stay
+        unmoved.update(left[block.a : block.a + block.size])
+    return common - unmoved
 
 
 def _changes(
@@ -96,5 +96,5 @@
 
 def _text(value: object) -> str:
     if isinstance(value, list):
-        return " ".join(str(one) for one in value)
+        return " ".join(str(item) for item in value)
     return str(value)
--- a/src/gentianwharf/rules/_explain.py
+++ b/src/gentianwharf/rules/_explain.py
@@ -1,4 +1,4 @@
-"""Why a request falls to a rule: for operators, not for the path of requests."""
+"""Explains to operators why a rule matches a request; not used to route requests."""
 
 from gentianwharf.matching import (
     CompiledRule,
@@ -13,9 +13,9 @@
 
 
 def explain(rules: RuleSet, facts: RequestFacts) -> Explanation:
-    """Say which rule decides ``facts`` and which earlier ones did not, and why."""
+    """Return which rule matches ``facts``, and why each earlier rule does not."""
     match = rules.match(facts)
-    deciding = match.number if match is not None else len(rules.compiled) + 1
+    end_number = match.number if match is not None else len(rules.compiled) + 1
     return Explanation(
         revision=rules.revision,
         number=match.number if match is not None else None,
@@ -28,11 +28,11 @@
         repeatable=match.repeatable if match is not None else None,
         passed_over=tuple(
             UnmatchedRule(
-                number=one.number,
-                rule_name=one.rule.name,
-                reasons=tuple(_reasons(one, facts)),
+                number=rule.number,
+                rule_name=rule.rule.name,
+                reasons=tuple(_reasons(rule, facts)),
             )
-            for one in rules.compiled[: deciding - 1]
+            for rule in rules.compiled[: end_number - 1]
         ),
     )
 
@@ -44,8 +44,8 @@
     if not facts.path.startswith(rule.path_prefix):
         reasons.append(f"path does not begin with {rule.path_prefix!r}")
     if rule.methods and facts.method not in rule.methods:
-        asked = ", ".join(sorted(rule.methods))
-        reasons.append(f"method is {facts.method}, the rule asks for {asked}")
+        methods = ", ".join(sorted(rule.methods))
+        reasons.append(f"method is {facts.method}, the rule asks for {methods}")
     for name, value in rule.headers:
         found = facts.headers.get(name)
         if found != value:
--- a/src/gentianwharf/rules/_owners.py
+++ b/src/gentianwharf/rules/_owners.py
@@ -1,9 +1,9 @@
-"""The check that only a key decides where its owner stands.
+"""Checks that the site of a key's owner depends on the key alone.
 
-Were a keyed service's site to hang on a header, path or method as well, two requests
-for one key would be sent to two sites, and each of the two servers would believe
-itself the owner. The check walks through the groups of keys that the rules tell apart
-and refuses a document in which one group can come out at two sites.
+If the site of a keyed service also depended on a header, path or method, two requests
+for one key could be sent to two sites, and two servers would act as its owner. The
+check goes through the groups of keys that the rules distinguish and reports a conflict
+if requests for one group can be sent to two sites.
 """
 
 from collections.abc import Iterator, Sequence
@@ -19,65 +19,67 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class TwoOwners:
-    """Two rules that send one key to two sites; ``keys`` describes the keys."""
+class OwnerConflict:
+    """Two rules that send the same keys to two sites; ``keys`` describes the keys."""
 
     first: CompiledRule
     second: CompiledRule
     keys: str
 
 
-def two_owners(rules: Sequence[CompiledRule]) -> Iterator[TwoOwners]:
-    """Return, for each later rule, the first conflict that it takes part in."""
+def find_owner_conflicts(rules: Sequence[CompiledRule]) -> Iterator[OwnerConflict]:
+    """Yield, for each later rule, its first conflict with an earlier rule."""
     keyed: dict[str, list[CompiledRule]] = {}
-    for one in rules:
-        if one.shards:
-            keyed.setdefault(one.rule.then.service, []).append(one)
-    for own in keyed.values():
-        yield from _two_owners_of_service(own)
+    for rule in rules:
+        if rule.shards:
+            keyed.setdefault(rule.rule.then.service, []).append(rule)
+    for service_rules in keyed.values():
+        yield from _find_service_conflicts(service_rules)
 
 
-def _two_owners_of_service(rules: Sequence[CompiledRule]) -> Iterator[TwoOwners]:
+def _find_service_conflicts(rules: Sequence[CompiledRule]) -> Iterator[OwnerConflict]:
     covered_by = _covered_by(rules)
     reported: set[int] = set()
-    for keys, holding in _groups(rules):
+    for keys, matching in _groups(rules):
         first = None
-        for position in _positions(holding):
-            if covered_by[position] & holding:
+        for position in _positions(matching):
+            if covered_by[position] & matching:
                 continue
-            one = rules[position]
-            first = first or one
-            differs = one.rule.then.site != first.rule.then.site
-            if differs and one.number not in reported:
-                reported.add(one.number)
-                yield TwoOwners(first=first, second=one, keys=keys)
+            rule = rules[position]
+            first = first or rule
+            differs = rule.rule.then.site != first.rule.then.site
+            if differs and rule.number not in reported:
+                reported.add(rule.number)
+                yield OwnerConflict(first=first, second=rule, keys=keys)
 
 
 def _groups(rules: Sequence[CompiledRule]) -> Iterator[tuple[str, int]]:
-    """Return each group of keys that no rule tells apart, and the rules that hold.
+    """Yield a description of each group of keys that no rule distinguishes.
 
-    The rules come as a bit for each position: up to 1,000 rules and as many groups
-    are compared on the daemon's only thread.
+    With it come the rules that match these keys, as a bit mask of positions: up to
+    1,000 rules and as many groups are compared on the daemon's only thread.
     """
     shards = rules[0].shards
-    ranges = [one for one in rules if one.key is None]
-    edges = {one.first_shard for one in ranges} | {one.end_shard for one in ranges}
-    for start in sorted(edge for edge in {0, *edges} if edge < shards):
-        yield f"keys of shard {start}", _holding(rules, start, None)
-    for key in dict.fromkeys(one.key for one in rules if one.key is not None):
+    ranges = [rule for rule in rules if rule.key is None]
+    bounds = {rule.first_shard for rule in ranges} | {rule.end_shard for rule in ranges}
+    for start in sorted(bound for bound in {0, *bounds} if bound < shards):
+        yield f"keys of shard {start}", _matching_rules(rules, start, None)
+    for key in dict.fromkeys(rule.key for rule in rules if rule.key is not None):
         shard = find_shard(rules[0].key_source, key, shards)
-        yield f"key {key!r}", _holding(rules, shard, key)
+        yield f"key {key!r}", _matching_rules(rules, shard, key)
 
 
-def _holding(rules: Sequence[CompiledRule], shard: int | None, key: str | None) -> int:
-    holding = 0
-    for position, one in enumerate(rules):
-        if one.key is None:
-            is_held = is_in_range(one.first_shard, shard, one.end_shard)
+def _matching_rules(
+    rules: Sequence[CompiledRule], shard: int | None, key: str | None
+) -> int:
+    matching = 0
+    for position, rule in enumerate(rules):
+        if rule.key is None:
+            is_match = is_in_range(rule.first_shard, shard, rule.end_shard)
         else:
-            is_held = one.key == key
-        holding |= is_held << position
-    return holding
+            is_match = rule.key == key
+        matching |= is_match << position
+    return matching
 
 
 def _positions(bits: int) -> Iterator[int]:
@@ -88,20 +90,21 @@
 
 
 def _covered_by(rules: Sequence[CompiledRule]) -> list[int]:
-    """Return, for each rule, the earlier ones that cover it, as bits.
+    """Return, for each rule, the earlier rules that cover it, as a bit mask.
 
-    A migration has several rules of one shape, so shapes are compared, not rules.
+    A migration has several rules of the same shape. Shapes are compared rather than
+    rules, since ``covers`` depends on the shape alone.
     """
     seen: dict[Shape, tuple[CompiledRule, int]] = {}
     covered_by = []
-    for position, one in enumerate(rules):
+    for position, rule in enumerate(rules):
         bits = 0
         for example, positions in seen.values():
-            if covers(example, one):
+            if covers(example, rule):
                 bits |= positions
         covered_by.append(bits)
-        shape = _shape(one)
-        example, positions = seen.get(shape, (one, 0))
+        shape = _shape(rule)
+        example, positions = seen.get(shape, (rule, 0))
         seen[shape] = (example, positions | 1 << position)
     return covered_by
 
--- a/src/gentianwharf/rules/_scope.py
+++ b/src/gentianwharf/rules/_scope.py
@@ -1,4 +1,4 @@
-"""What a rule document may speak of: the services, sites and classes that exist."""
+"""The services, sites and request classes that rule documents can refer to."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -10,11 +10,12 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RuleScope:
-    """Services with their shards (0 when not keyed) and sites, and the classes.
+    """The entities that rule documents can refer to.
 
-    ``deadline_caps_ms`` bounds the deadline of requests to some keyed services: after
-    the loss of a server that knows tokens alone, its shards stay unserved until the
-    longest deadline has passed.
+    ``shards`` and ``sites`` map each service to its number of shards (0 if it is not
+    keyed) and to the sites of its servers. ``deadline_caps_ms`` limits the deadline of
+    requests to some keyed services: if a server that supports only tokens is lost, its
+    shards are unavailable until the longest deadline has passed.
     """
 
     shards: Mapping[str, int]
@@ -31,14 +32,16 @@
         classes: Iterable[str],
         deadline_caps_ms: Mapping[str, int] | None = None,
     ) -> Self:
-        """Return the scope of these entities."""
+        """Return the scope of these services, failure domains and request classes."""
         site_of = {domain.name: domain.site for domain in domains}
-        kept = tuple(services)
+        all_services = tuple(services)
         return cls(
-            shards={one.name: one.shards for one in kept},
+            shards={service.name: service.shards for service in all_services},
             sites={
-                one.name: frozenset(site_of[server.domain] for server in one.servers)
-                for one in kept
+                service.name: frozenset(
+                    site_of[server.domain] for server in service.servers
+                )
+                for service in all_services
             },
             classes=frozenset(classes),
             deadline_caps_ms=deadline_caps_ms or {},
--- a/src/gentianwharf/runs.py
+++ b/src/gentianwharf/runs.py
@@ -1,4 +1,4 @@
-"""What is known of a request's run; a module of its own, which imports nothing."""
+"""Whether a backend server executed a request. Imports nothing of this package."""
 
 from enum import StrEnum
 
@@ -6,10 +6,10 @@
 
 
 class RunStatus(StrEnum):
-    """What is known of a request's run at its backend server.
+    """Whether a backend server has executed a request.
 
-    ``NOT_RUN`` is said only when no byte was handed to a server, or when the server
-    itself said so; ``UNKNOWN`` whenever a byte may have reached one.
+    ``NOT_RUN`` is reported only if no byte was sent to a server or the server itself
+    reported it; ``UNKNOWN`` if a server may have received a byte.
     """
 
     RUN = "run"
