--- a/src/gentianwharf/rules/_book.py
+++ b/src/gentianwharf/rules/_book.py
@@ -1,4 +1,4 @@
-"""The operators' rule document in the store, changed by compare-and-swap alone."""
+"""Reads and changes the rule document in the store, using compare-and-swap."""
 
 from random import Random
 from typing import TYPE_CHECKING, final
@@ -13,7 +13,7 @@
 )
 
 if TYPE_CHECKING:
-    # For its type alone: the adapters beside it take 10 MB and 0.3 s to import.
+    # Imported for its type only: the package takes 10 MB and 0.3 s to import.
     from gentianwharf.infra import KeyValueStore
 
 from ._check import RuleChecker
@@ -31,21 +31,22 @@
     Severity,
 )
 
-MOST_ATTEMPTS = 6
-PAUSE_S = 0.25
-"""Before attempt n+1 the wait is n times this: 3.75 s in all."""
+MAX_ATTEMPTS = 6
+RETRY_DELAY_S = 0.25
+"""Attempt n+1 is delayed by n times this value, 3.75 s in total."""
 
-MOST_CHANGE_IDS = 32
-"""How many later changes leave an earlier one still provable from the record."""
+MAX_CHANGE_IDS = 32
+"""The number of recent changes whose success can be determined from the record."""
 
 
 @final
 class RuleBook:
     """Reads and changes the rule document under ``prefix`` (``gentianwharf/tunis/``).
 
-    Two operators may edit at once: each says which revision it began with, and the
-    slower one gets both changes back. A write whose answer is lost is settled by
-    reading: the record lists the changes that led to it.
+    Two operators may edit concurrently: each passes the revision that it edited, and
+    the second to write gets a ``RulesConflict`` with both changes. If the answer to a
+    write is lost, the outcome is determined by reading the record, which lists the
+    recent changes.
     """
 
     def __init__(
@@ -63,19 +64,19 @@
         self._rng = rng
 
     async def read(self) -> RuleVersion | None:
-        """Return the document in the store, None when there is none yet.
+        """Return the document in the store, or None if there is none yet.
 
-        Raises ``InputError`` when it can't be read as rules, and the store's errors.
+        Raises ``InputError`` if the record is unreadable, and the store's errors.
         """
         return await self._record.read()
 
     async def history(self) -> list[RuleVersion]:
-        """Return the document in the store and those before it, newest first."""
+        """Return the document in the store and the earlier ones, newest first."""
         current = await self._record.read()
-        kept = await self._record.earlier()
+        earlier = await self._record.read_history()
         if current is None:
-            return kept
-        return [current, *(one for one in kept if one.number < current.number)]
+            return earlier
+        return [current, *(item for item in earlier if item.number < current.number)]
 
     async def apply(
         self,
@@ -85,56 +86,56 @@
         author: str,
         change_id: str | None = None,
     ) -> ApplyResult:
-        """Put ``document`` in force if the store still has ``edited_from_revision``.
+        """Apply ``document`` if the store's revision is ``edited_from_revision``.
 
-        0 stands for "no rules yet". Repeating a call with its ``change_id`` is safe.
-        Raises ``PeerUnavailableError`` when nothing took effect, and
-        ``OutcomeUnknownError`` when the store stayed silent for too long after a
-        write: the message says how to find out.
+        Revision 0 means that there are no rules yet. A call can safely be repeated with
+        the same ``change_id``. Raises ``PeerUnavailableError`` if the call had no
+        effect, and ``OutcomeUnknownError`` if the store did not answer after a write;
+        its message says how to determine the outcome.
         """
         findings = self._checker.check(document)
-        if any(one.severity is Severity.ERROR for one in findings):
+        if any(finding.severity is Severity.ERROR for finding in findings):
             return RulesRefused(findings=findings)
         change = change_id or f"{self._rng.getrandbits(96):024x}"
         current = await self._record.current()
         if change in current.change_ids:
-            return await self._found(current, change, findings)
+            return await self._report_applied(current, change, findings)
         if current.revision != edited_from_revision:
-            return await self._too_late(
+            return await self._report_conflict(
                 current, edited_from_revision, document, findings
             )
         if current.record is not None:
-            await self._record.keep(current.record, current.revision)
+            await self._record.archive(current.record, current.revision)
         record = _next_record(document, current, author=author, change_id=change)
         return await self._write(record, findings)
 
     async def _write(
         self, record: StoredRules, findings: tuple[Finding, ...]
     ) -> ApplyResult:
-        """Write until it is known whether the record took effect.
+        """Write the record, with retries until the outcome is known.
 
-        Repeating is safe: both writes expect the same revision, so that at most one
-        of them takes effect, however late an earlier one arrives.
+        Retries are safe: all writes expect the same revision, so at most one of them
+        takes effect, however late an earlier one reaches the store.
         """
         expected = record.edited_from_revision
         change = record.recent_change_ids[0]
-        may_have_landed = False
-        for attempt in range(MOST_ATTEMPTS):
+        may_be_written = False
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
-                await deferLater(self._clock, attempt * PAUSE_S, lambda: None)
+                await deferLater(self._clock, attempt * RETRY_DELAY_S, lambda: None)
             try:
-                written = await self._record.swap(record)
+                written = await self._record.replace(record)
             except ConflictError:
                 pass
             except OutcomeUnknownError:
-                may_have_landed = True
+                may_be_written = True
             except PeerUnavailableError:
-                if not may_have_landed:
+                if not may_be_written:
                     raise
             else:
                 return RulesApplied(
                     version=record.version(written),
-                    read_back=may_have_landed,
+                    read_back=may_be_written,
                     warnings=findings,
                 )
             try:
@@ -142,14 +143,14 @@
             except (OutcomeUnknownError, PeerUnavailableError):
                 continue
             if change in current.change_ids:
-                return await self._found(current, change, findings)
+                return await self._report_applied(current, change, findings)
             if current.revision != expected:
-                return await self._too_late(
+                return await self._report_conflict(
                     current, expected, record.document, findings
                 )
-        raise self._silent(record)
+        raise self._unknown_outcome(record)
 
-    def _silent(self, record: StoredRules) -> OutcomeUnknownError:
+    def _unknown_outcome(self, record: StoredRules) -> OutcomeUnknownError:
         return OutcomeUnknownError(
             f"the store did not say whether change {record.recent_change_ids[0]} took"
             " effect; once it answers, `gentianwharf rules history` lists the change"
@@ -158,28 +159,30 @@
             peer=self._record.key,
         )
 
-    async def _found(
+    async def _report_applied(
         self, current: CurrentRules, change: str, findings: tuple[Finding, ...]
     ) -> RulesApplied:
-        """Return the version of a change that is in the record's lineage."""
+        """Return the result for a change that is listed in the record."""
         assert current.record is not None
         version = current.record.version(current.revision)
         superseded = version.change_id != change
         if superseded:
-            kept = await self._record.earlier()
-            version = next((one for one in kept if one.change_id == change), version)
+            earlier = await self._record.read_history()
+            version = next(
+                (item for item in earlier if item.change_id == change), version
+            )
         return RulesApplied(
             version=version, read_back=True, superseded=superseded, warnings=findings
         )
 
-    async def _too_late(
+    async def _report_conflict(
         self,
         current: CurrentRules,
         edited_from_revision: int,
         mine: RuleDocument,
         findings: tuple[Finding, ...],
     ) -> ApplyResult:
-        """Tell of the conflict, unless what is in force is the same document."""
+        """Return a conflict, or success if the same document is already in force."""
         if current.record is not None and current.record.document == mine:
             return RulesApplied(
                 version=current.record.version(current.revision),
@@ -187,9 +190,9 @@
                 already=True,
                 warnings=findings,
             )
-        return await self._conflict(current, edited_from_revision, mine)
+        return await self._build_conflict(current, edited_from_revision, mine)
 
-    async def _conflict(
+    async def _build_conflict(
         self, current: CurrentRules, edited_from_revision: int, mine: RuleDocument
     ) -> RulesConflict:
         if current.record is None:
@@ -201,7 +204,7 @@
             )
         base = None
         if edited_from_revision:
-            base = await self._record.find_earlier(edited_from_revision)
+            base = await self._record.find_in_history(edited_from_revision)
         document = base.document if base is not None else None
         return RulesConflict(
             current=current.record.version(current.revision),
@@ -220,6 +223,6 @@
         number=current.number + 1,
         edited_from_revision=current.revision,
         author=author,
-        recent_change_ids=(change_id, *current.change_ids[: MOST_CHANGE_IDS - 1]),
+        recent_change_ids=(change_id, *current.change_ids[: MAX_CHANGE_IDS - 1]),
         document=document,
     )
--- a/src/gentianwharf/rules/_codec.py
+++ b/src/gentianwharf/rules/_codec.py
@@ -1,4 +1,4 @@
-"""Rule documents as bytes, for the store and for other hosts."""
+"""Serializes rule documents for the store and for other hosts."""
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
@@ -11,15 +11,15 @@
 
 
 class StoredRules(BaseModel):
-    """The record that the store holds: the document, who wrote it, and its lineage.
+    """The record in the store: a rule document with its author and recent changes.
 
-    ``recent_change_ids`` lists this change and those before it, newest first: a
-    writer whose answer was lost finds its own change there, even when others have
-    edited the rules since.
+    ``recent_change_ids`` lists this change and those before it, newest first. A writer
+    that did not receive the store's answer finds its own change in it, even if others
+    have edited the rules since.
     """
 
-    # Built when first used: an entry host on a platform with a format of its own never
-    # does, and starts a tenth of a second sooner.
+    # Validators are built on first use: an entry host on a platform with its own rule
+    # format never needs them, and starts 0.1 s faster.
     model_config = ConfigDict(extra="ignore", frozen=True, defer_build=True)
 
     format: int = Field(ge=1)
@@ -30,7 +30,7 @@
     document: RuleDocument
 
     def version(self, revision: int) -> RuleVersion:
-        """Return the version that this record is at the store's ``revision``."""
+        """Return this record as the version at the store's ``revision``."""
         return RuleVersion(
             number=self.number,
             revision=revision,
@@ -42,10 +42,10 @@
 
 
 def encode_rules(record: StoredRules) -> bytes:
-    """Return ``record`` as the store holds it.
+    """Serialize ``record`` for the store.
 
-    Defaults are written out: a later release may have others, and a document must
-    not change its meaning by being read.
+    Default values are included: a later release may have other defaults, and a stored
+    document must not change its meaning when that release reads it.
     """
     return record.model_dump_json(exclude_none=True).encode()
 
@@ -57,7 +57,7 @@
 
 
 def decode_rules(value: bytes, *, peer: str) -> StoredRules:
-    """Read what the store holds; raises ``InputError`` when it is no rule record."""
+    """Parse a value of the store; raises ``InputError`` if it is no rule record."""
     try:
         record = StoredRules.model_validate_json(value)
     except ValidationError as error:
@@ -68,10 +68,11 @@
 
 
 def _unreadable(value: bytes, error: ValidationError, peer: str) -> InputError:
-    """Return why ``value`` is no record; its format comes first.
+    """Return the error for a ``value`` that is no record; checks its format first.
 
-    Fields of a later release are unknown here. An operator who was told of these alone
-    would apply the document again, with an older release, and lose what they say.
+    A record of a later release can have fields that this release rejects. If the error
+    named only these, an operator would apply the document again with the older release
+    and lose the fields' contents.
     """
     try:
         found = _Format.model_validate_json(value).format
@@ -98,5 +99,5 @@
 
 
 def document_size_bytes(document: RuleDocument) -> int:
-    """Return how large ``document`` is in the store."""
+    """Return the size of ``document`` in the store."""
     return len(document.model_dump_json(exclude_none=True).encode())
--- a/src/gentianwharf/rules/_document.py
+++ b/src/gentianwharf/rules/_document.py
@@ -1,4 +1,4 @@
-"""The rule document as operators write it and as hosts read it."""
+"""Models of the rule documents that operators write and hosts read."""
 
 from typing import Annotated, Self
 
@@ -12,22 +12,23 @@
 
 from gentianwharf.matching import KeyPlace
 
-DEEPEST_SEGMENT = 31
+MAX_SEGMENT_INDEX = 31
 
 
 class _Model(BaseModel):
-    # Only whole documents are validated: their parts need no validators of their own.
-    # A field that isn't known stays an error: it may be a condition, and a rule that is
-    # matched without one of its conditions takes requests that it isn't meant for.
+    # Validators of parts are built on first use, as only whole documents are validated.
+    # Unknown fields are errors: a field may be a condition, and a rule without one of
+    # its conditions would match requests that it is not intended for.
     model_config = ConfigDict(extra="forbid", frozen=True, defer_build=True)
 
 
 class KeySource(_Model):
-    """Where the key is read; ``name`` is a header, a field or a segment's index.
+    """Where the key is read.
 
-    Segments count from 0: in ``/calendrier/sciences`` segment 1 is ``sciences``.
-    With ``is_shard`` the key is the decimal number of its shard, where clients and
-    servers have divided the key space themselves; otherwise it is hashed.
+    ``name`` is the name of a header or query field, or the index of a path segment.
+    Segments are counted from 0: in ``/calendrier/sciences`` segment 1 is ``sciences``.
+    With ``is_shard`` the key is the decimal number of its shard, for clients and
+    servers that divide the key space themselves; otherwise the key is hashed.
     """
 
     place: KeyPlace
@@ -44,15 +45,15 @@
 
     def _check_segment(self) -> None:
         digits = self.name.isascii() and self.name.isdigit()
-        if not digits or int(self.name) > DEEPEST_SEGMENT:
+        if not digits or int(self.name) > MAX_SEGMENT_INDEX:
             raise ValueError(
                 f"name of a path_segment: expected a number from 0 to"
-                f" {DEEPEST_SEGMENT}, got {self.name!r}"
+                f" {MAX_SEGMENT_INDEX}, got {self.name!r}"
             )
 
 
 class ShardRange(_Model):
-    """The shards from ``first`` to ``last``, both included."""
+    """The shards from ``first`` to ``last``, inclusive."""
 
     first: int = Field(ge=0)
     last: int = Field(ge=0)
@@ -67,11 +68,12 @@
 
 
 class Condition(_Model):
-    """The when-part: all that are given must hold; an empty one always holds.
+    """The conditions of a rule, all of which must be met; none match any request.
 
-    ``shard_share`` holds for the first part of a keyed service's shards, from 0 to 1;
-    ``shard_range`` for some of its shards; ``key`` for a single key. These three are
-    functions of the key and may choose where its owner stands; the others may not.
+    ``shard_share`` matches a fraction of a keyed service's shards, from 0 to 1, counted
+    from shard 0; ``shard_range`` matches a range of its shards and ``key`` a single
+    key. These three depend on the key alone, so they may determine the site of its
+    owner; the other conditions may not.
     """
 
     host: str | None = None
@@ -98,19 +100,19 @@
 
 
 class ServiceShare(_Model):
-    """One service of a split and its part, relative to the others' weights."""
+    """One service of a traffic split, with its weight relative to the others."""
 
     service: str
     weight: float = Field(ge=0)
 
 
 class Target(_Model):
-    """The then-part: where the request goes and how it is treated.
+    """Where the requests of a rule are sent and how they are treated.
 
-    ``split`` divides the requests among services by weight; ``service`` is then one
-    of them. ``most_tries`` bounds the servers that one request may be sent to,
-    ``target_latency_ms`` is the time within which an answer is worth most to its
-    caller, and ``priority`` ranks the rule's requests under load, 0 first.
+    ``split`` distributes the requests among services by weight; ``service`` is then one
+    of them. ``most_tries`` is the maximum number of servers that one request is sent
+    to, ``target_latency_ms`` the latency up to which an answer has full value to its
+    caller, and ``priority`` ranks the requests under load; 0 is the highest.
     """
 
     service: str
@@ -126,7 +128,7 @@
 
 
 class Rule(_Model):
-    """One when-then rule."""
+    """One rule: conditions, and the target of the requests that meet them."""
 
     name: str
     when: Condition = Condition()
@@ -134,12 +136,12 @@
 
 
 class RuleDocument(_Model):
-    """The ordered list, as kept in the store.
+    """An ordered list of rules, as stored.
 
-    Neither its length nor a rule's values have a bound here, only the form that
-    matching needs. Hosts read lists that the store has accepted: one that refused a
-    list for a rule beyond a bound would serve by older rules, and by none after a
-    restart. What an operator may apply is bounded by ``RuleChecker``.
+    The model checks only what matching requires and limits neither the number of rules
+    nor their values. Hosts read documents that the store has accepted: a host that
+    rejected one because of a limit would serve by older rules or, after a restart, by
+    none. ``RuleChecker`` limits what operators can apply.
     """
 
     rules: tuple[Rule, ...]
--- a/src/gentianwharf/rules/_history.py
+++ b/src/gentianwharf/rules/_history.py
@@ -1,4 +1,4 @@
-"""Earlier rule documents in the store: a bounded ring of records."""
+"""Earlier rule documents in the store, in a ring of bounded size."""
 
 from typing import TYPE_CHECKING, final
 
@@ -13,14 +13,14 @@
 )
 
 if TYPE_CHECKING:
-    # For its type alone: the adapters beside it take 10 MB and 0.3 s to import.
+    # Imported for its type only: the package takes 10 MB and 0.3 s to import.
     from gentianwharf.infra import KeyValueStore
 
 from ._codec import StoredRules
 from ._results import RuleVersion
 
-MOST_HISTORY = 20
-"""Read in one call: 20 of the largest documents are 5 MiB."""
+MAX_HISTORY_RECORDS = 20
+"""All are read in one call: 20 documents of the maximum size are 5 MiB."""
 
 log = Logger("gentianwharf.rules")
 
@@ -34,54 +34,58 @@
 
 @final
 class RuleHistory:
-    """Keeps the documents that were in force before, each at its number's place.
+    """Stores earlier documents, each under a key derived from its number.
 
-    It is a convenience for operators: no failure here may hinder a change of the
-    rules, nor make one that took effect look as if it had failed.
+    The history is a convenience for operators: its failures neither prevent a change of
+    the rules nor make a successful change look failed.
     """
 
     def __init__(self, *, store: "KeyValueStore", prefix: str) -> None:
         self._store = store
         self._prefix = prefix
 
-    async def keep(self, record: StoredRules, revision: int) -> None:
-        """Keep a record that is about to be replaced."""
+    async def archive(self, record: StoredRules, revision: int) -> None:
+        """Store a record that is about to be replaced."""
         archived = _Archived(revision=revision, record=record)
         value = archived.model_dump_json(exclude_none=True).encode()
         try:
             await self._put(self._key(record.number), value, record.number)
         except (ConflictError, OutcomeUnknownError, PeerUnavailableError) as error:
-            log.warning("rules of revision {} not kept: {}", revision, error)
+            log.warning(
+                "rules of revision {} not added to the history: {}", revision, error
+            )
 
     async def _put(self, key: str, value: bytes, number: int) -> None:
-        found = await self._store.get(key)
-        kept = _decode(found.value) if found is not None else None
-        if kept is not None and kept.record.number >= number:
+        stored = await self._store.get(key)
+        archived = _decode(stored.value) if stored is not None else None
+        if archived is not None and archived.record.number >= number:
             return
-        revision = found.revision if found is not None else 0
+        revision = stored.revision if stored is not None else 0
         await self._store.compare_and_swap(key, value, expected_revision=revision)
 
     async def read(self) -> list[RuleVersion]:
-        """Return what is kept, newest first; a record that can't be read is left out.
+        """Return the stored versions, newest first, without unreadable records.
 
-        Raises ``PeerUnavailableError`` when the store doesn't answer.
+        Raises ``PeerUnavailableError`` if the store does not answer.
         """
-        found = await self._store.get_many(self._prefix)
-        kept = [one for one in (_decode(value.value) for value in found) if one]
-        kept.sort(key=lambda one: one.record.number, reverse=True)
-        return [one.record.version(one.revision) for one in kept]
+        stored = await self._store.get_many(self._prefix)
+        archived = [item for item in (_decode(value.value) for value in stored) if item]
+        archived.sort(key=lambda item: item.record.number, reverse=True)
+        return [item.record.version(item.revision) for item in archived]
 
     async def find(self, revision: int) -> RuleVersion | None:
-        """Return the version of ``revision``; None when it is not to be had."""
+        """Return the version at ``revision``, or None if it cannot be read."""
         try:
-            kept = await self.read()
+            versions = await self.read()
         except GentianwharfError as error:
-            log.warning("rules of revision {} not read: {}", revision, error)
+            log.warning(
+                "rules of revision {} not read from the history: {}", revision, error
+            )
             return None
-        return next((one for one in kept if one.revision == revision), None)
+        return next((item for item in versions if item.revision == revision), None)
 
     def _key(self, number: int) -> str:
-        return f"{self._prefix}{number % MOST_HISTORY:03d}"
+        return f"{self._prefix}{number % MAX_HISTORY_RECORDS:03d}"
 
 
 def _decode(value: bytes) -> _Archived | None:
--- a/src/gentianwharf/rules/_record.py
+++ b/src/gentianwharf/rules/_record.py
@@ -1,4 +1,4 @@
-"""The rule record in the store: each call bounded in time."""
+"""The rule record in the store, accessed with a time limit on each call."""
 
 from collections.abc import Coroutine
 from dataclasses import dataclass
@@ -10,15 +10,15 @@
 from gentianwharf.errors import InputError, OutcomeUnknownError
 
 if TYPE_CHECKING:
-    # For its type alone: the adapters beside it take 10 MB and 0.3 s to import.
+    # Imported for its type only: the package takes 10 MB and 0.3 s to import.
     from gentianwharf.infra import KeyValueStore
 
 from ._codec import StoredRules, decode_rules, encode_rules
 from ._history import RuleHistory
 from ._results import RuleVersion
 
-CALL_S = 2.0
-"""The store answers in milliseconds; after this long an answer counts as lost."""
+CALL_TIMEOUT_S = 2.0
+"""The store answers in milliseconds; a later answer is treated as lost."""
 
 Result = TypeVar("Result")
 
@@ -26,27 +26,28 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CurrentRules:
-    """What the store holds; ``record`` is None when it is absent or unreadable."""
+    """The record in the store; ``record`` is None if it is absent or unreadable."""
 
     revision: int
     record: StoredRules | None
 
     @property
     def number(self) -> int:
-        """The number of the last change, 0 for none."""
+        """The number of the last change, or 0 if there is none."""
         return self.record.number if self.record is not None else 0
 
     @property
     def change_ids(self) -> tuple[str, ...]:
-        """The changes that led to the record, newest first."""
+        """The ids of the recent changes, newest first."""
         return self.record.recent_change_ids if self.record is not None else ()
 
 
 @final
 class RuleRecord:
-    """Reads and writes the record under ``prefix`` and those before it.
+    """Reads and writes the record under ``prefix`` and its history.
 
-    Every call ends within ``CALL_S``, in ``OutcomeUnknownError`` if nothing came.
+    Every call ends within ``CALL_TIMEOUT_S``, with ``OutcomeUnknownError`` if the store
+    has not answered.
     """
 
     def __init__(
@@ -54,13 +55,13 @@
     ) -> None:
         self._store = store
         self.key = f"{prefix}rules"
-        # Not under "rules": hosts watch that prefix and would pass every earlier
-        # document on to each other.
+        # Not under "rules": hosts watch that prefix and would distribute every earlier
+        # document to each other.
         self._history = RuleHistory(store=store, prefix=f"{prefix}history/rules/")
         self._clock = clock
 
     async def read(self) -> RuleVersion | None:
-        """Return the version in the store; ``InputError`` when it is no rules."""
+        """Return the version in the store; ``InputError`` if it is unreadable."""
         value = await self._bounded(self._store.get(self.key), step="read rules")
         if value is None:
             return None
@@ -68,21 +69,21 @@
         return record.version(value.revision)
 
     async def current(self) -> CurrentRules:
-        """Return what the store holds, readable or not."""
+        """Return the revision in the store, and the record if it is readable."""
         value = await self._bounded(self._store.get(self.key), step="read rules")
         if value is None:
             return CurrentRules(revision=0, record=None)
         try:
             record = decode_rules(value.value, peer=self.key)
         except InputError:
-            # An unreadable record must not keep operators from replacing it.
+            # Operators must be able to replace an unreadable record.
             return CurrentRules(revision=value.revision, record=None)
         return CurrentRules(revision=value.revision, record=record)
 
-    async def swap(self, record: StoredRules) -> int:
-        """Write the record over the one that it was edited from; return its revision.
+    async def replace(self, record: StoredRules) -> int:
+        """Replace the record that this one was edited from; return the new revision.
 
-        Raises ``ConflictError`` when the store has another.
+        Raises ``ConflictError`` if the store's record is another one.
         """
         written = await self._bounded(
             self._store.compare_and_swap(
@@ -94,36 +95,36 @@
         )
         return written.revision
 
-    async def earlier(self) -> list[RuleVersion]:
-        """Return the versions that are kept, newest first."""
+    async def read_history(self) -> list[RuleVersion]:
+        """Return the versions in the history, newest first."""
         return await self._bounded(self._history.read(), step="read history")
 
-    async def find_earlier(self, revision: int) -> RuleVersion | None:
-        """Return a kept version by its revision."""
+    async def find_in_history(self, revision: int) -> RuleVersion | None:
+        """Return the version at ``revision`` from the history, if it is there."""
         return await self._bounded(self._history.find(revision), step="read history")
 
-    async def keep(self, record: StoredRules, revision: int) -> None:
-        """Keep a record that is about to be replaced; no failure of it hinders that."""
+    async def archive(self, record: StoredRules, revision: int) -> None:
+        """Add a record that is about to be replaced to the history, if possible."""
         try:
             await self._bounded(
-                self._history.keep(record, revision), step="keep history"
+                self._history.archive(record, revision), step="keep history"
             )
         except OutcomeUnknownError:
             return
 
     async def _bounded(self, call: Coroutine[Any, Any, Result], *, step: str) -> Result:
-        """Turn an answer that does not come into ``OutcomeUnknownError``.
+        """Await ``call``; raise ``OutcomeUnknownError`` after ``CALL_TIMEOUT_S``.
 
-        A connection that has gone silent for good would otherwise hold the operator's
-        command, and the document, for ever.
+        Without a time limit, a connection that never answers would block the operator's
+        command forever.
         """
-        waiting: Deferred[Result] = ensureDeferred(call)
-        timer = self._clock.callLater(CALL_S, waiting.cancel)
+        pending: Deferred[Result] = ensureDeferred(call)
+        timer = self._clock.callLater(CALL_TIMEOUT_S, pending.cancel)
         try:
-            return await waiting
+            return await pending
         except CancelledError:
             raise OutcomeUnknownError(
-                f"the store did not answer within {CALL_S} s",
+                f"the store did not answer within {CALL_TIMEOUT_S} s",
                 step=step,
                 peer=self.key,
             ) from None
--- a/src/gentianwharf/rules/_results.py
+++ b/src/gentianwharf/rules/_results.py
@@ -1,4 +1,4 @@
-"""What came of checking, comparing and applying rule documents."""
+"""Results of checking, comparing, applying and explaining rules."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 
 class Severity(StrEnum):
-    """Whether a finding refuses the document."""
+    """The severity of a finding; a document with an error is refused."""
 
     ERROR = "error"
     WARNING = "warning"
@@ -17,10 +17,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Finding:
-    """One thing that is wrong with a rule document, and what to do about it.
+    """One problem of a rule document, and what is expected instead.
 
-    ``location`` leads through the document (``rules.0.when.key``), so that a tool
-    that holds the text can name the line.
+    ``location`` is a path in the document (``rules.0.when.key``), from which a tool
+    with the text can determine the line.
     """
 
     severity: Severity
@@ -45,7 +45,8 @@
 class RuleVersion:
     """A rule document that is or was in force.
 
-    ``number`` counts the changes from 1; ``revision`` is the store's, which only grows.
+    ``number`` counts the changes from 1. ``revision`` is the revision of the store,
+    which only increases.
     """
 
     number: int
@@ -57,7 +58,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What happened to a rule between two documents."""
+    """How a rule differs between two documents."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -68,7 +69,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RuleChange:
-    """One rule's change, with one line a field that differs (``field: a -> b``)."""
+    """A change of one rule; ``details`` has a line ``field: a -> b`` for each field."""
 
     kind: ChangeKind
     rule_name: str
@@ -80,12 +81,12 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RulesApplied:
-    """The document is in force in the store.
+    """The document was applied.
 
-    ``read_back`` tells that the store's answer was lost and the write was found by
-    reading; ``superseded`` that others have edited the rules since; ``already`` that
-    the same document was in force before, whoever applied it, and nothing was written.
-    ``warnings`` did not refuse the document.
+    ``read_back`` is True if the store's answer was lost and reading the record showed
+    that the write succeeded, ``superseded`` if others have edited the rules since, and
+    ``already`` if the same document was in force before and nothing was written.
+    ``warnings`` are the findings that are no errors.
     """
 
     version: RuleVersion
@@ -98,7 +99,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RulesRefused:
-    """The document breaks a rule of its form; nothing was written."""
+    """The document has errors; nothing was written."""
 
     findings: tuple[Finding, ...]
 
@@ -106,10 +107,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RulesConflict:
-    """Somebody else's document came first; nothing of this one took effect.
+    """Another document was applied first; this one had no effect.
 
-    ``base_known`` is False when the document that both began with is no longer
-    kept; both changes are then shown against an empty list.
+    ``base_known`` is False if the document that both were edited from is no longer in
+    the history; both changes are then relative to an empty document.
     """
 
     current: RuleVersion
@@ -125,7 +126,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UnmatchedRule:
-    """A rule that did not match a request, and the conditions that failed."""
+    """A rule that does not match a request, and the conditions that are not met."""
 
     number: int
     rule_name: str
@@ -135,7 +136,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Explanation:
-    """Which rule decides a request, and why each earlier one did not."""
+    """Which rule matches a request, and why each earlier rule does not."""
 
     revision: int
     number: int | None
