--- a/src/gentianwharf/settings/__init__.py
+++ b/src/gentianwharf/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings in JSON with comments, checked before anything starts."""
+"""Loads settings and rules from JSON with comments, and validates them."""
 
 from ._entities import (
     BackendServerSettings,
--- a/src/gentianwharf/settings/_entities.py
+++ b/src/gentianwharf/settings/_entities.py
@@ -1,4 +1,4 @@
-"""Settings of what there is: domains, the host itself, the platform, services."""
+"""Settings of the failure domains, the host, the platform and the services."""
 
 from typing import Self
 
@@ -9,18 +9,18 @@
 
 
 class DomainSettings(StrictModel):
-    """A failure domain and the data centre that it stands in."""
+    """A failure domain and the site (data centre) that it belongs to."""
 
     name: Name
     site: Name
 
 
 class HostSettings(StrictModel):
-    """The daemon itself: who it is and where it listens.
+    """The identity of the daemon and the addresses on which it listens.
 
-    ``admin_token_file`` holds one line, the token of the admin port; without it the
-    admin port may only listen on a loopback address. A relative path counts from the
-    settings file.
+    ``admin_token_file`` contains one line, the token of the admin port; without it the
+    admin port may only listen on a loopback address. A relative path is relative to the
+    directory of the settings file.
     """
 
     id: Name
@@ -39,8 +39,8 @@
                         location=("admin_address",),
                         found=f"{self.admin_address} without admin_token_file",
                         expected=(
-                            "a loopback address, or admin_token_file: whoever reaches"
-                            " the admin port could move keys"
+                            "a loopback address, or admin_token_file: anyone who can"
+                            " reach the admin port could move keys"
                         ),
                     )
                 ]
@@ -49,10 +49,11 @@
 
 
 class KnownHost(StrictModel):
-    """A fellow host to talk to before the platform's list has come, or without it.
+    """Another host to connect to while the platform's list of hosts is unavailable.
 
-    A host that starts while its failure domain is cut off from the platform learns
-    rules, table and rights from these; the list replaces them once it is there.
+    A host that starts while its failure domain is disconnected from the platform
+    receives rules, table and rights from these hosts. The platform's list replaces them
+    as soon as it has been received.
     """
 
     id: Name
@@ -61,7 +62,7 @@
 
 
 class PlatformSettings(StrictModel):
-    """Where the platform's store and host list answer, and for how long to wait."""
+    """The URLs of the platform's store and host list, and the timeout of calls."""
 
     store_url: Url
     hosts_url: Url
@@ -77,7 +78,10 @@
 
 
 class NumberedServers(StrictModel):
-    """A run of backend servers on one IP number, dealt over the failure domains."""
+    """Backend servers on consecutive ports of one IP number.
+
+    They are assigned to the failure domains in turn.
+    """
 
     count: int = Field(gt=0, le=10_000)
     domains: tuple[Name, ...] = Field(min_length=1)
@@ -86,11 +90,11 @@
 
 
 class ServerCapabilities(StrictModel):
-    """What the servers of a service can do; the weakest knows tokens alone.
+    """What the servers of a service support besides tokens.
 
-    ``checks_giver``: refuses orders of a control holder whose term has passed.
-    ``knows_validity``: lets a grant lapse by itself. ``gives_stamp``: gives a reading
-    of its own clock, so that a delayed order can't lengthen a grant.
+    ``checks_giver``: rejects orders of a control holder whose term has ended.
+    ``knows_validity``: expires a grant at the end of its validity. ``gives_stamp``:
+    returns a reading of its clock, so that a delayed order cannot extend a grant.
     """
 
     checks_giver: bool = False
@@ -101,10 +105,10 @@
 class ServiceSettings(StrictModel):
     """A service and its backend servers.
 
-    ``deadline_cap_ms`` bounds the deadline of requests to a keyed service. When a
-    server that knows tokens alone is lost, its keys stay unserved until the longest
-    deadline that was sent for them has passed, so it bounds that time as well; up to
-    some 400 ms cost nothing.
+    ``deadline_cap_ms`` limits the deadline of requests to a keyed service. If a server
+    that supports only tokens is lost, its keys are unavailable until the longest
+    deadline that was sent for them has passed, so the limit also bounds that time.
+    Values up to about 400 ms do not prolong it.
     """
 
     name: Name
--- a/src/gentianwharf/settings/_lines.py
+++ b/src/gentianwharf/settings/_lines.py
@@ -1,7 +1,7 @@
-"""Where in a text of JSON with comments each value stands.
+"""Line numbers of the values in a text of JSON with comments.
 
-The parser gives values without places, but a person who looks for a mistake in a long
-file wants the line. The text has been parsed before: its form is known to be right.
+The parser returns values without positions, but error messages for long files need the
+line. Only texts that the parser has accepted are scanned here.
 """
 
 import re
@@ -23,45 +23,46 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LineMap:
-    """The line of each value, and keys that one object has twice, with their line."""
+    """The line of each value, and the duplicate keys of objects with their lines."""
 
     lines: dict[Location, int]
     duplicate_keys: tuple[tuple[str, int], ...]
 
     def line_of(self, location: Iterable[str | int]) -> int:
-        r"""Return the line of the value, or of the nearest one that holds it.
+        r"""Return the line of the value, or of the innermost value that contains it.
 
-        Parts that lead nowhere are passed over: a validator adds some of its own.
+        Parts of ``location`` that are not in the text are ignored, since validators add
+        such parts.
 
         >>> lines = map_lines('{\n "a": [\n  1,\n  {"b": 2}]}')
         >>> lines.line_of(("a", 1, "b")), lines.line_of(("a", "tuple", 0))
         (4, 3)
         """
-        found: Location = ()
+        known: Location = ()
         for part in location:
-            if (*found, part) in self.lines:
-                found = (*found, part)
-        return self.lines.get(found, 1)
+            if (*known, part) in self.lines:
+                known = (*known, part)
+        return self.lines.get(known, 1)
 
 
 @dataclass(kw_only=True, slots=True)
-class _Scan:
+class _LineScanner:
     lines: dict[Location, int] = field(default_factory=dict)
     duplicate_keys: list[tuple[str, int]] = field(default_factory=list)
     path: list[str | int | None] = field(default_factory=list)
 
-    def take(self, token: str, line: int) -> None:
+    def process_token(self, token: str, line: int) -> None:
         if token in "{[":
-            self._put(line)
+            self._record_line(line)
             self.path.append(0 if token == "[" else None)
         elif token in "}]":
             self.path.pop()
         elif token == ",":
-            self._next()
+            self._next_item()
         elif token != ":":
             self._name_or_value(token, line)
 
-    def _next(self) -> None:
+    def _next_item(self) -> None:
         last = self.path[-1]
         self.path[-1] = last + 1 if isinstance(last, int) else None
 
@@ -71,21 +72,21 @@
             self.path[-1] = name
             if tuple(self.path) in self.lines:
                 self.duplicate_keys.append((name, line))
-        self._put(line)
+        self._record_line(line)
 
-    def _put(self, line: int) -> None:
+    def _record_line(self, line: int) -> None:
         location = tuple(part for part in self.path if part is not None)
         self.lines.setdefault(location, line)
 
 
 def map_lines(text: str) -> LineMap:
-    """Return the line of each value of ``text``, which must have parsed."""
-    scan = _Scan()
+    """Return the line of each value of ``text``, which must be valid."""
+    scanner = _LineScanner()
     line, end = 1, 0
     for match in TOKEN.finditer(text):
         line += text.count("\n", end, match.start())
         end = match.start()
         token = match.group()
         if not token.startswith(("//", "/*")):
-            scan.take(token, line)
-    return LineMap(lines=scan.lines, duplicate_keys=tuple(scan.duplicate_keys))
+            scanner.process_token(token, line)
+    return LineMap(lines=scanner.lines, duplicate_keys=tuple(scanner.duplicate_keys))
--- a/src/gentianwharf/settings/_load.py
+++ b/src/gentianwharf/settings/_load.py
@@ -1,4 +1,4 @@
-"""Reading of JSON with comments, with errors that a person can act on."""
+"""Reads JSON with comments, with error messages that name lines and remedies."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -16,20 +16,20 @@
 
 Model = TypeVar("Model", bound=BaseModel)
 
-MOST_FOUND_CHARACTERS = 80
+MAX_FOUND_CHARACTERS = 80
 
 
 def parse_jsonc(text: str, *, source: str) -> Any:
-    """Parse JSON with comments; an error names ``source`` and the line.
+    """Parse JSON with comments; errors name ``source`` and the line.
 
-    A key that stands twice in one object is an error too: the parser would keep the
-    second and say nothing of the first.
+    A duplicate key in an object is an error: the parser would silently discard the
+    first value.
     """
     try:
         data = pyjson5.decode(text)
     except pyjson5.Json5Exception as error:
         raise InputError(
-            f"{source}: not JSON with comments: {_place(error, text)}",
+            f"{source}: not JSON with comments: {_describe_error(error, text)}",
             step="parse",
             peer=source,
         ) from error
@@ -48,64 +48,66 @@
     return data
 
 
-def _place(error: pyjson5.Json5Exception, text: str) -> str:
+def _describe_error(error: pyjson5.Json5Exception, text: str) -> str:
     message = str(error.args[0]) if error.args else type(error).__name__
-    digits = [word for word in message.replace(",", " ").split() if word.isdigit()]
-    if not digits:
+    offsets = [word for word in message.replace(",", " ").split() if word.isdigit()]
+    if not offsets:
         return message
-    line = text.count("\n", 0, int(digits[-1])) + 1
+    line = text.count("\n", 0, int(offsets[-1])) + 1
     return f"line {line}: {message}"
 
 
 def validate(
     model: type[Model], data: Any, *, source: str, lines: LineMap | None = None
 ) -> Model:
-    """Check ``data`` against ``model``; an error lists every mistake with its line."""
+    """Validate ``data`` with ``model``; an error lists all mistakes and their lines."""
     try:
         return model.model_validate(data)
     except ValidationError as error:
         mistakes = [
-            one for detail in error.errors() for one in _describe(detail, lines)
+            text
+            for detail in error.errors()
+            for text in _describe_detail(detail, lines)
         ]
         heading = "1 mistake" if len(mistakes) == 1 else f"{len(mistakes)} mistakes"
         raise InputError(
-            f"{source}: {heading}:" + "".join(f"\n  {one}" for one in mistakes),
+            f"{source}: {heading}:" + "".join(f"\n  {text}" for text in mistakes),
             step="check",
             peer=source,
         ) from error
 
 
-def _describe(detail: Any, lines: LineMap | None) -> Iterator[str]:
+def _describe_detail(detail: Any, lines: LineMap | None) -> Iterator[str]:
     cause = detail.get("ctx", {}).get("error")
     if isinstance(cause, MistakesError):
         for mistake in cause.mistakes:
             location = (*detail["loc"], *mistake.location)
-            yield _line(location, str(mistake), lines)
+            yield _format_mistake(location, str(mistake), lines)
         return
     found = repr(detail.get("input"))
-    if len(found) > MOST_FOUND_CHARACTERS:
-        found = found[: MOST_FOUND_CHARACTERS - 3] + "..."
-    yield _line(detail["loc"], f"{detail['msg']} (found {found})", lines)
+    if len(found) > MAX_FOUND_CHARACTERS:
+        found = found[: MAX_FOUND_CHARACTERS - 3] + "..."
+    yield _format_mistake(detail["loc"], f"{detail['msg']} (found {found})", lines)
 
 
-def _line(location: Any, text: str, lines: LineMap | None) -> str:
+def _format_mistake(location: Any, text: str, lines: LineMap | None) -> str:
     field = ".".join(str(part) for part in location) or "document"
-    where = f"line {lines.line_of(location)}: " if lines is not None else ""
-    return f"{where}{field}: {text}"
+    prefix = f"line {lines.line_of(location)}: " if lines is not None else ""
+    return f"{prefix}{field}: {text}"
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     return _load(Settings, path)[0]
 
 
 def load_rules(path: Path) -> RuleDocument:
-    """Read and check a rule file."""
+    """Read and validate a rule file."""
     return _load(RuleDocument, path)[0]
 
 
 def load_rules_with_lines(path: Path) -> tuple[RuleDocument, LineMap]:
-    """Read and check a rule file; the lines serve what a later check finds."""
+    """Read and validate a rule file; return also its lines, for later findings."""
     return _load(RuleDocument, path)
 
 
--- a/src/gentianwharf/settings/_mistakes.py
+++ b/src/gentianwharf/settings/_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes that only show when parts of the settings are seen together."""
+"""Mistakes that are detected by comparing several parts of the settings."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Mistake:
-    """What was found at a place of the settings, and what was expected there."""
+    """The value found at a location in the settings, and the expected value."""
 
     location: tuple[str | int, ...]
     found: str
@@ -20,25 +20,28 @@
 
 @final
 class MistakesError(ValueError):
-    """Several mistakes at once, so that a person mends them in one go."""
+    """Reports several mistakes at once, so that they can be corrected together."""
 
     def __init__(self, mistakes: Sequence[Mistake]) -> None:
         super().__init__(
-            "; ".join(f"{'.'.join(map(str, one.location))}: {one}" for one in mistakes)
+            "; ".join(
+                f"{'.'.join(map(str, mistake.location))}: {mistake}"
+                for mistake in mistakes
+            )
         )
         self.mistakes = tuple(mistakes)
 
 
-def repeated(
-    names: Iterable[tuple[tuple[str | int, ...], str]], what: str
+def find_duplicates(
+    names: Iterable[tuple[tuple[str | int, ...], str]], noun: str
 ) -> Iterator[Mistake]:
-    """Return a mistake for each name that stood before at another place."""
-    first: dict[str, tuple[str | int, ...]] = {}
+    """Yield a mistake for each name that was used before at another location."""
+    first_locations: dict[str, tuple[str | int, ...]] = {}
     for location, name in names:
-        before = first.setdefault(name, location)
-        if before != location:
+        first = first_locations.setdefault(name, location)
+        if first != location:
             yield Mistake(
                 location=location,
-                found=f"{what} {name!r} again",
-                expected=f"another than at {'.'.join(map(str, before))}",
+                found=f"{noun} {name!r} again",
+                expected=f"another than at {'.'.join(map(str, first))}",
             )
--- a/src/gentianwharf/settings/_models.py
+++ b/src/gentianwharf/settings/_models.py
@@ -1,4 +1,4 @@
-"""Everything that one daemon is told, and what must fit together in it."""
+"""The settings of a daemon, and the checks that involve several of their parts."""
 
 from collections.abc import Iterator
 from typing import Self
@@ -13,7 +13,7 @@
     PlatformSettings,
     ServiceSettings,
 )
-from ._mistakes import Mistake, MistakesError, repeated
+from ._mistakes import Mistake, MistakesError, find_duplicates
 from ._policy import (
     CallerLimits,
     ClassSettings,
@@ -25,7 +25,7 @@
 
 
 class Settings(StrictModel):
-    """Everything that one daemon is told."""
+    """The settings of one daemon."""
 
     customer: Name
     host: HostSettings
@@ -41,11 +41,11 @@
     log: LogSettings = LogSettings()
 
     @model_validator(mode="after")
-    def _check_together(self) -> Self:
+    def _check_consistency(self) -> Self:
         mistakes = [
             *self._unknown_domains(),
-            *self._repeated_names(),
-            *self._short_shutdown(),
+            *self._duplicate_names(),
+            *self._shutdown_mistakes(),
         ]
         if mistakes:
             raise MistakesError(mistakes)
@@ -53,7 +53,7 @@
 
     def _unknown_domains(self) -> Iterator[Mistake]:
         known = {domain.name for domain in self.domains}
-        for location, name in self._named_domains():
+        for location, name in self._domain_references():
             if name not in known:
                 yield Mistake(
                     location=location,
@@ -61,48 +61,48 @@
                     expected=f"one of domains: {', '.join(sorted(known))}",
                 )
 
-    def _named_domains(self) -> Iterator[tuple[tuple[str | int, ...], str]]:
+    def _domain_references(self) -> Iterator[tuple[tuple[str | int, ...], str]]:
         yield ("host", "domain"), self.host.domain
-        for number, host in enumerate(self.known_hosts):
-            yield ("known_hosts", number, "domain"), host.domain
-        for number, service in enumerate(self.services):
-            place = ("services", number, "servers")
+        for index, host in enumerate(self.known_hosts):
+            yield ("known_hosts", index, "domain"), host.domain
+        for index, service in enumerate(self.services):
+            location = ("services", index, "servers")
             if isinstance(service.servers, NumberedServers):
                 for position, name in enumerate(service.servers.domains):
-                    yield (*place, "domains", position), name
+                    yield (*location, "domains", position), name
             else:
                 for position, server in enumerate(service.servers):
-                    yield (*place, position, "domain"), server.domain
+                    yield (*location, position, "domain"), server.domain
 
-    def _repeated_names(self) -> Iterator[Mistake]:
+    def _duplicate_names(self) -> Iterator[Mistake]:
         for field in ("domains", "services", "classes"):
             names = [
-                ((field, number, "name"), one.name)
-                for number, one in enumerate(getattr(self, field))
+                ((field, index, "name"), item.name)
+                for index, item in enumerate(getattr(self, field))
             ]
-            yield from repeated(names, "name")
-        yield from repeated(self._server_ids(), "server")
+            yield from find_duplicates(names, "name")
+        yield from find_duplicates(self._server_ids(), "server")
 
     def _server_ids(self) -> Iterator[tuple[tuple[str | int, ...], str]]:
-        for number, service in enumerate(self.services):
+        for index, service in enumerate(self.services):
             if not isinstance(service.servers, NumberedServers):
                 for position, server in enumerate(service.servers):
-                    yield ("services", number, "servers", position, "id"), server.id
+                    yield ("services", index, "servers", position, "id"), server.id
 
-    def _short_shutdown(self) -> Iterator[Mistake]:
-        """Guard against a planned stop that cuts requests off.
+    def _shutdown_mistakes(self) -> Iterator[Mistake]:
+        """Check that a planned shutdown does not interrupt accepted requests.
 
-        A limit below the balancer's notice and the longest deadline would end the
-        process under requests that were taken and may still be answered in time.
+        With a limit below the balancer's notice plus the longest deadline, the process
+        could exit while accepted requests can still be answered in time.
         """
-        longest_s = max(one.deadline_ms for one in self.classes) / 1000
-        least_s = self.shutdown.balancer_notice_s + longest_s
-        if self.shutdown.drain_limit_s < least_s:
+        longest_s = max(item.deadline_ms for item in self.classes) / 1000
+        min_limit_s = self.shutdown.balancer_notice_s + longest_s
+        if self.shutdown.drain_limit_s < min_limit_s:
             yield Mistake(
                 location=("shutdown", "drain_limit_s"),
                 found=f"{self.shutdown.drain_limit_s}",
                 expected=(
-                    f"at least {least_s}, balancer_notice_s and the longest"
-                    " deadline_ms of the classes, or a stop cuts requests off"
+                    f"at least {min_limit_s}, balancer_notice_s and the longest"
+                    " deadline_ms of the classes, or a shutdown interrupts requests"
                 ),
             )
--- a/src/gentianwharf/settings/_policy.py
+++ b/src/gentianwharf/settings/_policy.py
@@ -1,4 +1,4 @@
-"""Settings of how requests are treated, and of how the daemon stops and logs."""
+"""Settings of request classes, limits, placement weights, shutdown and logs."""
 
 from enum import StrEnum
 from typing import Self
@@ -10,9 +10,9 @@
 
 
 class ObjectiveSettings(StrictModel):
-    """What a class promises: a share of answers within a limit, over 30 days.
+    """The objective of a class: a share of answers within a time limit, over 30 days.
 
-    ``unavailable_s`` is how long any one key may be unavailable in these 30 days.
+    ``unavailable_s`` is the time for which each key may be unavailable in these days.
     """
 
     limit_ms: int = Field(gt=0)
@@ -21,7 +21,7 @@
 
 
 class ClassSettings(StrictModel):
-    """A class of requests: how long it may take and how it is weighed."""
+    """A class of requests, with its deadline and its weight under load."""
 
     name: Name
     deadline_ms: int = Field(gt=0)
@@ -37,8 +37,8 @@
                         location=("objective", "limit_ms"),
                         found=str(self.objective.limit_ms),
                         expected=(
-                            f"at most deadline_ms, {self.deadline_ms}: a later answer"
-                            " is never given"
+                            f"at most deadline_ms, {self.deadline_ms}: later answers"
+                            " are never sent"
                         ),
                     )
                 ]
@@ -47,7 +47,7 @@
 
 
 class WeightSettings(StrictModel):
-    """How the three measures are weighed against each other when shards are placed."""
+    """The relative weights of the three measures that shard placement minimizes."""
 
     imbalance: float = Field(default=1.0, ge=0)
     churn: float = Field(default=1.0, ge=0)
@@ -55,10 +55,11 @@
 
 
 class ShutdownSettings(StrictModel):
-    """A planned stop.
+    """The time limits of a planned shutdown.
 
-    ``balancer_notice_s`` is how long the balancer may go on sending after readiness
-    turned false; ``drain_limit_s`` ends the whole stop, whatever still runs.
+    ``balancer_notice_s`` is the time for which the balancer may continue to send
+    requests after readiness became false. ``drain_limit_s`` limits the entire shutdown,
+    including requests in progress.
     """
 
     balancer_notice_s: float = Field(default=2.0, ge=0)
@@ -66,7 +67,7 @@
 
 
 class CallerLimits(StrictModel):
-    """What one caller's connection may take."""
+    """The limits on one caller's connection."""
 
     most_head_bytes: int = Field(default=16_384, ge=1_024, le=262_144)
     most_headers: int = Field(default=100, ge=10, le=1_000)
@@ -75,7 +76,7 @@
 
 
 class LogLevel(StrEnum):
-    """The least level that is logged."""
+    """The minimum level of messages that are logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -84,7 +85,7 @@
 
 
 class LogSettings(StrictModel):
-    """What is logged; ``keys`` writes callers' keys into the log as well."""
+    """What is logged; with ``keys``, log lines include callers' keys."""
 
     level: LogLevel = LogLevel.INFO
     keys: bool = False
--- a/src/gentianwharf/settings/_rules.py
+++ b/src/gentianwharf/settings/_rules.py
@@ -1,4 +1,4 @@
-"""The rule file that settings name, checked against these settings."""
+"""Loads the rule file that the settings name, and checks it against them."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -13,31 +13,33 @@
 
 
 def line_of_finding(finding: Finding, lines: LineMap) -> int:
-    """Return the line of a rule file on which a finding stands."""
+    """Return the line of the rule file that a finding refers to."""
     parts = finding.location.split(".")
     return lines.line_of(int(part) if part.isdigit() else part for part in parts)
 
 
 def load_initial_rules(settings: Settings, *, directory: Path) -> RuleDocument | None:
-    """Read the rules that an empty store gets; None when the settings name none.
+    """Return the rules to write to an empty store, or None if there are none.
 
-    They are checked like those that operators apply: nobody else would see that a
-    list gives one key two owners. Raises ``InputError`` naming each line.
+    They are checked like documents that operators apply, since no later check would
+    detect a key with two owners. Raises ``InputError``, which names the lines.
     """
     if settings.initial_rules is None:
         return None
     path = directory / settings.initial_rules
     document, lines = load_rules_with_lines(path)
     findings = RuleChecker(scope=rule_scope_of(settings)).check(document)
-    errors = [one for one in findings if one.severity is Severity.ERROR]
+    errors = [item for item in findings if item.severity is Severity.ERROR]
     if errors:
         raise InputError(
-            f"{path}: {len(errors)} refused:{_listed(errors, lines)}",
+            f"{path}: {len(errors)} refused:{_format_findings(errors, lines)}",
             step="check",
             peer=str(path),
         )
     return document
 
 
-def _listed(findings: Iterable[Finding], lines: LineMap) -> str:
-    return "".join(f"\n  line {line_of_finding(one, lines)}: {one}" for one in findings)
+def _format_findings(findings: Iterable[Finding], lines: LineMap) -> str:
+    return "".join(
+        f"\n  line {line_of_finding(item, lines)}: {item}" for item in findings
+    )
--- a/src/gentianwharf/settings/_topology.py
+++ b/src/gentianwharf/settings/_topology.py
@@ -1,4 +1,4 @@
-"""From settings to entities."""
+"""Converts settings to topology entities."""
 
 from gentianwharf.rules import RuleScope
 from gentianwharf.topology import BackendServer, Domain, Service
@@ -9,41 +9,45 @@
 
 def domains_of(settings: Settings) -> tuple[Domain, ...]:
     """Return the failure domains that the settings name."""
-    return tuple(Domain(name=one.name, site=one.site) for one in settings.domains)
+    return tuple(
+        Domain(name=domain.name, site=domain.site) for domain in settings.domains
+    )
 
 
 def services_of(settings: Settings) -> tuple[Service, ...]:
     """Return the services with their backend servers."""
     return tuple(
         Service(
-            name=one.name,
-            keyed=one.keyed,
-            shards=one.shards,
-            servers=_servers_of(one),
+            name=service.name,
+            keyed=service.keyed,
+            shards=service.shards,
+            servers=_servers_of(service),
         )
-        for one in settings.services
+        for service in settings.services
     )
 
 
 def rule_scope_of(settings: Settings) -> RuleScope:
-    """Return what a rule document may speak of."""
+    """Return the entities that rule documents can refer to."""
     return RuleScope.from_topology(
         services=services_of(settings),
         domains=domains_of(settings),
-        classes=[one.name for one in settings.classes],
+        classes=[item.name for item in settings.classes],
         deadline_caps_ms={
-            one.name: one.deadline_cap_ms
-            for one in settings.services
-            if one.deadline_cap_ms is not None
+            service.name: service.deadline_cap_ms
+            for service in settings.services
+            if service.deadline_cap_ms is not None
         },
     )
 
 
 def _servers_of(service: ServiceSettings) -> tuple[BackendServer, ...]:
     if isinstance(service.servers, NumberedServers):
-        places = _numbered_places(service.name, service.servers)
+        entries = _number_servers(service.name, service.servers)
     else:
-        places = [(one.id, one.domain, one.address) for one in service.servers]
+        entries = [
+            (server.id, server.domain, server.address) for server in service.servers
+        ]
     return tuple(
         BackendServer(
             id=server_id,
@@ -56,18 +60,18 @@
             knows_validity=service.capabilities.knows_validity,
             gives_stamp=service.capabilities.gives_stamp,
         )
-        for server_id, domain, address in places
+        for server_id, domain, address in entries
     )
 
 
-def _numbered_places(
+def _number_servers(
     service: str, servers: NumberedServers
 ) -> list[tuple[str, str, str]]:
     return [
         (
-            f"{service}-{number + 1}",
-            servers.domains[number % len(servers.domains)],
-            f"{servers.ip}:{servers.first_port + number}",
+            f"{service}-{index + 1}",
+            servers.domains[index % len(servers.domains)],
+            f"{servers.ip}:{servers.first_port + index}",
         )
-        for number in range(servers.count)
+        for index in range(servers.count)
     ]
--- a/src/gentianwharf/settings/_values.py
+++ b/src/gentianwharf/settings/_values.py
@@ -1,4 +1,4 @@
-"""Values that settings are made of; every address is an IP number and a port."""
+"""Types of values in settings; addresses consist of an IP number and a port."""
 
 from ipaddress import ip_address
 from typing import Annotated
@@ -8,7 +8,7 @@
 
 
 def check_address(value: str) -> str:
-    """Return ``value`` if it is IP:PORT; raises ``ValueError`` saying why not.
+    """Return ``value`` if it is IP:PORT, otherwise raise ``ValueError``.
 
     >>> check_address("127.0.0.1:8081")
     '127.0.0.1:8081'
@@ -19,7 +19,7 @@
     bracketed = host.startswith("[") and host.endswith("]")
     try:
         version = ip_address(host[1:-1] if bracketed else host).version
-        # A scope names a network card of one machine, not an address for all.
+        # A scope id is valid on one machine only.
         if bracketed is not (version == 6) or "%" in host:
             raise ValueError(host)
     except ValueError:
@@ -31,12 +31,13 @@
 
 
 def _is_port(text: str) -> bool:
-    # isdigit() takes superscripts and other scripts' digits, which int() does not.
+    # isdigit() accepts superscripts, for which int() raises ValueError. Digits of
+    # other scripts are not accepted in addresses.
     return text.isascii() and text.isdigit() and len(text) < 6 and int(text) <= 65535
 
 
 def check_ip_url(value: str) -> str:
-    """Return ``value`` if it is http://IP:PORT; raises ``ValueError`` saying why not.
+    """Return ``value`` if it is http://IP:PORT, otherwise raise ``ValueError``.
 
     >>> check_ip_url("http://127.0.0.1:8081")
     'http://127.0.0.1:8081'
@@ -49,7 +50,7 @@
 
 
 def is_loopback(address: str) -> bool:
-    """Say whether ``IP:PORT`` is reached from its own host alone.
+    """Return whether ``IP:PORT`` can be reached only from its own host.
 
     >>> is_loopback("127.0.0.1:8081"), is_loopback("10.0.0.1:8081")
     (True, False)
@@ -63,6 +64,6 @@
 
 
 class StrictModel(BaseModel):
-    """A part of the settings; an unknown field is a mistake."""
+    """Base class of the settings; rejects unknown fields."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
