--- a/tests/builders_rules.py
+++ b/tests/builders_rules.py
@@ -1,4 +1,7 @@
-"""Rules, documents and facts for tests: services ``desk`` (keyed) and ``ledger``."""
+"""Builders of rules, documents and requests for the services of the tests.
+
+``desk`` is keyed, ``ledger`` is not.
+"""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -27,7 +30,7 @@
 
 
 def rule(*, name: str = "one", when: dict[str, Any] | None = None, **then: Any) -> Rule:
-    """Return a rule to the plain service ``ledger``, unless ``then`` says else."""
+    """Return a rule for ``ledger``, unless ``then`` names another service."""
     target = {"service": "ledger", **then}
     return Rule.model_validate({"name": name, "when": when or {}, "then": target})
 
@@ -39,7 +42,7 @@
     when: dict[str, Any] | None = None,
     **then: Any,
 ) -> Rule:
-    """Return a rule to the keyed service ``desk``, whose key is path segment 1."""
+    """Return a rule for the keyed service ``desk``; the key is path segment 1."""
     target = {
         "service": "desk",
         "site": site,
@@ -50,12 +53,12 @@
 
 
 def document(*rules: Rule) -> RuleDocument:
-    """Return a document of ``rules`` in this order."""
+    """Return a document with ``rules``, in this order."""
     return RuleDocument(rules=rules)
 
 
-def stored_rules(of: RuleDocument, *, number: int = 1) -> bytes:
-    """Return a document as the store holds it."""
+def stored_rules(source: RuleDocument, *, number: int = 1) -> bytes:
+    """Return the record of a document in the store."""
     return encode_rules(
         StoredRules(
             format=1,
@@ -63,7 +66,7 @@
             edited_from_revision=number - 1,
             author="amira",
             recent_change_ids=(f"change-{number}",),
-            document=of,
+            document=source,
         )
     )
 
@@ -76,7 +79,7 @@
     query: str = "",
     **headers: str,
 ) -> RequestFacts:
-    """Return facts of a request; underscores in header names become hyphens."""
+    """Return the facts of a request; underscores in header names become hyphens."""
     return RequestFacts(
         method=method,
         host=host,
@@ -87,7 +90,7 @@
 
 
 def scope(**deadline_caps_ms: int) -> RuleScope:
-    """Return a scope with ``desk`` on sites old and new, and ``ledger`` on old."""
+    """Return a scope with ``desk`` at the sites old and new, and ``ledger`` at old."""
     return RuleScope(
         shards={"desk": SHARDS["desk"], "ledger": 0},
         sites={"desk": frozenset({"old", "new"}), "ledger": frozenset({"old"})},
@@ -97,7 +100,7 @@
 
 
 def migration(share: float) -> RuleDocument:
-    """Return the rules that move a share of the keys to the new site."""
+    """Return rules that place a share of the keys at the new site."""
     return document(
         keyed_rule(name="desk-new", site="new", when={"shard_share": share}),
         keyed_rule(name="desk-old", site="old"),
@@ -105,22 +108,24 @@
     )
 
 
-def result_of(waited: Any) -> Any:
-    """Return what a coroutine or a Deferred has come to; it must not wait."""
-    deferred = waited if isinstance(waited, Deferred) else ensureDeferred(waited)
+def result_of(awaitable: Any) -> Any:
+    """Return the result of a coroutine or Deferred, which must be available."""
+    deferred = (
+        awaitable if isinstance(awaitable, Deferred) else ensureDeferred(awaitable)
+    )
     results: list[Any] = []
     deferred.addBoth(results.append)
-    assert results, "still waiting"
+    assert results, "no result yet"
     if isinstance(results[0], Failure):
         results[0].raiseException()
     return results[0]
 
 
-def result_within(clock: Clock, waited: Any, *, most_s: float = 60.0) -> Any:
-    """Return what a coroutine comes to within ``most_s`` of a virtual clock."""
-    deferred = ensureDeferred(waited)
+def result_within(clock: Clock, awaitable: Any, *, timeout_s: float = 60.0) -> Any:
+    """Advance a virtual clock until a coroutine has a result, and return that."""
+    deferred = ensureDeferred(awaitable)
     step_s = 0.05
-    for _ in range(int(most_s / step_s)):
+    for _ in range(int(timeout_s / step_s)):
         if deferred.called:
             break
         clock.advance(step_s)
@@ -129,7 +134,10 @@
 
 @dataclass
 class OperatorBooks:
-    """Two operators' books on two hosts, each with faults of its own, one store."""
+    """The rule books of two operators on two hosts that share a store.
+
+    The store of ``mine`` has the given faults, that of ``theirs`` has none.
+    """
 
     clock: Clock = field(default_factory=Clock)
     faults: list[Fault] = field(default_factory=list)
@@ -160,7 +168,7 @@
         author: str = "amira",
         change_id: str | None = None,
     ) -> ApplyResult:
-        """Apply a step of the migration."""
+        """Apply the rules of a migration step."""
         call = book.apply(
             migration(share),
             edited_from_revision=edited_from,
@@ -177,6 +185,6 @@
         return result.version.revision
 
     def stored(self) -> RuleVersion:
-        """Return what the store holds."""
+        """Return the version in the store."""
         version: RuleVersion = result_of(self.theirs.read())
         return version
--- a/tests/test_rules_book.py
+++ b/tests/test_rules_book.py
@@ -1,4 +1,4 @@
-"""Changes of the rules in the store: two operators, lost answers, a store down."""
+"""Changes of the stored rules: concurrent edits, lost answers, unavailable store."""
 
 import pytest
 from twisted.internet.defer import ensureDeferred
@@ -29,7 +29,7 @@
 
 
 def fault(kind: FaultKind, **more: float) -> Fault:
-    """Return a fault of writes to the document; its history is kept elsewhere."""
+    """Return a fault of writes to the document, not to its history."""
     return Fault(kind=kind, operations=SWAP, key_prefix=KEY, **more)
 
 
@@ -62,9 +62,9 @@
 
 
 def test_slower_of_two_operators_sees_both_changes() -> None:
-    """Amira and Karim open the same rules; Karim applies first, then Amira does.
+    """Amira and Karim edit the same version; Karim applies first, then Amira.
 
-    Without a check Amira's list would undo Karim's change, and no one would be told.
+    Without a check, Amira's document would silently revert Karim's change.
     """
     books = OperatorBooks()
     revision = books.begin()
@@ -74,28 +74,32 @@
     assert isinstance(mine, RulesConflict)
     assert mine.base_known
     assert (mine.current, mine.edited_from_revision) == (theirs.version, revision)
-    assert [one.details for one in mine.theirs] == [("when.shard_share: 0.0 -> 0.5",)]
-    assert [one.details for one in mine.mine] == [("when.shard_share: 0.0 -> 0.1",)]
+    assert [change.details for change in mine.theirs] == [
+        ("when.shard_share: 0.0 -> 0.5",)
+    ]
+    assert [change.details for change in mine.mine] == [
+        ("when.shard_share: 0.0 -> 0.1",)
+    ]
     assert books.stored() == theirs.version
 
 
 def test_two_operators_write_at_the_same_moment() -> None:
-    """Both read the same revision and write before either sees the other's write."""
+    """Both read the same revision, and each writes before reading the other's write."""
     books = OperatorBooks(faults=[fault(FaultKind.SLOW, delay_s=0.5)])
     revision = books.begin()
     mine = books.mine.apply(
         migration(0.1), edited_from_revision=revision, author="amira"
     )
-    waiting = ensureDeferred(mine)
+    pending = ensureDeferred(mine)
     theirs = books.apply(books.theirs, 0.5, edited_from=revision, author="karim")
     assert isinstance(theirs, RulesApplied)
     books.clock.advance(1.0)
-    assert isinstance(result_of(waiting), RulesConflict)
+    assert isinstance(result_of(pending), RulesConflict)
     assert books.stored() == theirs.version
 
 
 @pytest.mark.parametrize(
-    "one",
+    "store_fault",
     [
         pytest.param(
             fault(FaultKind.ANSWER_LOST, until_s=0.1, delay_s=0.2), id="answer-lost"
@@ -113,13 +117,15 @@
         pytest.param(fault(FaultKind.HANGS, until_s=0.1), id="connection-silent"),
     ],
 )
-def test_write_that_took_effect_is_never_reported_as_failed(one: Fault) -> None:
-    """The store takes the new rules, and its answer is lost on the way.
+def test_write_that_took_effect_is_never_reported_as_failed(
+    store_fault: Fault,
+) -> None:
+    """The store accepts the new rules, but its answer is lost.
 
-    The operator is told that it failed and edits again from what was there before:
-    a step of the migration is then applied twice or undone.
+    If a failure were reported, the operator would edit the previous version again, and
+    a migration step would be applied twice or reverted.
     """
-    books = OperatorBooks(faults=[one])
+    books = OperatorBooks(faults=[store_fault])
     revision = books.begin()
     result = books.apply(books.mine, 0.1, edited_from=revision)
     assert isinstance(result, RulesApplied)
@@ -129,48 +135,50 @@
     assert result.version.document == migration(0.1)
 
 
-def test_lost_answer_and_a_faster_operator_after_it() -> None:
-    """Amira's write lands, its answer is lost, and Karim edits what she wrote.
+def test_lost_answer_followed_by_another_edit_is_success() -> None:
+    """Amira's write succeeds, its answer is lost, and Karim edits her version.
 
-    The document in the store is then not Amira's, yet hers did take effect.
+    The document in the store is then not Amira's, but hers did take effect.
     """
     books = OperatorBooks(faults=[fault(FaultKind.ANSWER_LOST, delay_s=1.0)])
     revision = books.begin()
-    waiting = ensureDeferred(
+    pending = ensureDeferred(
         books.mine.apply(migration(0.1), edited_from_revision=revision, author="amira")
     )
     books.clock.advance(0.1)
-    landed = books.stored()
-    assert landed.author == "amira"
-    theirs = books.apply(books.theirs, 0.5, edited_from=landed.revision, author="karim")
+    written = books.stored()
+    assert written.author == "amira"
+    theirs = books.apply(
+        books.theirs, 0.5, edited_from=written.revision, author="karim"
+    )
     assert isinstance(theirs, RulesApplied)
     books.clock.pump([0.5] * 4)
-    mine = result_of(waiting)
+    mine = result_of(pending)
     assert isinstance(mine, RulesApplied)
     assert (mine.read_back, mine.superseded) == (True, True)
-    assert mine.version == landed
+    assert mine.version == written
 
 
-def test_lost_write_and_a_faster_operator_is_a_conflict() -> None:
-    """The write is lost on the way there, and Karim's takes its place.
+def test_lost_write_followed_by_another_edit_is_a_conflict() -> None:
+    """Amira's write is delayed on its way to the store, and Karim's is applied first.
 
-    Were the write repeated with a new revision, it would undo Karim's; were it only
-    called lost, a late arrival could still surprise: the revision rules it out.
+    A retry with the new revision would revert Karim's change. The late write itself has
+    no effect, since it expects the old revision.
     """
     books = OperatorBooks(faults=[fault(FaultKind.EFFECT_LATE, delay_s=2.0)])
     revision = books.begin()
-    waiting = ensureDeferred(
+    pending = ensureDeferred(
         books.mine.apply(migration(0.1), edited_from_revision=revision, author="amira")
     )
     theirs = books.apply(books.theirs, 0.5, edited_from=revision, author="karim")
     assert isinstance(theirs, RulesApplied)
     books.clock.pump([0.5] * 20)
-    assert isinstance(result_of(waiting), RulesConflict)
+    assert isinstance(result_of(pending), RulesConflict)
     assert books.stored() == theirs.version
 
 
 def test_repeated_command_finds_its_change() -> None:
-    """The daemon's answer to the operator's tool is lost, and the tool asks again."""
+    """The daemon's answer to the operator's tool is lost, and the tool retries."""
     books = OperatorBooks()
     revision = books.begin()
     first = books.apply(books.mine, 0.1, edited_from=revision, change_id="change-1")
@@ -181,7 +189,7 @@
 
 
 def test_document_that_is_in_force_already_is_not_a_conflict() -> None:
-    """A job applies the file from version control once more."""
+    """A job applies the same file from version control again."""
     books = OperatorBooks()
     revision = books.begin()
     first = books.apply(books.mine, 0.1, edited_from=revision)
@@ -201,8 +209,8 @@
     assert books.stored().revision == revision
 
 
-def test_store_that_goes_silent_after_the_write_is_reported_as_unknown() -> None:
-    """The write lands, its answer is lost, and nothing can be read any more."""
+def test_store_unavailable_after_the_write_has_unknown_outcome() -> None:
+    """The write succeeds, its answer is lost, and all later reads fail."""
     books = OperatorBooks()
     revision = books.begin()
     now_s = books.clock.seconds()
@@ -215,7 +223,7 @@
     assert books.stored().author == "amira"
 
 
-def test_failure_of_the_history_hinders_no_change() -> None:
+def test_history_failure_does_not_prevent_a_change() -> None:
     books = OperatorBooks()
     revision = books.begin()
     books.faulty.faults.append(
@@ -233,12 +241,12 @@
         result = books.apply(books.mine, step / 100, edited_from=revision)
         assert isinstance(result, RulesApplied)
         revision = result.version.revision
-    kept = result_of(books.mine.history())
-    assert [one.number for one in kept] == list(range(31, 10, -1))
-    assert kept[1].revision < kept[0].revision == revision
+    versions = result_of(books.mine.history())
+    assert [version.number for version in versions] == list(range(31, 10, -1))
+    assert versions[1].revision < versions[0].revision == revision
 
 
-def test_base_that_is_no_longer_kept_is_said_so() -> None:
+def test_conflict_reports_a_base_missing_from_the_history() -> None:
     books = OperatorBooks()
     old = revision = books.begin()
     for step in range(25):
@@ -251,7 +259,7 @@
 
 
 def test_unreadable_record_can_be_replaced() -> None:
-    """A host of a later release wrote a form that this one can't read."""
+    """A host of a later release wrote a record in an unknown format."""
     books = OperatorBooks()
     written = result_of(
         books.store.compare_and_swap(KEY, b'{"format": 9}', expected_revision=0)
@@ -265,7 +273,7 @@
 
 
 def test_store_calls_of_one_change() -> None:
-    """One read, one read and one write for the history, one write."""
+    """One read and one write each of the record and of the history."""
     books = OperatorBooks()
     revision = books.begin()
     before = books.store.reads(), books.store.writes()
--- a/tests/test_rules_book_interleaved.py
+++ b/tests/test_rules_book_interleaved.py
@@ -1,8 +1,8 @@
-"""Several operators and a store in trouble, in orders that nobody thought of.
+"""Concurrent edits by several operators with store faults, in generated orders.
 
-Whatever happens, an operator who is told "applied" has a change in the rules' lineage,
-one who is told that nothing took effect has none, also after every late write has
-landed, and no document is ever replaced by one that was not edited from it.
+A change that is reported as applied is among the records written to the store, and one
+that is reported as having no effect is not, also after all late writes have arrived. A
+document is replaced only by one that was edited from it.
 """
 
 from dataclasses import dataclass, field
@@ -36,7 +36,7 @@
 from tests.builders_rules import migration, scope
 
 KEY = "gentianwharf/tunis/rules"
-SETTLE_S = 200.0
+DURATION_S = 200.0
 
 
 @dataclass(frozen=True)
@@ -49,8 +49,8 @@
 
 
 @dataclass
-class Recording:
-    """A store that keeps every record that it was given, in order."""
+class RecordingStore:
+    """A store that records every rule record written to it, in order."""
 
     store: MemoryStore
     records: list[tuple[int, StoredRules]] = field(default_factory=list)
@@ -112,7 +112,7 @@
 LOST = Fault(kind=FaultKind.ANSWER_LOST, operations=SWAP, key_prefix=KEY, delay_s=0.7)
 LATE = Fault(kind=FaultKind.EFFECT_LATE, operations=SWAP, key_prefix=KEY, delay_s=15.0)
 DOWN = Fault(kind=FaultKind.DOWN, from_s=0.5, until_s=40.0)
-# One operator in trouble among others who are well leads to the most outcomes.
+# Faults of one operator's store alone lead to the largest variety of outcomes.
 TABLES = st.one_of(
     st.lists(st.lists(FAULTS, max_size=3), min_size=3, max_size=3),
     st.lists(FAULTS, min_size=1, max_size=2).map(lambda table: [table, [], []]),
@@ -130,11 +130,11 @@
 @example(edits=TWO_EDITS, faults=[[LATE], [], []], seed=0)
 @example(edits=TWO_EDITS, faults=[[LOST], [], []], seed=0)
 @example(edits=TWO_EDITS, faults=[[DOWN, LOST], [], []], seed=0)
-def test_operators_are_told_what_became_of_their_changes(
+def test_reported_outcomes_match_the_stored_records(
     edits: list[Edit], faults: list[list[Fault]], seed: int
 ) -> None:
     clock = Clock()
-    recording = Recording(MemoryStore(clock=clock))
+    recording = RecordingStore(MemoryStore(clock=clock))
     books = [
         _book(
             FaultyStore(
@@ -145,19 +145,19 @@
         )
         for number, table in enumerate(faults)
     ]
-    told: dict[str, list[Any]] = {}
+    reported: dict[str, list[Any]] = {}
     for number, edit in enumerate(edits):
         change = f"change-{number}"
-        told[change] = []
+        reported[change] = []
         clock.callLater(
-            edit.read_s, _edit, clock, books[edit.operator], edit, change, told
+            edit.read_s, _edit, clock, books[edit.operator], edit, change, reported
         )
-    clock.pump([0.1] * int(SETTLE_S * 10))
+    clock.pump([0.1] * int(DURATION_S * 10))
     _check_lineage(recording.records)
-    landed = {record.recent_change_ids[0] for _, record in recording.records}
-    for change, results in told.items():
+    written = {record.recent_change_ids[0] for _, record in recording.records}
+    for change, results in reported.items():
         for result in results:
-            _check_told(result, landed=change in landed)
+            _check_reported(result, is_written=change in written)
 
 
 def _book(store: KeyValueStore, *, clock: Clock, seed: int) -> RuleBook:
@@ -171,15 +171,19 @@
 
 
 def _edit(
-    clock: Clock, book: RuleBook, edit: Edit, change: str, told: dict[str, list[Any]]
+    clock: Clock,
+    book: RuleBook,
+    edit: Edit,
+    change: str,
+    reported: dict[str, list[Any]],
 ) -> None:
     share = int(change.rpartition("-")[2]) / 100
 
     async def read_then_apply() -> Any:
         version = await book.read()
-        waiting: Deferred[None] = Deferred()
-        clock.callLater(edit.apply_s - edit.read_s, waiting.callback, None)
-        await waiting
+        delay: Deferred[None] = Deferred()
+        clock.callLater(edit.apply_s - edit.read_s, delay.callback, None)
+        await delay
         return await book.apply(
             migration(share),
             edited_from_revision=version.revision if version is not None else 0,
@@ -187,7 +191,7 @@
             change_id=change,
         )
 
-    ensureDeferred(read_then_apply()).addBoth(told[change].append)
+    ensureDeferred(read_then_apply()).addBoth(reported[change].append)
 
 
 def _check_lineage(records: list[tuple[int, StoredRules]]) -> None:
@@ -198,13 +202,13 @@
         before = revision
 
 
-def _check_told(result: Any, *, landed: bool) -> None:
+def _check_reported(result: Any, *, is_written: bool) -> None:
     if isinstance(result, RulesApplied):
-        assert landed or result.already
+        assert is_written or result.already
     elif isinstance(result, RulesConflict):
-        assert not landed
+        assert not is_written
     else:
         assert isinstance(result, Failure)
         assert isinstance(result.value, OutcomeUnknownError | PeerUnavailableError)
         if isinstance(result.value, PeerUnavailableError):
-            assert not landed
+            assert not is_written
