--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_parts.py
@@ -16,7 +16,7 @@
 from gentianwharf.metrics import Objective, Recorder
 from gentianwharf.ownership import OwnershipSystem
 from gentianwharf.placement import PlacementWeights
-from gentianwharf.relay import RelayApp, ServerConnections
+from gentianwharf.relay import RelayApp, ServerConnectionPool
 from gentianwharf.settings import Settings, domains_of, services_of
 from gentianwharf.spread import Channel, PeerMesh, PeerQueries, SpreadSystem
 from gentianwharf.topology import BackendServer, Host, Service
@@ -92,7 +92,7 @@
         )
 
     def _on_report(self, server: str, report: ServerReport) -> None:
-        self.gate.report(server, report, self.reactor.seconds())
+        self.gate.apply_server_report(server, report, self.reactor.seconds())
 
     def _build_links(self) -> None:
         self.mesh = PeerMesh(
@@ -132,7 +132,7 @@
         daemons = self.hosts.daemons
         self.gate.set_daemons(daemons)
         for connections in self.relay.connections.values():
-            connections.share_with(daemons)
+            connections.set_daemon_count(daemons)
         self.mesh.set_peers(
             self.hosts.hosts.values(), leaving=self.hosts.leaving_hosts.values()
         )
@@ -200,7 +200,7 @@
             gate=self.gate,
             servers=self.servers,
             now_s=self.reactor.seconds,
-            on_evidence=self._on_evidence,
+            on_server_outcome=self._on_evidence,
         )
 
     def _on_evidence(self, server: str, ok: bool, busy_s: float | None) -> None:
@@ -237,7 +237,7 @@
             ),
             admission=self.admission,
             connections={
-                server.id: ServerConnections(server=server, reactor=self.reactor)
+                server.id: ServerConnectionPool(server=server, reactor=self.reactor)
                 for server in self.servers.values()
             },
             observer=RecordingObserver(
--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -8,12 +8,12 @@
 from twisted.internet.defer import Deferred
 
 from gentianwharf.keyspace import (
-    Former,
+    GrantManager,
     GrantTiming,
-    Keeper,
     Leadership,
     LoadSeen,
     Planner,
+    PreviousLeader,
     Span,
 )
 from gentianwharf.logs import log
@@ -103,14 +103,14 @@
         self.leadership = Leadership(
             store=store,
             key=LEADER_KEY,
-            former_key=FORMER_KEY,
+            previous_leader_key=FORMER_KEY,
             value=msgspec.json.encode(self.peers.name),
             now_s=now_s,
             rng=rng,
-            stand_back_s=SMALL_STAND_BACK_S * max(0.0, 1.0 - settings.cores),
+            campaign_delay_s=SMALL_STAND_BACK_S * max(0.0, 1.0 - settings.cores),
         )
         timing = GrantTiming(longest_grant_s=settings.agreements.longest_grant_s)
-        self._keeper = Keeper(
+        self._keeper = GrantManager(
             orders=ServerOrders(reactor=reactor), timing=timing, now_s=now_s
         )
         self._former = FormerLeader(
@@ -125,7 +125,7 @@
             leadership=self.leadership,
             leader_key=LEADER_KEY,
             table_prefix=TABLE_PREFIX,
-            keeper=self._keeper,
+            grant_manager=self._keeper,
             shards=SHARDS,
             now_s=now_s,
         )
@@ -150,7 +150,7 @@
         self._keeper.on_granted = self._note_granted
         self._planner.on_table = self.keys.take
         self._planner.on_isolated = self._step_aside
-        self._planner.on_former = self._former.ask
+        self._planner.on_previous_leader = self._former.ask
 
     def _connect_peers(self) -> None:
         peers = self.peers
@@ -165,7 +165,7 @@
         peers.changes_after = self.mirror.changes_after
         peers.page = self.mirror.page
         peers.on_page = self.mirror.feed_page
-        peers.on_superseded = self.leadership.give_way
+        peers.on_superseded = self.leadership.step_down
         peers.on_asked = self._former.note_asked
         peers.on_told = self._former.note_told
         self.keys.on_request = peers.seen.note_request
@@ -194,9 +194,9 @@
 
     def resign(self, stand_back_s: float) -> None:
         """Let another host lead, and do not ask for it for a while."""
-        held_s = self._keeper.lives.held_s()
+        held_s = self._keeper.holders.held_s()
         done = Deferred.fromCoroutine(
-            self.leadership.resign(held_s, stand_back_s=stand_back_s)
+            self.leadership.resign(held_s, campaign_pause_s=stand_back_s)
         )
         done.addErrback(lambda failure: log.error(failure.getTraceback()))
 
@@ -254,7 +254,7 @@
         elif key == HOSTS_KEY:
             self._host_list.note_item(item)
         elif key == FORMER_KEY:
-            self.leadership.note_former(item)
+            self.leadership.note_previous_leader(item)
         elif key.startswith(TABLE_PREFIX) and item is not None:
             self._planner.note_table(item)
 
@@ -267,9 +267,9 @@
         """Return up to where this host knows the store, None if it may not lead."""
         mirror = self.mirror
         is_sure = mirror.is_current and mirror.silent_s() == 0
-        if not is_sure or not self.leadership.may_change():
+        if not is_sure or not self.leadership.holds_lease():
             return None
-        age_s = self._now_s() - mirror.heard_s
+        age_s = self._now_s() - mirror.last_contact_s
         return Known(revision=mirror.revision, age_s=age_s)
 
     def _lacks_after(self) -> int | None:
@@ -311,7 +311,7 @@
 
     # While this host leads.
 
-    def _begin_to_lead(self, former: Former | None) -> None:
+    def _begin_to_lead(self, former: PreviousLeader | None) -> None:
         term = self.leadership.term
         assert term is not None, "a host that leads has a term"
         self.peers.begin_to_lead(term.revision)
--- a/src/gentianwharf/load/_snapshot.py
+++ b/src/gentianwharf/load/_snapshot.py
@@ -6,7 +6,7 @@
 from ._class_state import ClassState
 from ._pool import Pool
 from ._requests import RefuseReason
-from ._server_state import ServerState, Standing
+from ._server_state import HealthStatus, ServerState
 
 
 @final
@@ -41,9 +41,9 @@
 
     id: str
     service: str
-    standing: Standing
+    health: HealthStatus
     in_flight: int
-    slowness: float
+    latency_ratio: float
     ramping: bool
 
 
@@ -58,7 +58,7 @@
     started: int
     retried: int
     hedged: int
-    retries_saved: dict[str, float]
+    retry_budgets: dict[str, float]
 
 
 def pool_snapshot(key: tuple[str, str | None], pool: Pool) -> PoolSnapshot:
@@ -83,7 +83,7 @@
 
 
 def _expected_wait_s(pool: Pool, state: ClassState) -> float:
-    return len(state.queue) / pool.turn_rate_per_s(state, pool.turn_share(state))
+    return len(state.queue) / pool.service_rate_per_s(state, pool.class_share(state))
 
 
 def server_snapshot(state: ServerState) -> ServerSnapshot:
@@ -91,8 +91,8 @@
     return ServerSnapshot(
         id=state.server.id,
         service=state.server.service,
-        standing=state.standing,
+        health=state.health,
         in_flight=len(state.flights),
-        slowness=state.ratio,
-        ramping=state.ramp_from_s is not None,
+        latency_ratio=state.latency_ratio,
+        ramping=state.ramp_started_s is not None,
     )
