--- a/src/gentianwharf/matching/_shards.py
+++ b/src/gentianwharf/matching/_shards.py
@@ -9,10 +9,10 @@
 
 
 def find_shard(key_source: KeySource | None, key: str, shards: int) -> int | None:
-    """Return the shard of ``key``, one of ``shards``.
+    """Return the shard of ``key``, a number from 0 to ``shards - 1``.
 
-    If ``key_source`` says that the key is a shard number, None is returned for a key
-    that is no number or is out of range.
+    If the key itself is a shard number (``KeySource.is_shard``), return None for a key
+    that is not a number or is out of range.
 
     >>> find_shard(None, "faculte-des-sciences", 1024)
     72
--- a/tests/builders_rules.py
+++ b/tests/builders_rules.py
@@ -122,7 +122,7 @@
 
 
 def result_within(clock: Clock, awaitable: Any, *, timeout_s: float = 60.0) -> Any:
-    """Advance a virtual clock until a coroutine has a result, and return that."""
+    """Return a coroutine's result, advancing ``clock`` by at most ``timeout_s``."""
     deferred = ensureDeferred(awaitable)
     step_s = 0.05
     for _ in range(int(timeout_s / step_s)):
@@ -136,7 +136,7 @@
 class OperatorBooks:
     """The rule books of two operators on two hosts that share a store.
 
-    The store of ``mine`` has the given faults, that of ``theirs`` has none.
+    ``mine`` accesses the store with the given faults, ``theirs`` without faults.
     """
 
     clock: Clock = field(default_factory=Clock)
