--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -1,6 +1,6 @@
 """From a caller's request to a backend server's answer."""
 
-from gentianwharf.runs import Run
+from gentianwharf.runs import RunStatus
 
 from ._app import RelayApp
 from ._caller_limits import SLOW_HEAD_CHECK_INTERVAL_S, ConnectionLimits
@@ -41,7 +41,7 @@
     "RemainingTime",
     "ResponseRecord",
     "Rules",
-    "Run",
+    "RunStatus",
     "ServerConnectionPool",
     "ServerLoad",
     "ServerRefusal",
