--- a/src/gentianwharf/load/_choose.py
+++ b/src/gentianwharf/load/_choose.py
@@ -1,11 +1,11 @@
-"""Which server a request goes to when any of its service could run it.
+"""Server selection for requests that any server of a service can run.
 
-Load pattern: ten to twelve hosts send to the same few servers and none sees what the
-others have in flight. Sending in turn ignores slow servers and long jobs; always
-sending to the one that looks best makes all hosts choose the same.
+Load pattern: ten to twelve hosts send to the same few servers, and no host sees the
+requests that the others have in flight. Round robin ignores slow servers and long jobs;
+always choosing the apparently best server makes all hosts choose the same one.
 
-The least expected delay by this daemon's own counts and timings decides; ties go to
-the own failure domain and then to a random one.
+The server with the least expected delay is chosen, by this daemon's own counts and
+timings. Ties are resolved in favour of the own failure domain, then at random.
 
 >>> from gentianwharf.topology import BackendServer
 >>> near, far = (
@@ -17,7 +17,7 @@
 ...     for number in (1, 2))
 >>> choose_server([near, far], now_s=0.0, rng=Random(1)).server.id
 'ledger-1'
->>> near.overdue = 1  # It owes an answer that is late.
+>>> near.overdue = 1  # One of its answers is overdue.
 >>> choose_server([near, far], now_s=0.0, rng=Random(1)).server.id
 'ledger-2'
 """
@@ -31,25 +31,27 @@
 from ._requests import Ticket
 from ._server_state import USUAL_RATIO, ServerState
 
-# A tie between nearly equal servers must not send all hosts to the same one, and in a
-# large service a look at all servers would cost too much: this many are compared.
+# Comparing all servers of a large service would cost too much. Starting at a random one
+# also keeps all hosts from choosing the same of several nearly equal servers.
 MAX_COMPARED = 16
-# A server of another domain is 1 ms farther, of some 10 ms; half a request in flight.
+# The round trip to another failure domain adds 1 ms to answers of about 10 ms; this is
+# weighted like half a request in flight.
 OTHER_DOMAIN_COST = 0.5
-# A near server with nothing of ours in flight: no other can be better.
+# The cost of a local server with no request of this daemon in flight; no cost is lower.
 MIN_COST = 1.0
-# Whoever owes an answer for long is busy with a long job or stuck: its other slots
-# are used when the other servers have some of our requests in flight too.
+# A server with an overdue answer is running a long job or hangs. Its other slots are
+# used once the other servers have requests of this daemon in flight too.
 OVERDUE_COST = 2.0
-# A cold server comes last among idle ones, but before a second request in flight
-# elsewhere. Dividing by its share instead left it idle while the others refused 10 %.
+# A cold server is chosen after other idle servers, but before a server that already has
+# a request in flight. Dividing the cost by the ramp-up share instead left cold servers
+# idle while the others refused 10 % of the requests.
 COLD_COST = 0.9
-# A request that others have waiting there: whatever is sent now is served after it.
+# Added for each request in the server's reported queue: a new request is run after it.
 QUEUE_COST = 0.5
 
 
 def cost_of(state: ServerState, now_s: float) -> float:
-    """Return the expected delay, in units of one usual answer."""
+    """Return the expected delay, in units of one typical answer time."""
     load = len(state.flights) + 1.0 + state.overdue * OVERDUE_COST
     load += state.estimated_queue(now_s) * QUEUE_COST
     cost = load * max(1.0, state.latency_ratio / USUAL_RATIO)
@@ -65,9 +67,9 @@
     rng: Random,
     avoid: str | None = None,
 ) -> ServerState | None:
-    """Return the best server that has room, or None.
+    """Return the server with the least cost that has capacity, or None.
 
-    ``avoid`` is a server that has just failed this request.
+    ``avoid`` is the id of a server that has just failed this request.
     """
     total = len(states)
     if not total:
@@ -75,8 +77,8 @@
     first = int(rng.random() * total)
     best: ServerState | None = None
     best_cost = 0.0
-    for step in range(min(total, MAX_COMPARED)):
-        state = states[(first + step) % total]
+    for offset in range(min(total, MAX_COMPARED)):
+        state = states[(first + offset) % total]
         if not state.has_capacity(now_s) or state.server.id == avoid:
             continue
         cost = cost_of(state, now_s)
@@ -96,7 +98,7 @@
     rng: Random,
     avoid: str | None,
 ) -> ServerState | None:
-    """Return where the pool sends a request now, or None while it must wait."""
+    """Return the server to send a request to now, or None if it has to wait."""
     if pool.pinned:
         state = pool.states[0]
         if class_state.request_class.long and not may_start_long(pool, state, now_s):
--- a/src/gentianwharf/load/_gate.py
+++ b/src/gentianwharf/load/_gate.py
@@ -1,9 +1,10 @@
-"""The gate: what the relay asks before, during and after it sends a request.
+"""The gate: admission, queueing and placement decisions for the relay.
 
-Nothing here waits, reads a clock or knows a network. Order of calls for a request:
-``submit``; after ``Start`` exactly one ``finished`` for each server that it was sent
-to; after ``Wait`` a later ``finished`` or ``tick`` names it, or ``cancel`` takes it
-back. ``tick`` is due every 10 to 50 ms.
+The code is sans-I/O: it never blocks, reads a clock or opens a connection. The calls
+for a request are, in this order: ``submit``; after a ``Start``, exactly one
+``finished`` for each server that the request was sent to; after a ``Wait``, a decision
+about the request is returned by a later ``finished``, ``tick`` or ``set_servers``,
+unless ``cancel`` withdraws it. ``tick`` has to be called every 10 to 50 ms.
 """
 
 from collections.abc import Iterable
@@ -14,7 +15,8 @@
 from gentianwharf.topology import BackendServer, Service
 
 if TYPE_CHECKING:
-    # For its type alone: the adapters beside it take 20 MB and a third of a second.
+    # Imported for its type only: the other modules of that package need 20 MB and a
+    # third of a second to load.
     from gentianwharf.infra import ServerReport
 
 from ._choose import choose_server, select_server
@@ -45,17 +47,19 @@
 class Gate:
     """Admits, queues, refuses and places the requests of one daemon.
 
+    The decisions in a returned list are about requests that waited, or are hedges.
+
     >>> server = BackendServer(id="ledger-1", service="ledger", domain="hall-a",
     ...                        address="127.0.0.1:9200", slots=3, connections=120)
     >>> posting = RequestClass.from_deadline(name="posting", deadline_ms=5000, weight=8)
     >>> gate = Gate(
     ...     services=[Service(name="ledger", keyed=False, shards=0, servers=(server,))],
     ...     classes=[posting], domain="hall-a", rng=Random(1), daemons=1)
-    >>> def ask(id):
+    >>> def submit(id):
     ...     return gate.submit(
     ...         Ticket(id=id, service="ledger", request_class="posting",
     ...                caller="round-rock", deadline_s=5.0), 0.0)
-    >>> [type(ask(str(number))).__name__ for number in range(4)]
+    >>> [type(submit(str(number))).__name__ for number in range(4)]
     ['Start', 'Start', 'Start', 'Wait']
     >>> gate.finished("0", Outcome(kind=OutcomeKind.OK, elapsed_s=0.01), 0.01)
     [Start(ticket_id='3', server='ledger-1', hedge=False)]
@@ -80,16 +84,16 @@
         self._waiting: dict[str, Pool] = {}
         self._retried = 0
 
-    # What the relay calls.
+    # Calls of the relay.
 
     def set_daemons(self, daemons: int) -> None:
-        """Follow the number of daemons that share the servers with this one."""
+        """Set the number of daemons that share the servers, including this one."""
         self._registry.set_daemons(daemons)
 
     def add(
         self, *, services: Iterable[Service], classes: Iterable[RequestClass]
     ) -> None:
-        """Take services and classes that a new configuration brought."""
+        """Add the services and classes of a new configuration."""
         self._registry.add_classes(classes)
         self._registry.add_services(services)
 
@@ -103,10 +107,10 @@
     def finished(
         self, ticket_id: str, outcome: Outcome, now_s: float, server: str | None = None
     ) -> list[Decision]:
-        """Note how a sent request ended; return decisions on others that waited.
+        """Record how a sent request ended; return decisions on waiting requests.
 
-        ``server`` tells a hedged request's two sends apart. An outcome for a request
-        that is not in flight (any more) changes nothing.
+        ``server`` distinguishes the two sends of a hedged request. An outcome of a
+        request that is not in flight is ignored.
         """
         flight = self._flights.pop(ticket_id, server)
         if flight is None:
@@ -122,7 +126,7 @@
         return self._serve_waiting(pool, now_s)
 
     def cancel(self, ticket_id: str, now_s: float) -> list[Decision]:
-        """Forget a request whose caller has gone, waiting or in flight."""
+        """Drop a waiting or in-flight request whose caller has disconnected."""
         pool = self._waiting.pop(ticket_id, None)
         if pool is not None:
             pool.remove(ticket_id)
@@ -137,17 +141,18 @@
     def retry(
         self, ticket: Ticket, after: OutcomeKind, now_s: float, avoid: str | None = None
     ) -> Decision:
-        """Decide on sending once more a request that ended with ``after``.
+        """Decide whether to resend a request that ended with ``after``.
 
-        To be asked when none of its sends is in flight any more. ``avoid`` is the
-        server that failed it. Only what is proved not to have run, or may run twice,
-        is sent again, within the budget.
+        Call this when none of its sends is in flight. ``avoid`` is the server that
+        failed it. A request is resent only if it is proved not to have run or may run
+        twice, and only within the retry budget.
         """
         if after not in PROVES_NOT_RUN and not ticket.repeatable:
             return self._refuse(ticket, RefuseReason.NOT_REPEATABLE, now_s)
         if after is OutcomeKind.SHED and ticket.server is not None:
-            # The owner is full by its own word, and nobody else may run it: sent again
-            # after a wait it was shed again, and its refusal came 700 ms late.
+            # The owner reported that it is full, and no other server may run the
+            # request. When such requests were resent after a wait, the owner shed them
+            # again and the refusal came 700 ms late.
             return self._refuse(ticket, RefuseReason.OVERLOAD, now_s)
         budget = self._registry.budgets.get(ticket.service)
         if budget is None or not budget.take():
@@ -156,7 +161,7 @@
         return self._admit(ticket, now_s, avoid=avoid)
 
     def tick(self, now_s: float) -> list[Decision]:
-        """Refuse waiters that have become too late, find silent servers, hedge."""
+        """Refuse expired requests, detect unresponsive servers and send hedges."""
         decisions: list[Decision] = []
         paused_s = self._pause_detector.record_tick(now_s)
         evaluate_servers(
@@ -172,19 +177,19 @@
         self._registry.drop_idle_pools()
         return decisions
 
-    # What the daemon tells about servers.
+    # Updates about servers, called by the daemon.
 
     def set_servers(
         self, service: str, servers: Iterable[BackendServer], now_s: float
     ) -> list[Decision]:
-        """Follow the servers of a service: new ones start cold, others leave."""
+        """Update a service's servers: new ones start cold, unlisted ones leave."""
         pool = self._registry.set_servers(service, servers, now_s)
         return [] if pool is None else self._serve_waiting(pool, now_s)
 
     def note_load(
         self, server_id: str, *, waiting: int, slots: int, now_s: float
     ) -> None:
-        """Take what a server says of its queue with an answer."""
+        """Apply the queue length that a server reported with an answer."""
         state = self._registry.servers.get(server_id)
         if state is None:
             return
@@ -198,7 +203,12 @@
     def apply_server_report(
         self, server_id: str, report: "ServerReport", now_s: float
     ) -> None:
-        """Take a server's own word as a hint; only "draining" is believed at once."""
+        """Apply a server's report about itself.
+
+        Only ``draining`` takes effect at once. ``cold`` starts the ramp-up of a server
+        without answers so far; after ``healthy``, a suspect server may be probed with a
+        request that must not repeat.
+        """
         state = self._registry.servers.get(server_id)
         if state is None:
             return
@@ -212,17 +222,17 @@
         """Return the state for metrics."""
         return GateSnapshot(
             pools=tuple(
-                pool_snapshot(key, one) for key, one in self._registry.pools.items()
+                pool_snapshot(key, pool) for key, pool in self._registry.pools.items()
             ),
             servers=tuple(
-                server_snapshot(one) for one in self._registry.servers.values()
+                server_snapshot(state) for state in self._registry.servers.values()
             ),
             refused=dict(self._refusals.counts),
             started=self._flights.started,
             retried=self._retried,
             hedged=self._flights.hedged,
             retry_budgets={
-                name: one.tokens for name, one in self._registry.budgets.items()
+                name: budget.tokens for name, budget in self._registry.budgets.items()
             },
         )
 
@@ -269,11 +279,13 @@
         rate_per_s = pool.service_rate_per_s(class_state, share)
         can_enqueue = not pool.pinned or may_queue(pool, class_state, now_s)
         if can_enqueue:
-            most = max_queue_capacity(class_state.max_wait_s, rate_per_s)
-            now = queue_capacity(most, class_state.refused_share, share)
+            maximum = max_queue_capacity(class_state.max_wait_s, rate_per_s)
+            capacity = queue_capacity(maximum, class_state.refused_share, share)
             if pool.has_other_busy_caller(ticket):
-                now = most
-            can_enqueue = class_state.queue.can_enqueue(ticket, places=now, most=most)
+                capacity = maximum
+            can_enqueue = class_state.queue.can_enqueue(
+                ticket, capacity=capacity, maximum=maximum
+            )
         class_state.record_decision(refused=not can_enqueue)
         if not can_enqueue:
             return self._refusals.refuse_overload(
@@ -316,9 +328,9 @@
             if class_state is None:
                 break
             ticket = class_state.queue.peek()
-            late = now_s + class_state.mean_s > ticket.deadline_s
-            started = None if late else self._start(pool, class_state, ticket, now_s)
-            if started is None and not late:
+            expired = now_s + class_state.mean_s > ticket.deadline_s
+            started = None if expired else self._start(pool, class_state, ticket, now_s)
+            if started is None and not expired:
                 blocked.add(class_state.request_class.name)
                 continue
             pool.dequeue(class_state)
@@ -332,24 +344,26 @@
         decisions: list[Decision] = []
         if not pool.waiting:
             return decisions
-        gone = pool.is_unavailable(now_s)
+        unavailable = pool.is_unavailable(now_s)
         for class_state in pool.classes.values():
             for ticket in class_state.queue.waiting():
-                if gone or now_s + class_state.mean_s > ticket.deadline_s:
+                if unavailable or now_s + class_state.mean_s > ticket.deadline_s:
                     pool.remove(ticket.id)
                     del self._waiting[ticket.id]
-                    reason = RefuseReason.NO_SERVER if gone else RefuseReason.DEADLINE
+                    reason = (
+                        RefuseReason.NO_SERVER if unavailable else RefuseReason.DEADLINE
+                    )
                     decisions.append(self._refuse(ticket, reason, now_s))
         return decisions
 
     def _send_hedges(self, pool: Pool, now_s: float) -> list[Decision]:
         decisions: list[Decision] = []
-        for late in self._flights.hedge_candidates(pool, now_s):
+        for flight in self._flights.hedge_candidates(pool, now_s):
             if not self._registry.budgets[pool.service].take():
                 break
             state = choose_server(
-                pool.short_states, now_s=now_s, rng=self._rng, avoid=late.server
+                pool.short_states, now_s=now_s, rng=self._rng, avoid=flight.server
             )
             if state is not None:
-                decisions.append(self._flights.hedge(pool, late, state, now_s))
+                decisions.append(self._flights.hedge(pool, flight, state, now_s))
         return decisions
--- a/src/gentianwharf/load/_health.py
+++ b/src/gentianwharf/load/_health.py
@@ -1,8 +1,9 @@
-"""What outcomes say about servers, and what follows from it.
+"""Passive health checks: outlier detection from the outcomes of requests.
 
-Load pattern: a server becomes ten times slower, fails, sheds or falls silent among
-others that are well. Without judging it by its answers, and by those that it owes, it
-keeps its share of the requests: p99 894 ms with round robin, 116 ms here.
+Load pattern: one of several servers becomes ten times slower, fails, sheds or stops
+answering. Unless it is evaluated by its answers and by the requests that it leaves
+unanswered, it keeps its share of the requests: p99 894 ms with round robin, 116 ms
+here.
 
 >>> from random import Random
 >>> from gentianwharf.load import Gate, RequestClass, Start
@@ -18,15 +19,15 @@
 ...     domain="hall-a", rng=Random(1), daemons=1)
 >>> def serve(now_s, slow_s):
 ...     took_s = {"ledger-1": slow_s, "ledger-2": 0.02}
-...     asked = [Ticket(id=str(n), service="ledger", request_class="look-up",
-...                     caller=str(n), deadline_s=now_s + 2.0) for n in range(12)]
-...     sent = [gate.submit(one, now_s) for one in asked]
-...     for one in (one for one in sent if isinstance(one, Start)):
-...         ended = Outcome(kind=OutcomeKind.OK, elapsed_s=took_s[one.server])
-...         gate.finished(one.ticket_id, ended, now_s + ended.elapsed_s)
+...     tickets = [Ticket(id=str(n), service="ledger", request_class="look-up",
+...                       caller=str(n), deadline_s=now_s + 2.0) for n in range(12)]
+...     decisions = [gate.submit(ticket, now_s) for ticket in tickets]
+...     for start in (item for item in decisions if isinstance(item, Start)):
+...         outcome = Outcome(kind=OutcomeKind.OK, elapsed_s=took_s[start.server])
+...         gate.finished(start.ticket_id, outcome, now_s + outcome.elapsed_s)
 >>> serve(now_s=0.0, slow_s=0.02)
 >>> serve(now_s=1.0, slow_s=0.2)
->>> [one.health.value for one in gate.snapshot().servers]
+>>> [server.health.value for server in gate.snapshot().servers]
 ['suspect', 'active']
 """
 
@@ -46,11 +47,13 @@
     ServerState,
 )
 
-# What a server that sheds without naming a time is given.
+# How long a server gets no work after it sheds without a Retry-After time.
 DEFAULT_SHED_S = 0.05
-# An answer that is lost sooner was most likely no answer: work takes longer.
+# A connection lost within this time was most likely reset by the server before it ran
+# the request; running one takes longer.
 RESET_S = 0.02
-# Some requests end at a full server within this time.
+# How long a server gets no work after a reset: a full one finishes some requests within
+# this time.
 RESET_SHED_S = 0.1
 
 PoolOf = Callable[[Ticket], Pool]
@@ -64,10 +67,10 @@
     outcome: Outcome,
     now_s: float,
 ) -> None:
-    """Learn from the end of a request.
+    """Update limits, timings and the server's health from the end of a request.
 
-    Long classes teach nothing about their server: an upload takes as long as its
-    caller sends.
+    How long requests of long classes take is ignored, since an upload lasts as long as
+    its caller sends.
     """
     kind = outcome.kind
     if flight.paused and kind is not OutcomeKind.SHED:
@@ -77,8 +80,8 @@
         pool.limit.record_shed()
         state.record_shed(now_s, outcome.retry_after_s or DEFAULT_SHED_S)
     elif kind is OutcomeKind.TIMEOUT and outcome.elapsed_s < RESET_S:
-        # Some servers reset connections when they are full. What they reset may have
-        # run: a request that must not repeat is better refused here for a moment.
+        # Some servers reset connections when they are full. A reset request may have
+        # run, so requests that must not repeat are refused here for a moment instead.
         pool.limit.record_shed()
         state.record_shed(now_s, RESET_SHED_S)
     elif kind in (OutcomeKind.CONNECT_FAILED, OutcomeKind.TIMEOUT):
@@ -88,7 +91,7 @@
     elif kind in (OutcomeKind.OK, OutcomeKind.SLOW):
         state.last_answer_s = now_s
         if pool.pinned and state.health is HealthStatus.SUSPECT:
-            # Its keys can be served nowhere else, so slow is better than not at all.
+            # No other server can serve its keys: slow answers are better than none.
             state.reactivate(now_s)
         ratio = class_state.record_answer(outcome.elapsed_s)
         if not flight.long:
@@ -107,7 +110,7 @@
 def evaluate_servers(
     states: Iterable[ServerState], pool_of: PoolOf, paused_s: float, now_s: float
 ) -> None:
-    """Judge every server at a tick, after a pause of ``paused_s`` of this host."""
+    """Evaluate every server at a tick; ``paused_s`` is this host's own pause."""
     for state in states:
         state.decay_ratio(now_s)
         if not state.flights:
@@ -118,11 +121,11 @@
 
 
 def _discount_pause(state: ServerState, paused_s: float) -> None:
-    """Leave the time in which this host stood still out of what its servers owe.
+    """Exclude the time in which this host was paused from the age of its requests.
 
-    A host that was paused finds every answer overdue at once, while they wait unread
-    in its sockets. Judged by that, all its servers seem frozen, and it refuses
-    everything although all of them are well.
+    After a pause every answer is overdue at once, while the answers are waiting unread
+    in the host's sockets. Without this correction all servers would be considered
+    frozen, and every request would be refused although all servers are healthy.
     """
     for flight in state.flights.values():
         flight.started_s += paused_s
@@ -130,10 +133,10 @@
 
 
 def _evaluate_overdue(state: ServerState, pool_of: PoolOf, now_s: float) -> None:
-    """Count answers that are owed for too long before they come.
+    """Count overdue answers against a server before they arrive.
 
-    A frozen server gives no answers that could be judged: its callers would wait for
-    their deadline before anybody noticed.
+    A frozen server gives no answers to evaluate, so without this its callers would wait
+    until their deadline before it is detected.
     """
     for flight in list(state.flights.values()):
         if flight.long:
@@ -149,23 +152,23 @@
             continue
         state.overdue += 1
         flight.overdue = True
-        # It may never come back and must not hold the limit until then.
+        # The answer may never arrive, so it must not keep counting against the limit.
         pool.record_end(class_state, flight)
         _evaluate(pool, state, flight, MAX_RATIO, now_s)
 
 
 def _record_timeout(pool: Pool, flight: Flight, waited_s: float) -> None:
-    """Let the owner of keys have less; elsewhere others take the work."""
+    """Slow down sending to the owner of keys; elsewhere other servers take over."""
     if pool.pinned and not flight.long:
         pool.pacer.record_timeout(waited_s)
 
 
 def _is_frozen(state: ServerState, flight: Flight, now_s: float) -> bool:
-    """Whether a server stopped answering; also for the owner of keys.
+    """Whether a server has stopped answering; applies to owners of keys as well.
 
-    Requests sent to it would be lost or, if they may not repeat, of unknown outcome;
-    refused at once as not run, their callers can come back when the owner does or
-    the keys have moved.
+    Requests sent to a frozen server are lost or, if they must not repeat, end with an
+    unknown outcome. Refused at once as not run, they can be retried when the owner has
+    recovered or the keys have moved.
     """
     if state.health is not HealthStatus.ACTIVE or not state.is_silent_since(flight):
         return False
@@ -179,7 +182,7 @@
         return
     flight.evaluated = True
     state.record_latency_ratio(ratio, now_s, probe=flight.probe)
-    # A pinned pool has one server: refusing everything is worse than slow answers.
+    # A pinned pool has a single server: refusing everything is worse than slow answers.
     if pool.pinned or not state.is_too_slow():
         return
     if state.is_silent() or pool.may_suspect_slow():
@@ -189,7 +192,7 @@
 def _suspect(pool: Pool, state: ServerState, now_s: float) -> None:
     state.suspect(now_s)
     pool.update_suspects()
-    # What it owes must not hold the pool's limit while others are free.
+    # Its unanswered requests must not use up the limit while other servers are free.
     for flight in state.flights.values():
         if (flight.ticket.server is None) is not pool.pinned:
             pool.record_end(pool.classes[flight.ticket.request_class], flight)
--- a/src/gentianwharf/load/_limit.py
+++ b/src/gentianwharf/load/_limit.py
@@ -1,63 +1,67 @@
-"""How many requests this daemon may have in flight at a pool of servers.
+"""An adaptive concurrency limit: requests in flight of this daemon at a pool.
 
-Load pattern: more requests than slots. What the servers cannot run waits inside
-them, first come first served, where no deadline, class or fair share is looked at,
-and a server that was filled so stays slow for seconds after the burst. Every daemon
-sees its own requests only: ten to twelve hosts share servers of three or six slots.
+Load pattern: more requests than slots. Requests that the servers cannot run wait inside
+them in FIFO order, regardless of deadline, class or fair share, and a server that was
+filled this way stays slow for seconds after the burst. Each daemon sees only its own
+requests: ten to twelve hosts share servers of three or six slots.
 
 Each daemon always has its fair share (slots divided by daemons, at least one), which
-cannot fill the servers even when all use it. Above that it borrows what the others
-leave unused, a little more at a time, for as long as its quickest answers stay quick;
-it gives back a part whenever they slow down or a server sheds (additive increase,
-multiplicative decrease, as in TCP Vegas).
-
-Why the quickest tenth of the answers and not the mean: work differs from request to
-request, so the mean of a few answers says little, and its best value ever is luck.
-A queue inside a server delays every request, so the quickest answers show it first.
-Seen in the bench: with the mean of 16 answers, daemons gave back their share at 70 %
-load and callers waited at the router while slots were free.
+cannot fill the servers even when all daemons use it. Above that it borrows what the
+others leave unused, raising its limit step by step for as long as its quickest answers
+stay quick, and lowering it by a factor when they slow down or a server sheds (additive
+increase, multiplicative decrease, as in TCP Vegas).
+
+The quickest tenth of the answers is used rather than the mean. Work differs from
+request to request, so the mean of a few answers is noisy and its minimum is a matter of
+chance. A queue inside a server delays every request, so the quickest answers show it
+first. With the mean of 16 answers, daemons in the bench lowered their limit at 70 %
+load, and callers waited at the router while slots were free.
 """
 
 from typing import final
 
-# A fifth of a service time of waiting inside the servers keeps all slots busy while
-# answers and requests travel.
+# Waiting inside the servers for a fifth of a service time keeps all slots busy during
+# the network round trips.
 TOLERATED_WAIT = 0.2
-# With 16 answers chance alone made the quickest tenth look slow: limits stayed at the
-# fair share, and two busy hosts of twelve refused 30 % while slots were free.
+# With 16 answers the quickest tenth seemed slow by chance: limits stayed at the fair
+# share, and two busy hosts of twelve refused 30 % while slots were free.
 WINDOW_ANSWERS = 48
-# One owner gives a host fewer answers, and a hot one must not keep its borrowed part
-# for seconds: fewer answers, no mean of windows and no slow start there.
+# A single owner gives a host fewer answers, and the limit at a hot owner must not stay
+# raised for seconds. Owners therefore have a smaller window, no smoothing over windows
+# and no slow start.
 OWNER_WINDOW_ANSWERS = 24
-# The mean with the window before counts: the best of single windows is luck as well,
+# Smoothed over two windows: the minimum of single windows is a matter of chance too,
 # and kept the limit of two busy hosts at two thirds of what they needed.
 QUICK_QUANTILE = 0.1
 SLOWDOWN_FACTOR = 0.85
 SHED_FACTOR = 0.7
 LONG_QUEUE_RATIO = 0.67
-"""A queue of two thirds of the slots is met in two thirds of a service time; a third of
-what callers hope for is left for the work itself."""
+"""Waiting requests per slot above which the limit is lowered. A queue of two thirds of
+the slots delays a new request by two thirds of a service time, which leaves a third of
+the time that callers expect for the work itself."""
 
 QUEUE_FACTOR = 0.85
 QUEUE_GROWTH = 0.25
-"""By answer: ten hosts with a few answers a second each from one server halve what they
-send within half a second, and are back within two."""
+"""Added for each answer. With this and ``QUEUE_FACTOR``, ten hosts with a few answers a
+second each from one server halve what they send within half a second, and recover
+within two seconds."""
 
 GROWTH = 0.1
-# Until answers become slow the limit may double (slow start, as in TCP): two busy hosts
-# of twelve refused some in the second in which they grew by a tenth at a time.
+# Until answers become slow the limit doubles with each window (slow start, as in TCP).
+# With growth by a tenth, two busy hosts of twelve refused requests for a second.
 SLOW_START_GROWTH = 1.0
-# At the fair share the servers can't be full of ours: if answers stay slow there, the
-# work itself has become slower. The references follow by this part a window.
+# At the fair share this daemon's requests cannot fill the servers: if answers stay
+# slow, the work itself has become slower. The references then move by this part a
+# window.
 REFERENCE_DRIFT = 0.05
 
 
 @final
 class AdaptiveLimit:
-    """A limit between the fair share and all slots.
+    """A limit between the fair share and the number of all slots.
 
-    Servers that tell their queue with each answer need no guess from how long answers
-    take: ``record_queue`` follows them within a few answers.
+    For servers that report their queue length with each answer, ``record_queue`` adapts
+    the limit within a few answers, without an estimate from answer times.
 
     >>> limit = AdaptiveLimit(fair_share=4.0, maximum=48.0)
     >>> def answers(count, elapsed_s):
@@ -100,17 +104,17 @@
         self._growth = GROWTH if owner else SLOW_START_GROWTH
 
     def resize(self, *, fair_share: float, maximum: float) -> None:
-        """Follow servers that join or leave."""
+        """Update the bounds when servers join or leave."""
         self.fair_share = max(1.0, fair_share)
         self.maximum = max(self.fair_share, maximum)
         self.value = min(self.maximum, max(self.fair_share, self.value))
 
     def raise_to(self, value: float) -> None:
-        """Begin above the fair share, until answers say otherwise."""
+        """Raise the limit to ``value``, at most to the maximum."""
         self.value = min(self.maximum, max(self.value, value))
 
     def record_answer(self, *, elapsed_s: float, has_backlog: bool) -> None:
-        """Count an answer of a short class; adapt at the end of a window."""
+        """Record an answer of a short class; adapt the limit after a full window."""
         self._window.append(elapsed_s)
         self._had_backlog = self._had_backlog or has_backlog
         if len(self._window) >= self._window_answers:
@@ -119,7 +123,7 @@
             self._had_backlog = False
 
     def record_queue(self, *, waiting: int, slots: int, has_backlog: bool) -> None:
-        """Follow what a server says of its queue.
+        """Adapt the limit to a server's reported queue length.
 
         Once more than ``LONG_QUEUE_RATIO`` times its slots are waiting, a request sent
         now waits for about one service time, and the server soon sheds requests.
@@ -131,7 +135,7 @@
             self.value = min(self.maximum, self.value + QUEUE_GROWTH)
 
     def record_shed(self) -> None:
-        """Lower the limit: a server said that it is full."""
+        """Lower the limit after a server has shed a request."""
         self.value = max(self.fair_share / 2, 1.0, self.value * SHED_FACTOR)
 
     def _adapt(self) -> None:
--- a/src/gentianwharf/load/_server_state.py
+++ b/src/gentianwharf/load/_server_state.py
@@ -1,13 +1,14 @@
-"""What this daemon knows of one backend server from its own requests.
+"""The state of one backend server, derived from this daemon's own requests.
 
 Load pattern: one server becomes ten times slower, or freezes, while its health
-endpoint still says that all is well. Servers that are chosen in turn keep getting their
-share, and every request that lands there is late or lost.
+endpoint still reports that it is healthy. With round robin it keeps its share, and
+every request sent to it is late or lost.
 
 A server's answers are compared with the median of its pool, so that overload, which
-slows all of them, accuses none. One that is far slower, or owes an answer for
-far too long, becomes *suspect*: it gets single probes, ever more rarely, until they
-come back in time. Then, and after it joins cold, its share grows over some seconds.
+slows all servers, makes none of them suspect. A server that is far slower, or leaves a
+request unanswered for far too long, becomes *suspect*: it gets single probes at
+increasing intervals until they are answered in time. After that, and after it joins
+cold, its share is ramped up over some seconds.
 
 >>> server = BackendServer(id="ledger-1", service="ledger", domain="hall-a",
 ...                        address="127.0.0.1:9200", slots=3, connections=120)
@@ -30,45 +31,47 @@
 from ._requests import Ticket
 from ._short_answers import ShortAnswers
 
-# An answer counts as at most this many medians: one very long job says no more about
-# its server than one that is eight times too long.
+# Cap on an answer's time in medians: a single very long job is no stronger evidence
+# against its server than one of eight medians.
 MAX_RATIO = 8.0
 RATIO_SMOOTHING = 0.25
-# Reached by three answers in a row of eight medians. Exponential service times do
-# that once in some 30 million answers.
+# Reached by three consecutive answers of eight medians. With exponential service times
+# that happens by chance once in about 30 million answers.
 SUSPECT_RATIO = 4.5
-# A cold server may be some times slower; without it the others would be too few.
+# A cold server may be several times slower than the others, and its capacity is needed.
 COLD_SUSPECT_RATIO = 7.0
 HEALTHY_RATIO = 3.0
-# Means of usual service times lie up to this above their median; no reason to avoid.
+# The mean of typical service time distributions is up to this many medians, so it is no
+# reason to avoid a server.
 USUAL_RATIO = 1.5
-# An answer owed this long counts as bad before it arrives ...
+# A request without an answer for this many medians is overdue ...
 OVERDUE_RATIO = 8.0
-# ... but never below this, which loss and repetition of a packet alone can take.
+# ... but never before this time, which a lost and retransmitted packet can take.
 MIN_OVERDUE_S = 0.05
-# As long as a busy server takes to collect garbage or to reload.
+# As long as a busy server takes for a garbage collection or a reload.
 RATIO_DECAY_S = 5.0
-# Every tick would do a hundredth of it at a time.
+# Decaying at every tick would do a hundredth of the work at a time.
 DECAY_INTERVAL_S = 0.1
 INITIAL_PROBE_INTERVAL_S = 0.5
 MAX_PROBE_INTERVAL_S = 8.0
 PROBES_TO_RECOVER = 3
-# A server that owes an overdue answer and has given none at all for this long is
-# frozen. Longer than any pause of a server that collects garbage or reloads.
+# A server with an overdue request that has sent no answer for this long is frozen. This
+# is longer than the pause of a server for a garbage collection or a reload.
 FROZEN_S = 1.0
-# A request that must not repeat is no probe unless the server has shown life since.
+# A request that must not repeat is used as a probe only after this time, unless the
+# server has answered or reported itself healthy since it became suspect.
 UNSAFE_PROBE_DELAY_S = 30.0
 RAMP_UP_S = 5.0
 MIN_RAMP_SHARE = 0.35
-# A leaving server's shards need this long to move; other work stops at once.
+# The shards of a leaving server take this long to move; other work stops at once.
 LEAVING_GRACE_S = 3.0
 MAX_SHED_S = 1.0
-# What a server says of its queue is old after some service times.
+# A reported queue length is out of date after several service times.
 QUEUE_REPORT_LIFETIME_S = 0.5
 
 
 class HealthStatus(StrEnum):
-    """How a server is treated."""
+    """Whether a server gets work."""
 
     ACTIVE = "active"
     SUSPECT = "suspect"
@@ -78,10 +81,10 @@
 @final
 @dataclass(kw_only=True, slots=True, eq=False)
 class Flight:
-    """A request that was sent and has not ended; ``counted`` against the limit.
+    """A request in flight; ``counted`` while it counts against the pool's limit.
 
-    ``paused`` says that this host stood still meanwhile: how long the answer took says
-    nothing of its server.
+    ``paused`` is set when this host was paused while the request was in flight: the
+    time to the answer is then not evidence about the server.
     """
 
     ticket: Ticket
@@ -99,7 +102,7 @@
 @final
 @dataclass(kw_only=True, slots=True, eq=False)
 class ServerState:
-    """One row of the table of servers."""
+    """The state of one backend server; times in seconds."""
 
     server: BackendServer
     local: bool
@@ -126,17 +129,17 @@
     short_answers: ShortAnswers = field(default_factory=ShortAnswers)
 
     def ramp_share(self, now_s: float) -> float:
-        """Return the part of its usual work that the server gets, above 0 to 1."""
+        """Return the share of its normal load that the server gets, at most 1."""
         if self.ramp_started_s is None:
             return 1.0
-        part = (now_s - self.ramp_started_s) / RAMP_UP_S
-        if part >= 1.0:
+        fraction = (now_s - self.ramp_started_s) / RAMP_UP_S
+        if fraction >= 1.0:
             self.ramp_started_s = None
             return 1.0
-        return max(MIN_RAMP_SHARE, part)
+        return max(MIN_RAMP_SHARE, fraction)
 
     def has_capacity(self, now_s: float) -> bool:
-        """Whether one more request may be sent, as far as the server goes."""
+        """Whether the server's own state and limits allow one more request."""
         if self.health is not HealthStatus.ACTIVE or now_s < self.shed_until_s:
             return False
         in_flight = len(self.flights)
@@ -147,13 +150,13 @@
         return in_flight + 1 <= max(1.0, self.server.slots * self.ramp_share(now_s))
 
     def accepts_pinned(self, now_s: float) -> bool:
-        """Whether a request that can go nowhere else may be sent."""
+        """Whether a request that no other server may run may be sent."""
         if self.health is HealthStatus.LEAVING:
             return now_s < self.leaving_since_s + LEAVING_GRACE_S
         return self.health is HealthStatus.ACTIVE
 
     def accepts_probe(self, now_s: float, *, repeatable: bool) -> bool:
-        """Whether the next request should find out if a suspect has recovered."""
+        """Whether the next request should probe if a suspect server has recovered."""
         if self.health is not HealthStatus.SUSPECT or now_s < self.next_probe_s:
             return False
         if (
@@ -164,11 +167,11 @@
         return now_s > self.suspect_since_s + UNSAFE_PROBE_DELAY_S
 
     def record_probe(self, now_s: float) -> None:
-        """Let the next probe wait: one is on its way."""
+        """Schedule the next probe after one that has just been sent."""
         self.next_probe_s = now_s + self.probe_interval_s
 
     def record_latency_ratio(self, ratio: float, now_s: float, *, probe: bool) -> None:
-        """Judge an answer by how long it took against the pool's median."""
+        """Record an answer that took ``ratio`` times the pool's median."""
         ratio = min(ratio, MAX_RATIO)
         self.answer_count += 1
         if self.health is HealthStatus.SUSPECT:
@@ -178,33 +181,33 @@
         self.latency_ratio += (ratio - self.latency_ratio) * RATIO_SMOOTHING
 
     def decay_ratio(self, now_s: float) -> None:
-        """Let slow answers count for less with time.
+        """Let ``latency_ratio`` decay towards ``USUAL_RATIO`` over time.
 
-        A server that seems slow is passed over while the others have room, and then
-        has no answers that could show that it is well again.
+        A server that appears slow is not chosen while others have capacity, and would
+        then have no answers to show that it has recovered.
         """
         if now_s < self.decayed_s + DECAY_INTERVAL_S:
             return
-        part = min(1.0, (now_s - self.decayed_s) / RATIO_DECAY_S)
-        self.latency_ratio += (USUAL_RATIO - self.latency_ratio) * part
+        fraction = min(1.0, (now_s - self.decayed_s) / RATIO_DECAY_S)
+        self.latency_ratio += (USUAL_RATIO - self.latency_ratio) * fraction
         self.decayed_s = now_s
 
     def is_too_slow(self) -> bool:
-        """Whether its answers make it a suspect."""
-        most = SUSPECT_RATIO if self.ramp_started_s is None else COLD_SUSPECT_RATIO
-        return self.health is HealthStatus.ACTIVE and self.latency_ratio > most
+        """Whether the server's answers are slow enough to make it suspect."""
+        limit = SUSPECT_RATIO if self.ramp_started_s is None else COLD_SUSPECT_RATIO
+        return self.health is HealthStatus.ACTIVE and self.latency_ratio > limit
 
     def is_silent_since(self, flight: Flight) -> bool:
-        """Whether nothing came back since this request was sent."""
+        """Whether the server has sent no answer since this request was sent."""
         return self.last_answer_s < flight.started_s
 
     def is_silent(self) -> bool:
-        """Whether nothing came back since the oldest request that it still owes."""
+        """Whether the server has sent no answer since its oldest request in flight."""
         oldest = next(iter(self.flights.values()), None)
         return oldest is not None and self.is_silent_since(oldest)
 
     def suspect(self, now_s: float) -> None:
-        """Stop sending work to it, but for probes."""
+        """Stop sending requests to the server, except for probes."""
         self.health = HealthStatus.SUSPECT
         self.suspect_since_s = now_s
         self.probe_interval_s = INITIAL_PROBE_INTERVAL_S
@@ -212,29 +215,29 @@
         self.good_probes = 0
 
     def record_queue(self, waiting: int, now_s: float) -> None:
-        """Note how many requests the server said to have waiting."""
+        """Record how many waiting requests the server reported."""
         self.reported_queue = waiting
         self.queue_reported_s = now_s
 
     def estimated_queue(self, now_s: float) -> float:
-        """Return what waits there, as far as its last word still tells."""
-        left = 1.0 - (now_s - self.queue_reported_s) / QUEUE_REPORT_LIFETIME_S
-        return self.reported_queue * left if left > 0 else 0.0
+        """Return the reported queue length, weighted down with the report's age."""
+        weight = 1.0 - (now_s - self.queue_reported_s) / QUEUE_REPORT_LIFETIME_S
+        return self.reported_queue * weight if weight > 0 else 0.0
 
     def record_shed(self, now_s: float, wait_s: float) -> None:
-        """Believe a server that says it is full, for a bounded time."""
+        """Stop sending to a server that sheds, for ``wait_s`` but a bounded time."""
         self.shed_until_s = now_s + min(wait_s, MAX_SHED_S)
 
     def set_listed(self, listed: bool, now_s: float) -> None:
-        """Follow the list of the service's servers."""
+        """Set whether the list of the service's servers contains this one."""
         self.listed = listed
         self._update_leaving(now_s)
 
     def set_draining(self, draining: bool, now_s: float) -> None:
-        """Follow the server's own word that it is leaving.
+        """Set whether the server reports that it is draining.
 
-        The list lags behind: it may name the server for long after that, and must
-        not bring it back.
+        The list of servers lags behind and may contain a draining server for a long
+        time; that must not make it active again.
         """
         self.draining = draining
         self._update_leaving(now_s)
@@ -248,7 +251,7 @@
             self.reactivate(now_s)
 
     def reactivate(self, now_s: float) -> None:
-        """Take work again, beginning with little."""
+        """Make the server active again and ramp up its share."""
         self.health = HealthStatus.ACTIVE
         self.latency_ratio = USUAL_RATIO
         self.ramp_started_s = now_s
