--- a/src/gentianwharf/load/_flights.py
+++ b/src/gentianwharf/load/_flights.py
@@ -1,12 +1,12 @@
-"""What is sent and has not ended, by request; and second sends of late look-ups.
+"""Requests in flight, and hedges of late look-ups.
 
-Load pattern: a server freezes with look-ups in flight. Their callers would wait for
-the deadline, though any other server could answer. Each is sent a second time, once,
-within the retry budget; the first answer counts.
+Load pattern: a server freezes with look-ups in flight. Their callers would wait until
+the deadline, though any other server could answer. Each look-up is sent a second time,
+once, within the retry budget; the first answer is used.
 
-Only what a suspect owes is sent again. Elsewhere a late answer is a long job, which
-is as long twice: hedging those too cost 3 % of the servers' time at 70 % load and
-gained nothing.
+Only requests at a suspect server are hedged. At other servers a late answer belongs to
+a long job, which takes as long the second time: hedging those too cost 3 % of the
+servers' time at 70 % load without any gain.
 """
 
 from collections.abc import Iterator
@@ -17,14 +17,14 @@
 from ._requests import Start, Ticket
 from ._server_state import Flight, HealthStatus, ServerState
 
-# An answer of a suspect is worth a second request when it takes longer than some 9 of
-# 10 do: three medians.
+# A request at a suspect server is hedged after this many medians, by which about nine
+# of ten requests are answered.
 HEDGE_RATIO = 3.0
 
 
 @final
 class Flights:
-    """Tables of first and of second sends."""
+    """The first sends and the hedges of requests in flight."""
 
     def __init__(self) -> None:
         self._first: dict[str, Flight] = {}
@@ -40,7 +40,7 @@
         ticket: Ticket,
         now_s: float,
     ) -> Start:
-        """Note that a request is sent."""
+        """Record that a request is sent."""
         probe = state.health is HealthStatus.SUSPECT
         flight = Flight(
             ticket=ticket,
@@ -54,16 +54,17 @@
         pool.record_start(class_state, flight, now_s)
         if probe:
             state.record_probe(now_s)
-            # A server that still owes its last answers may owe this one for long.
+            # A suspect server may leave this request unanswered for a long time too,
+            # so it does not count against the limit.
             pool.record_end(class_state, flight)
         self.started += 1
         return Start(ticket_id=ticket.id, server=state.server.id)
 
     def hedge(
-        self, pool: Pool, late: Flight, state: ServerState, now_s: float
+        self, pool: Pool, first: Flight, state: ServerState, now_s: float
     ) -> Start:
-        """Note that a late request is sent to a second server."""
-        ticket = late.ticket
+        """Record that a late request is sent to a second server."""
+        ticket = first.ticket
         flight = Flight(
             ticket=ticket,
             server=state.server.id,
@@ -78,7 +79,7 @@
         return Start(ticket_id=ticket.id, server=state.server.id, hedge=True)
 
     def pop(self, ticket_id: str, server: str | None) -> Flight | None:
-        """Remove and return the send to ``server``, any if that is None."""
+        """Remove and return the request's send to ``server``, or any if None."""
         for table in (self._first, self._second):
             flight = table.get(ticket_id)
             if flight is not None and server in (None, flight.server):
@@ -86,12 +87,12 @@
         return None
 
     def of_request(self, ticket_id: str) -> list[Flight]:
-        """Return a request's sends."""
-        found = (self._first.get(ticket_id), self._second.get(ticket_id))
-        return [flight for flight in found if flight is not None]
+        """Return a request's sends that are in flight."""
+        flights = (self._first.get(ticket_id), self._second.get(ticket_id))
+        return [flight for flight in flights if flight is not None]
 
     def hedge_candidates(self, pool: Pool, now_s: float) -> Iterator[Flight]:
-        """Yield what a second server should be asked for."""
+        """Yield the requests that should be sent to a second server."""
         if pool.pinned:
             return
         for state in pool.suspects:
--- a/src/gentianwharf/load/_flows.py
+++ b/src/gentianwharf/load/_flows.py
@@ -1,29 +1,30 @@
-"""How many requests each caller, or each key, has waiting and in flight.
+"""Counts of waiting and in-flight requests of each flow: a caller or a key.
 
-Load pattern: a hot caller fills the limit, and each of the others waits for one of its
-requests to end. A flow with nothing else, or with less than another one, is light: it
-may exceed the limit a little, at the cost of the busiest.
+Load pattern: a hot caller uses up the limit, and each other caller waits for one of its
+requests to end. A flow with no other requests, or with fewer than another flow, is
+light: it may exceed the limit a little, at the expense of the busiest flow.
 
-What waits counts too. A hot caller that is held back has one request in flight and
-five waiting; by what is in flight alone, a family with one request of its own was as
-busy, and waited 60 ms behind it.
+Waiting requests count too. A hot caller that is limited has one request in flight and
+five waiting. By requests in flight alone, another caller with a single request seemed
+equally busy, and waited 60 ms behind it.
 """
 
 from typing import final
 
-# Of some hundred callers one in twenty has a second request at a host by chance. Held
-# back like a hot one's, those made the p99 at a load of 1.0 171 ms instead of 157 ms.
+# Of about a hundred callers one in twenty has a second request at a host by chance.
+# When those callers were limited like a hot one, the p99 at a load of 1.0 was 171 ms
+# instead of 157 ms.
 MIN_BUSY = 2
-# A busy flow has more than this part of all. On a host that has half of the load the
-# busiest of 200 equal callers has three requests by chance, and is no hot caller.
+# A busy flow has more than this share of all requests. On a host with half of the load
+# the busiest of 200 equal callers has three requests by chance and is not a hot caller.
 BUSY_SHARE = 1 / 3
-# With so much of all, the busiest is who makes the others be refused.
+# With this share of all requests, the busiest flow causes the refusals of the others.
 BUSIEST_SHARE = 1 / 4
 
 
 @final
 class FlowCounts:
-    """Counts of the flows that have any; bounded by what waits and is in flight.
+    """Request counts of flows; the tables hold only flows that have requests.
 
     >>> flows = FlowCounts()
     >>> for name in ("hot", "hot", "other"):
@@ -48,7 +49,7 @@
         self._min_busy = min_busy
         self._counts: dict[str, int] = {}
         self._waiting: dict[str, int] = {}
-        # How many flows have each count, so that the busiest is known at once.
+        # The number of flows with each count, to find the highest count without a scan.
         self._flows_with: dict[int, int] = {}
         self._max_count = 0
         self._total = 0
@@ -57,7 +58,7 @@
         return len(self._counts)
 
     def count(self, flow: str) -> int:
-        """Return how many requests the flow has, waiting and in flight."""
+        """Return how many requests the flow has waiting and in flight."""
         return self._counts.get(flow, 0)
 
     def count_in_flight(self, flow: str) -> int:
@@ -86,17 +87,17 @@
 
     def remove_waiting(self, flow: str) -> None:
         """Stop counting a request that waited."""
-        left = self._waiting[flow] - 1
-        if left:
-            self._waiting[flow] = left
+        remaining = self._waiting[flow] - 1
+        if remaining:
+            self._waiting[flow] = remaining
         else:
             del self._waiting[flow]
         self.remove(flow)
 
     def is_light(self, flow: str, *, own: int = 0) -> bool:
-        """Whether the flow has nothing, less than another one, or little of all.
+        """Whether the flow has no requests, fewer than another flow, or a small share.
 
-        ``own`` of its requests are left out: the one that is asked for, if counted.
+        ``own`` of its requests are left out: 1 if the request in question is counted.
         """
         count = self._counts.get(flow, 0)
         if count <= own or count < self._max_count:
@@ -106,7 +107,7 @@
         return count - own < self._min_busy or count <= self._total * BUSY_SHARE
 
     def has_busy(self) -> bool:
-        """Whether the flow with the most has much of all."""
+        """Whether the flow with the most requests has a large share of all."""
         return (
             self._max_count > self._min_busy
             and self._max_count >= self._total * BUSIEST_SHARE
@@ -116,9 +117,9 @@
         self._total += after - before
         flows_with = self._flows_with
         if before:
-            left = flows_with[before] - 1
-            if left:
-                flows_with[before] = left
+            remaining = flows_with[before] - 1
+            if remaining:
+                flows_with[before] = remaining
             else:
                 del flows_with[before]
         if after:
@@ -126,5 +127,6 @@
         if after > self._max_count:
             self._max_count = after
         elif before == self._max_count and before not in flows_with:
-            # The flow that had the most now has one less: nobody has more than that.
+            # The only flow with the highest count now has one request fewer, and no
+            # other flow has more than that.
             self._max_count = after
--- a/src/gentianwharf/load/_limit.py
+++ b/src/gentianwharf/load/_limit.py
@@ -30,8 +30,9 @@
 # raised for seconds. Owners therefore have a smaller window, no smoothing over windows
 # and no slow start.
 OWNER_WINDOW_ANSWERS = 24
-# Smoothed over two windows: the minimum of single windows is a matter of chance too,
-# and kept the limit of two busy hosts at two thirds of what they needed.
+# This quantile is averaged with that of the window before: the minimum of single
+# windows is a matter of chance too, and kept the limit of two busy hosts at two thirds
+# of what they needed.
 QUICK_QUANTILE = 0.1
 SLOWDOWN_FACTOR = 0.85
 SHED_FACTOR = 0.7
--- a/src/gentianwharf/load/_owner.py
+++ b/src/gentianwharf/load/_owner.py
@@ -1,19 +1,21 @@
-"""The only server that can run a request: the owner of its key.
+"""Admission rules for the owner of a key, the only server that can run a request.
 
 Load pattern: uploads and archive reads of seconds at owners that also answer look-ups.
-Twelve hosts that do not talk send one long job each, six of which fill the owner;
-every look-up there then waits for one of them to end. Without these rules the bench's
-look-ups beside long jobs had a p99 of 714 ms, and a refusal took up to 700 ms: it
-had waited at the host, was sent, was shed by the owner, waited again and was refused.
+Twelve hosts that do not coordinate send one long job each. Six of those fill the owner,
+and every look-up there waits for one of them to end. Without these rules the bench's
+look-ups beside long jobs had a p99 of 714 ms, and a refusal took up to 700 ms: the
+request waited at the host, was sent, was shed by the owner, waited again and was
+refused.
 
-Three rules, each by what this host sees itself:
+There are three rules, each based on this host's own observations:
 
-- A long job starts right after short answers that were quick, when it is known that
-  the owner has slots left. The hosts get theirs at different moments, so that they do
-  not start together.
-- Nobody begins to wait for an owner that owes a short answer for longer than the class
-  may wait, or that has just said that it is full: how long it takes is unknown.
-- What an owner shed is refused, since it can't go elsewhere. It was not run.
+- A long job starts right after quick answers to short requests, which show that the
+  owner has free slots. Hosts get such answers at different moments, so they do not
+  start long jobs together.
+- No request is queued for an owner that has left a short request unanswered for longer
+  than the class may wait, or that has just shed: the time to wait is unknown.
+- A request that an owner shed was not run, and is refused, since no other server can
+  run it.
 
 >>> from random import Random
 >>> from gentianwharf.load import RequestClass
@@ -24,7 +26,7 @@
 >>> owner = ServerState(server=server, local=True, max_connections=10)
 >>> pool = Pool(service="ledger", states=[owner], classes={"look-up": look_up},
 ...             daemons=12, rng=Random(1), pinned=True)
->>> may_start_long(pool, owner, 1.0)  # Nobody looks anything up.
+>>> may_start_long(pool, owner, 1.0)  # There are no short requests.
 True
 >>> owner.short_answers.record(ratio=5.0, sent_s=0.9, now_s=1.0)
 >>> may_start_long(pool, owner, 1.0), may_queue(pool, pool.classes["look-up"], 1.0)
@@ -41,7 +43,7 @@
 
 
 def may_start_long(pool: Pool, state: ServerState, now_s: float) -> bool:
-    """Whether the owner has a slot to spare for a long job, by its short answers."""
+    """Whether short answers show that the owner has a free slot for a long job."""
     if state.overdue or not state.short_answers.allow_long_job(now_s):
         return False
     flight = _oldest_short(state)
@@ -49,7 +51,7 @@
 
 
 def may_queue(pool: Pool, class_state: ClassState, now_s: float) -> bool:
-    """Whether waiting for the owner promises an answer within the class's wait."""
+    """Whether the owner can be expected to be free within the class's maximum wait."""
     if class_state.request_class.long:
         return True
     state = pool.states[0]
@@ -62,9 +64,9 @@
 
 
 def _oldest_short(state: ServerState) -> Flight | None:
-    """Return the oldest short request that may wait inside the server.
+    """Return the oldest short request that may be waiting inside the server.
 
-    Flights stand in the order in which they were sent.
+    ``state.flights`` is in the order in which the requests were sent.
     """
     last_sent_s = state.short_answers.last_sent_s
     for flight in state.flights.values():
--- a/src/gentianwharf/load/_pacer.py
+++ b/src/gentianwharf/load/_pacer.py
@@ -1,13 +1,15 @@
-"""How long a host waits between two requests to an owner that can't keep up.
+"""Request pacing for an owner that cannot keep up.
 
 Load pattern: the only server of some keys becomes five times slower. Each of ten hosts
-keeps one request there, the least that a limit of requests in flight allows. Each then
-waits in the server's queue for longer than its host does, and all that the server runs
-is run for nobody: of 20 requests a second, of which it could answer six, none is.
+keeps one request in flight there, the minimum that a concurrency limit allows. Each of
+these requests waits in the server's queue for longer than its host's timeout, and the
+server only does work whose result is discarded: it could answer six of 20 requests a
+second, but answers none in time.
 
-A host that is owed an answer lets as much time pass between two requests as it waited
-in vain, and more with each that follows; answers of a server without a long queue
-shorten the time again. What comes meanwhile is refused at once.
+After requests to an owner time out, a host leaves a gap between its requests that is a
+multiple of the time it waited, and that grows with each further time-out. Answers of a
+server without a long queue shorten the gap. Requests that cannot be sent within their
+class's maximum wait are refused at once.
 
 >>> pacer = Pacer()
 >>> pacer.record_timeout(1.2)
@@ -23,31 +25,32 @@
 from typing import final
 
 TIMEOUT_FACTOR = 2.0
-"""Of the time waited in vain. Ten hosts at a server with three slots then send what it
-can run of work that takes six tenths of that time."""
+"""The gap after a time-out, as a multiple of the time waited. Ten hosts then send to a
+server with three slots as much as it can run of work that takes 0.6 of that time."""
 
 GAP_INCREASE = 1.5
 GAP_DECREASE = 0.85
-"""By answer. With halving instead, all hosts came back at once and filled it anew."""
+"""Applied for each answer. With halving, all hosts sent more at the same time and
+filled the server again."""
 
 MAX_GAP_S = 5.0
-"""A server that is well again is found out by every host within this time."""
+"""Within this time every host sends a request and can detect a recovered server."""
 
 MAX_GAP_FACTOR = 4.0
-"""Times as long as an answer took: an owner that answers quickly again is soon asked as
-often as before."""
+"""Bound of the gap as a multiple of the latest answer's time, so that an owner that
+answers quickly again soon gets as many requests as before."""
 
 TIMEOUTS_BEFORE_PACING = 2
-"""Answers owed in a row that begin a gap: a single one may be lost, or its owner have
-stood still for a moment."""
+"""Consecutive time-outs after which a gap is left. A single answer may be lost, or its
+owner may have been paused for a moment."""
 
 MIN_GAP_FACTOR = 1.5
-"""Times as long as the answer took: so short a gap holds nothing back any more."""
+"""Gaps shorter than this multiple of the answer's time have no effect and end."""
 
 
 @final
 class Pacer:
-    """The time between two requests of this host to one owner; 0 while all is well."""
+    """The gap between requests of this host to one owner; 0 without time-outs."""
 
     __slots__ = ("_started_s", "_timeouts", "gap_s")
 
@@ -61,23 +64,23 @@
         return now_s >= self._started_s + self.gap_s
 
     def remaining_s(self, now_s: float) -> float:
-        """Return for how long the next request may not start."""
+        """Return the time until the next request may start."""
         return max(0.0, self._started_s + self.gap_s - now_s)
 
     def record_start(self, now_s: float) -> None:
-        """Note that a request was sent."""
+        """Record that a request was sent."""
         self._started_s = now_s
 
     def record_timeout(self, waited_s: float) -> None:
-        """Send less: an answer is owed for too long."""
+        """Lengthen the gap after a request that was not answered in time."""
         self._timeouts += 1
         if self._timeouts < TIMEOUTS_BEFORE_PACING:
             return
-        longer_s = max(self.gap_s * GAP_INCREASE, waited_s * TIMEOUT_FACTOR)
-        self.gap_s = min(MAX_GAP_S, longer_s)
+        gap_s = max(self.gap_s * GAP_INCREASE, waited_s * TIMEOUT_FACTOR)
+        self.gap_s = min(MAX_GAP_S, gap_s)
 
     def record_answer(self, *, elapsed_s: float, has_queue: bool) -> None:
-        """Follow an answer; ``has_queue``: much more waits at the server."""
+        """Adapt the gap to an answer of a server with or without a long queue."""
         self._timeouts = 0
         if not self.gap_s:
             return
--- a/src/gentianwharf/load/_pool.py
+++ b/src/gentianwharf/load/_pool.py
@@ -1,16 +1,16 @@
-"""A pool: servers that a request may choose among, its limit and its queues.
+"""A pool: the servers that can run a request, with their limit and queues.
 
-A service that is not divided by key is one pool. Each owner of a keyed service, and
-each server to which a request is bound, is a pool of one server.
+A service without keys has one pool. Each owner of a keyed service, and each server to
+which a request is bound, has a pinned pool with that server only.
 
 Load pattern: a few uploads or archive reads of seconds among many look-ups of
-milliseconds. Without a share of their own the long ones hold every slot after a
-while, and the short ones wait for seconds. A long class holds at most its share of the
-limit, and what it holds counts against the others up to that share only.
+milliseconds. Without a separate share, long requests eventually hold every slot, and
+short ones wait for seconds. A long class therefore holds at most its share of the
+limit, and its requests count against the other classes up to that share only.
 
-Load pattern: a hot caller. First come, first served, it fills the limit, and each of
-the others waits for one of its requests to end. Light callers may exceed the limit,
-and busy ones keep off its last part while others are there.
+Load pattern: a hot caller. With FIFO order it uses up the limit, and each other caller
+waits for one of its requests to end. Light callers may therefore exceed the limit, and
+busy callers may not use its last part while there are other callers.
 
 >>> from gentianwharf.topology import BackendServer
 >>> look_up = RequestClass.from_deadline(name="look-up", deadline_ms=2000, weight=8)
@@ -20,13 +20,14 @@
 >>> pool = Pool(service="ledger", states=[state], classes={"look-up": look_up},
 ...             daemons=1, rng=Random(1), pinned=False)
 >>> row = pool.classes["look-up"]
->>> def ask(caller):
+>>> def ticket(caller):
 ...     return Ticket(id="1", service="ledger", request_class="look-up",
 ...                   caller=caller, deadline_s=2.0)
 >>> for _ in range(4):
-...     sent = Flight(ticket=ask("hot"), server="ledger-1", started_s=0.0, long=False)
-...     pool.record_start(row, sent, 0.0)
->>> pool.is_light(ask("hot")), pool.is_light(ask("other"))
+...     flight = Flight(
+...         ticket=ticket("hot"), server="ledger-1", started_s=0.0, long=False)
+...     pool.record_start(row, flight, 0.0)
+>>> pool.is_light(ticket("hot")), pool.is_light(ticket("other"))
 (False, True)
 >>> pool.has_capacity(row, 0.0, light=False), pool.has_capacity(row, 0.0, light=True)
 (False, True)
@@ -45,28 +46,29 @@
 from ._requests import RequestClass, Ticket
 from ._server_state import Flight, HealthStatus, ServerState
 
-# A light caller may exceed the limit by this factor, so that it need not wait for the
-# slots of a busy one: servers then hold some requests more for a moment, which the
-# limit, being lowered by slower answers, allows for. With 2.5 the p99 at ten times the
-# load is 198 ms instead of 178 ms.
+# A light caller may exceed the limit by this factor, so that it need not wait for slots
+# of a busy one. The servers then hold a few more requests for a moment; the limit
+# compensates, since slower answers lower it. With 2.5 the p99 at ten times the load is
+# 198 ms instead of 178 ms.
 LIGHT_LIMIT_FACTOR = 2.0
-# A busy caller leaves the last quarter of the limit to the others while there are any.
+# A busy caller leaves the last quarter of the limit to other callers, if there are any.
 # Without that the others' p99 beside a caller of 20 times their load grew 1.27 times.
 BUSY_LIMIT_FACTOR = 0.75
-# A busy caller's request waits this long before light ones pass it no more: 250 ms,
-# a posting's longest wait, made the p99 of the hot caller's class 262 ms.
+# After this wait a busy caller's request is no longer overtaken by light ones. With
+# 250 ms, the longest wait of a posting, the p99 of the hot caller's class was 262 ms.
 MAX_OVERTAKEN_S = 0.1
-# With the fair share, one request at a time, a hot owner's queue at the router was
-# full at 60 % load while the owner had free slots.
+# Starting at the fair share, one request at a time, the queue for a hot owner was full
+# at 60 % load while the owner had free slots.
 INITIAL_OWNER_SHARE = 0.34
-# At an owner a host holds one or two requests: one of a hot key is busy already.
+# A host has one or two requests in flight at an owner, so at an owner a flow counts as
+# busy with fewer requests.
 MIN_BUSY_AT_OWNER = 1
 MIN_MEAN_S = 1e-6
 
 
 @final
 class Pool:
-    """Queues, limit and servers that belong together."""
+    """A group of servers with their limit and queues."""
 
     def __init__(
         self,
@@ -98,30 +100,31 @@
         self.limit = AdaptiveLimit(fair_share=1.0, maximum=1.0, owner=pinned)
         self.set_states(states)
         if pinned:
-            # One owner of many: most of the time the other hosts leave it alone.
+            # There are many owners: the other hosts rarely send to this one at the
+            # same time.
             self.limit.raise_to(states[0].server.slots * INITIAL_OWNER_SHARE)
 
     # Servers.
 
     def set_states(self, states: list[ServerState]) -> None:
-        """Follow servers that join or leave."""
+        """Replace the pool's servers when some join or leave."""
         self.states = in_common_order(states)
-        slots = sum(one.server.slots for one in states)
+        slots = sum(state.server.slots for state in states)
         self.limit.resize(fair_share=slots / self._daemons, maximum=float(slots))
         self.update_suspects()
         self._divide_servers()
 
     def set_daemons(self, daemons: int) -> None:
-        """Follow the number of daemons, by which slots are shared fairly."""
+        """Set the number of daemons among which the slots are divided."""
         self._daemons = daemons
         self.set_states(self.states)
 
     def is_unavailable(self, now_s: float) -> bool:
-        """Whether waiting is in vain: the only server is frozen or has left."""
+        """Whether the only server is frozen or has left, so that waiting is no use."""
         return self.pinned and not self.states[0].accepts_pinned(now_s)
 
     def can_serve(self, ticket: Ticket, now_s: float) -> bool:
-        """Whether some server could run the request, now or after a wait."""
+        """Whether some server can run the request, now or after a wait."""
         for state in self.states:
             if state.health is HealthStatus.ACTIVE:
                 return True
@@ -130,42 +133,45 @@
         return False
 
     def may_suspect_slow(self) -> bool:
-        """Whether one more server may be set apart for being slower than the rest.
+        """Whether one more server may become suspect for being slower than the rest.
 
-        Slowness is judged against the pool's own median. If that is wrong, or the
-        work has become slower everywhere, all servers look slow; a host that then
-        set all apart would refuse everything, and have no answers to learn better
-        from. So at most half; servers that do not answer at all are not counted.
+        Servers are compared with the pool's own median. If that is wrong, or the work
+        has become slower everywhere, all servers seem slow. A host for which all were
+        suspect would refuse everything, and get no answers that could correct this.
+        At most half of the servers may therefore be suspect for slowness; servers that
+        do not answer at all are exempt from that bound.
         """
         self.update_suspects()
         return (len(self.suspects) + 1) * 2 <= len(self.states)
 
     def update_suspects(self) -> None:
-        """Follow which servers are suspects; most of the time there are none."""
+        """Update the list of suspect servers, which is usually empty."""
         self.suspects = [
-            one for one in self.states if one.health is HealthStatus.SUSPECT
+            state for state in self.states if state.health is HealthStatus.SUSPECT
         ]
 
     def is_idle(self) -> bool:
-        """Whether nothing happens at an owner of keys, so that no tick is needed.
+        """Whether an owner's pool has no requests, so that it needs no tick.
 
-        A host has a pool for each owner, most of them idle. With 16 of them a tick took
-        178 us, fifty times a second; without those that rest, and without a look at
-        servers that owe nothing, 32 us.
+        A host has a pool for each owner, and most are idle. With 16 owners a tick took
+        178 us, fifty times a second; it takes 32 us when idle pools and servers without
+        requests in flight are skipped.
         """
         return self.pinned and not (
             self.waiting or self.short_in_flight or self.long_in_flight
         )
 
     def tick(self, now_s: float) -> None:
-        """Follow how much long work there is."""
+        """Update the suspects and the division of servers between long and short."""
         self.update_suspects()
         self._update_long_demand(now_s)
         self._divide_servers()
 
     def _update_long_demand(self, now_s: float) -> None:
         waiting = sum(
-            len(one.queue) for one in self.classes.values() if one.request_class.long
+            len(state.queue)
+            for state in self.classes.values()
+            if state.request_class.long
         )
         demand = self.long_in_flight + waiting
         self._long_demand.update(demand, now_s)
@@ -173,15 +179,15 @@
             self._divide_servers()
 
     def _divide_servers(self) -> None:
-        for_long = self._long_demand.count_servers(self.states, self._daemons)
-        # The only server runs both.
-        self.long_states = self.states[: for_long or int(len(self.states) == 1)]
-        self.short_states = self.states[for_long:]
+        long_servers = self._long_demand.count_servers(self.states, self._daemons)
+        # A single server runs both long and short requests.
+        self.long_states = self.states[: long_servers or int(len(self.states) == 1)]
+        self.short_states = self.states[long_servers:]
 
-    # Room and turns.
+    # Capacity and scheduling.
 
     def has_capacity(self, state: ClassState, now_s: float, *, light: bool) -> bool:
-        """Whether the limits let one more request of this class start.
+        """Whether the limits allow one more request of this class to start.
 
         ``light``: see ``is_light``.
         """
@@ -191,40 +197,45 @@
         share = state.request_class.slot_share
         if share < 1.0:
             return state.in_flight < max(1.0, limit * share)
-        lent_to_long = min(self.long_in_flight, limit / 2)
+        used_by_long = min(self.long_in_flight, limit / 2)
         if light:
             limit *= LIGHT_LIMIT_FACTOR
         elif len(self._callers) > 1:
             limit = max(1.0, limit * BUSY_LIMIT_FACTOR)
-        return self.short_in_flight + lent_to_long < limit
+        return self.short_in_flight + used_by_long < limit
 
-    def is_light(self, ticket: Ticket, *, waits: bool = False) -> bool:
-        """Whether both its caller and its key are light, but for the request itself.
+    def is_light(self, ticket: Ticket, *, queued: bool = False) -> bool:
+        """Whether the request's caller and key are both light.
 
-        ``waits``: the request waits here already and is counted.
+        ``queued`` means that the request is in a queue here and is already counted; it
+        is then left out.
         """
-        own = int(waits)
+        own = int(queued)
         if not self._callers.is_light(ticket.caller, own=own):
             return False
         return ticket.key is None or self._keys.is_light(ticket.key, own=own)
 
     def has_other_busy_caller(self, ticket: Ticket) -> bool:
-        """Whether a caller is busy, and it is not the one that asks."""
+        """Whether a caller is busy while the request's own flows are light."""
         return self._callers.has_busy() and self.is_light(ticket)
 
     def head_has_priority(self, state: ClassState, now_s: float) -> bool:
-        """Whether the first waiting request counts as light, so that none passes it.
+        """Whether the first waiting request counts as light and may not be overtaken.
 
-        Light newcomers may pass a busy caller's request, but not for ever: they alone
-        can keep the limit exceeded, and it would wait until its deadline.
+        New light requests may overtake a busy caller's request only for a limited time:
+        they alone can keep the limit exceeded, and the request would wait until its
+        deadline.
         """
         ticket = state.queue.peek()
         waited_s = now_s - state.queue.enqueued_s(ticket)
-        longest_s = min(MAX_OVERTAKEN_S, state.max_wait_s)
-        return waited_s > longest_s or self.is_light(ticket, waits=True)
+        limit_s = min(MAX_OVERTAKEN_S, state.max_wait_s)
+        return waited_s > limit_s or self.is_light(ticket, queued=True)
 
     def next_class(self, blocked: set[str], now_s: float) -> ClassState | None:
-        """Return the class whose turn it is, of those with work, room and a server."""
+        """Return the next class to serve among those with requests and capacity.
+
+        ``blocked`` names classes for which no server is available now.
+        """
         best: ClassState | None = None
         for name, state in self.classes.items():
             if name in blocked or not len(state.queue):
@@ -237,26 +248,26 @@
         return best
 
     def service_rate_per_s(self, state: ClassState, share: float) -> float:
-        """Return how many of the class can start a second with this turn share."""
-        each_s = max(state.mean_s, self.pacer.gap_s, MIN_MEAN_S)
-        return max(1.0, self.limit.value * share) / each_s
+        """Return how many requests of the class can start per second."""
+        interval_s = max(state.mean_s, self.pacer.gap_s, MIN_MEAN_S)
+        return max(1.0, self.limit.value * share) / interval_s
 
     def class_share(self, state: ClassState) -> float:
-        """Return the class's part of the limit while the others wait as now."""
+        """Return the class's share of the limit, given which classes are waiting."""
         weight = state.request_class.weight
         total = weight
         if self.waiting > len(state.queue):
-            for one in self.classes.values():
-                if one is not state and len(one.queue):
-                    total += one.request_class.weight
+            for other in self.classes.values():
+                if other is not state and len(other.queue):
+                    total += other.request_class.weight
         return min(state.request_class.slot_share, weight / total)
 
-    # What waits.
+    # Waiting requests.
 
     def enqueue(self, state: ClassState, ticket: Ticket, now_s: float) -> None:
-        """Let a request wait."""
+        """Add a request to its class's queue."""
         if not len(state.queue):
-            # An idle class gets no credit for the time in which it asked nothing.
+            # A class gets no credit for time in which it had no requests.
             state.virtual_time = max(state.virtual_time, self._virtual_time)
         in_flight = self._callers.count_in_flight(ticket.caller)
         self._callers.add_waiting(ticket.caller)
@@ -267,11 +278,11 @@
         self.waiting += 1
 
     def dequeue(self, state: ClassState) -> None:
-        """Take the first request of a class out of its queue."""
+        """Remove the first request from the class's queue."""
         self._record_dequeued(state.queue.pop())
 
     def remove(self, ticket_id: str) -> None:
-        """Take out a request that waits no longer, wherever it stands."""
+        """Remove a request from whichever queue it is in."""
         for state in self.classes.values():
             ticket = state.queue.remove(ticket_id)
             if ticket is not None:
@@ -283,7 +294,7 @@
         if ticket.key is not None:
             self._keys.remove_waiting(ticket.key)
 
-    # What is in flight.
+    # Requests in flight.
 
     def record_start(self, state: ClassState, flight: Flight, now_s: float) -> None:
         """Count a request that is sent."""
