--- a/src/gentianwharf/admission/__init__.py
+++ b/src/gentianwharf/admission/__init__.py
@@ -1,4 +1,4 @@
-"""The gate's decisions as the relay awaits them."""
+"""Adapter that lets the relay await the gate's decisions."""
 
 from ._gate_admission import GateAdmission, rendezvous_server
 
--- a/src/gentianwharf/admission/_gate_admission.py
+++ b/src/gentianwharf/admission/_gate_admission.py
@@ -1,4 +1,4 @@
-"""The gate's decisions, as the relay awaits them."""
+"""Adapter from the gate's decisions to the relay's admission interface."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, final
@@ -10,7 +10,7 @@
 from gentianwharf.relay import Hedge, Outcome, Problem, Run, ServerLoad, Ticket
 from gentianwharf.topology import BackendServer
 
-_KINDS = {
+_OUTCOME_KINDS = {
     Outcome.ANSWERED: load.OutcomeKind.OK,
     Outcome.NOT_OWNER: load.OutcomeKind.NOT_OWNER,
     Outcome.SHED: load.OutcomeKind.SHED,
@@ -20,19 +20,25 @@
     Outcome.CANCELLED: load.OutcomeKind.CANCELLED,
 }
 
-# A refusal is as much an answer as any other.
-_SIGNS_OF_LIFE = frozenset({Outcome.ANSWERED, Outcome.NOT_OWNER, Outcome.SHED})
+# A refusal shows that the server is alive as well as any other answer does.
+_ALIVE_OUTCOMES = frozenset({Outcome.ANSWERED, Outcome.NOT_OWNER, Outcome.SHED})
 
 Clock = Callable[[], float]
 LoadListener = Callable[[BackendServer, ServerLoad, float | None], None]
-"""Told what a server said of its load, and how long its answer took if it ran one."""
+"""Called with a server, the load that it reported and the time of its answer.
+
+The time is in seconds, and None if the server refused the request.
+"""
 ServerOutcomeListener = Callable[[str, bool, float | None], None]
-"""Told of a server's id, whether it answered, and how long a run kept it busy."""
+"""Called with a server's id, whether it answered, and the time that a run took.
+
+The time is in seconds, and None unless the server ran the request.
+"""
 
 
 @final
 class GateAdmission:
-    """Lets the gate decide, and tells waiting exchanges what it decided."""
+    """Passes requests to the gate and resumes waiting exchanges with its decisions."""
 
     def __init__(
         self,
@@ -50,18 +56,18 @@
         self._on_server_outcome = on_server_outcome
         self._listed: dict[str, tuple[BackendServer, ...]] = {}
         for server in self.servers.values():
-            before = self._listed.get(server.service, ())
-            self._listed[server.service] = (*before, server)
+            listed = self._listed.get(server.service, ())
+            self._listed[server.service] = (*listed, server)
         self._waiting: dict[str, Deferred[BackendServer]] = {}
         self._hedges: dict[str, Hedge] = {}
 
     async def admit(
         self, ticket: Ticket, owner: BackendServer | None, hedge: Hedge
     ) -> BackendServer:
-        """Return the server to send to, after waiting if need be."""
-        asked = _ticket(ticket, owner)
-        return await self._decided(
-            ticket, hedge, [self._gate.submit(asked, self._now_s())]
+        """Return the server to send to, after waiting if necessary."""
+        gate_ticket = _gate_ticket(ticket, owner)
+        return await self._await_decision(
+            ticket, hedge, [self._gate.submit(gate_ticket, self._now_s())]
         )
 
     async def admit_again(
@@ -75,9 +81,12 @@
     ) -> BackendServer:
         """Return the server for another try, if the retry budget allows one."""
         decision = self._gate.retry(
-            _ticket(ticket, owner), _KINDS[after], self._now_s(), avoid.id
+            _gate_ticket(ticket, owner),
+            _OUTCOME_KINDS[after],
+            self._now_s(),
+            avoid.id,
         )
-        return await self._decided(ticket, hedge, [decision])
+        return await self._await_decision(ticket, hedge, [decision])
 
     def finished(
         self,
@@ -87,38 +96,42 @@
         elapsed_s: float,
         retry_after_s: float | None = None,
     ) -> None:
-        """Note how a leg ended, and let others go."""
+        """Record how a leg ended and apply the decisions that follow from it."""
         if outcome is Outcome.TIMED_OUT:
             self.on_timeout(server)
         if outcome is not Outcome.CANCELLED:
             busy_s = elapsed_s if outcome is Outcome.ANSWERED else None
-            self._on_server_outcome(server.id, outcome in _SIGNS_OF_LIFE, busy_s)
-        ended = load.Outcome(
-            kind=_KINDS[outcome], elapsed_s=elapsed_s, retry_after_s=retry_after_s
+            self._on_server_outcome(server.id, outcome in _ALIVE_OUTCOMES, busy_s)
+        gate_outcome = load.Outcome(
+            kind=_OUTCOME_KINDS[outcome],
+            elapsed_s=elapsed_s,
+            retry_after_s=retry_after_s,
+        )
+        self._apply(
+            self._gate.finished(ticket.id, gate_outcome, self._now_s(), server.id)
         )
-        self._apply(self._gate.finished(ticket.id, ended, self._now_s(), server.id))
 
     def server_for_key(self, service: str, key: str) -> BackendServer | None:
         """Return the server that every daemon sends an idempotency key to.
 
-        The first in rendezvous order of those that are listed: all daemons see the
-        same list within seconds, and a change of it moves only the lost one's keys.
+        It is the first of the listed servers in rendezvous order. All daemons have the
+        same list within seconds, and removing a server moves only its own keys.
         """
         listed = self._listed.get(service, ())
         return rendezvous_server(key, listed)
 
     def tick(self) -> None:
-        """Let the gate refuse what has waited too long and hedge what is late."""
+        """Apply the gate's periodic decisions: refusals, starts and hedges."""
         self._apply(self._gate.tick(self._now_s()))
 
     def set_servers(self, service: str, servers: Iterable[BackendServer]) -> None:
-        """Follow the servers of a service."""
+        """Update the servers of a service."""
         servers = tuple(servers)
         self._listed[service] = servers
         self.servers.update({server.id: server for server in servers})
         self._apply(self._gate.set_servers(service, servers, self._now_s()))
 
-    async def _decided(
+    async def _await_decision(
         self, ticket: Ticket, hedge: Hedge, decisions: list[load.Decision]
     ) -> BackendServer:
         waiting: Deferred[BackendServer] = Deferred(lambda _: self._cancel(ticket.id))
@@ -133,14 +146,14 @@
     def note_load(
         self, server: BackendServer, load: ServerLoad, elapsed_s: float | None
     ) -> None:
-        """Follow what a server said of its load."""
+        """Record the load that a server reported."""
         self._gate.note_load(
             server.id, waiting=load.waiting, slots=load.slots, now_s=self._now_s()
         )
         self.on_load(server, load, elapsed_s)
 
     def forget(self, ticket: Ticket) -> None:
-        """Forget a request that has had its answer."""
+        """Discard the hedge callback of a request that has had its answer."""
         self._hedges.pop(ticket.id, None)
 
     def _cancel(self, ticket_id: str) -> None:
@@ -150,26 +163,27 @@
     def _apply(self, decisions: Iterable[load.Decision]) -> None:
         for decision in decisions:
             if isinstance(decision, load.Start) and decision.hedge:
-                self._hedge(decision)
+                self._start_hedge(decision)
             elif isinstance(decision, load.Start):
-                self._fire(decision.ticket_id, self.servers[decision.server])
+                self._resume(decision.ticket_id, self.servers[decision.server])
             elif isinstance(decision, load.Refuse):
-                self._fire(decision.ticket_id, _problem(decision))
+                self._resume(decision.ticket_id, _problem(decision))
 
-    def _hedge(self, decision: load.Start) -> None:
+    def _start_hedge(self, decision: load.Start) -> None:
         hedge = self._hedges.get(decision.ticket_id)
         if hedge is not None:
             hedge(self.servers[decision.server])
             return
-        # The request had its answer in this turn; the gate counts the send until told.
-        ended = load.Outcome(kind=load.OutcomeKind.CANCELLED, elapsed_s=0.0)
+        # The request was answered in the same turn of the loop. The gate counts the
+        # send as in flight until it is reported as ended.
+        outcome = load.Outcome(kind=load.OutcomeKind.CANCELLED, elapsed_s=0.0)
         self._apply(
             self._gate.finished(
-                decision.ticket_id, ended, self._now_s(), decision.server
+                decision.ticket_id, outcome, self._now_s(), decision.server
             )
         )
 
-    def _fire(self, ticket_id: str, result: Any) -> None:
+    def _resume(self, ticket_id: str, result: Any) -> None:
         waiting = self._waiting.pop(ticket_id, None)
         if waiting is None:
             return
@@ -182,7 +196,7 @@
 def _ignore_load(
     server: BackendServer, load: ServerLoad, elapsed_s: float | None
 ) -> None:
-    """Do nothing: where servers report their load elsewhere."""
+    """Do nothing; the default for users that need no load reports."""
 
 
 def rendezvous_server(
@@ -195,7 +209,7 @@
     return next(server for server in servers if server.id == first)
 
 
-def _ticket(ticket: Ticket, owner: BackendServer | None) -> load.Ticket:
+def _gate_ticket(ticket: Ticket, owner: BackendServer | None) -> load.Ticket:
     return load.Ticket(
         id=ticket.id,
         service=ticket.service,
--- a/src/gentianwharf/load/__init__.py
+++ b/src/gentianwharf/load/__init__.py
@@ -1,7 +1,8 @@
-"""Decisions under load; nothing here knows of a network.
+"""Overload control and load balancing; this package performs no I/O.
 
-``Gate`` decides whom to serve, who waits, who is refused and where work goes;
-``IdempotencyCache`` joins repeated requests. See ``docs/design/load.md``.
+``Gate`` decides which requests are started, queued or refused, and to which server
+they are sent. ``IdempotencyCache`` joins repeated requests. See
+``docs/design/load.md``.
 """
 
 from ._gate import Gate
--- a/src/gentianwharf/load/_class_state.py
+++ b/src/gentianwharf/load/_class_state.py
@@ -1,8 +1,9 @@
-"""One class's waiting requests and timings within a pool.
+"""The queue and timings of one request class within a pool.
 
-Load pattern: work whose duration differs from request to request, and servers that
-become slower. Against the best answer so far all look slow; against the mean one long
-job hides what follows. The median moves a small step with each answer.
+Load pattern: requests take different times, and servers become slower. Compared with
+the quickest answer so far, all servers seem slow; compared with the mean, one long job
+hides the slow answers after it. Answers are therefore compared with a running median,
+which moves by a small step with each answer.
 
 >>> look_up = RequestClass.from_deadline(name="look-up", deadline_ms=2000, weight=8)
 >>> state = make_class_state(look_up, Random(1))
@@ -23,24 +24,25 @@
 from ._requests import RequestClass
 from ._retry_schedule import RetrySchedule
 
-# Before the first answer: the class's longest wait, divided by this, stands for the
-# time that a request takes (10 ms for a consultation with a deadline of 2 s).
+# Before the first answer the mean is taken as the class's maximum wait divided by this
+# (10 ms for a class with a deadline of 2 s).
 INITIAL_MEAN_DIVISOR = 10.0
 MEAN_SMOOTHING = 0.05
-# Some fifty requests: a quarter of a second of today's load on one host.
+# Averages over about fifty requests, which a host gets in a quarter of a second.
 REFUSED_SMOOTHING = 0.02
-# A step of 4 % an answer: the median follows a change to twice the time in some 20
-# answers, and one server of eight that is ten times slower moves it by a fifth.
+# With steps of 4 % an answer, the median follows a doubling of the time within about 20
+# answers, and one of eight servers being ten times slower raises it by a fifth.
 MEDIAN_STEP = 0.04
-# The median begins with that many answers and judges none before: when it began with
-# the first, a lucky one of 0.5 ms made all servers look slow to one host for seconds.
+# The median starts from this many answers, and no server is evaluated before. When it
+# started from the first answer, an unusually quick one of 0.5 ms made all servers seem
+# slow to one host for seconds.
 MEDIAN_WARM_UP_ANSWERS = 9
 
 
 @final
 @dataclass(kw_only=True, slots=True, eq=False)
 class ClassState:
-    """One row of a pool's table of classes; times in seconds."""
+    """The state of one request class within a pool; times in seconds."""
 
     request_class: RequestClass
     queue: FairQueue
@@ -54,11 +56,11 @@
     _first_answers: list[float] = field(default_factory=list)
 
     def record_decision(self, *, refused: bool) -> None:
-        """Follow the share of requests that find no place."""
+        """Update the share of requests that find the queue full."""
         self.refused_share += (refused - self.refused_share) * REFUSED_SMOOTHING
 
     def record_answer(self, elapsed_s: float) -> float:
-        """Learn from an answer; return how it compares with the median before it."""
+        """Update the timings; return the answer's time in medians before it."""
         self.mean_s += (elapsed_s - self.mean_s) * MEAN_SMOOTHING
         if self.median_s == 0.0:
             self._first_answers.append(elapsed_s)
@@ -72,7 +74,7 @@
 
 
 def make_class_state(request_class: RequestClass, rng: Random) -> ClassState:
-    """Return the row of a class that has seen no request yet."""
+    """Return the state of a class that has had no requests yet."""
     max_wait_s = request_class.max_wait_ms / 1000
     return ClassState(
         request_class=request_class,
--- a/src/gentianwharf/load/_class_table.py
+++ b/src/gentianwharf/load/_class_table.py
@@ -1,4 +1,4 @@
-"""A pool's table of classes, with a row for each that its requests have had."""
+"""A pool's table of request classes, filled on demand."""
 
 from collections.abc import Mapping
 from random import Random
@@ -10,10 +10,10 @@
 
 @final
 class ClassTable(dict[str, ClassState]):
-    """Makes a class's row when it is first asked for; ``KeyError`` for unknown ones.
+    """Creates a class's row on first access; raises ``KeyError`` for unknown classes.
 
-    Few classes have requests for one service. With a row for each class in each pool,
-    300 classes and 1,219 services took 5.4 s of the loop and 331 MB.
+    A service gets requests of few classes. With a row for each class in each pool, 300
+    classes and 1,219 services blocked the event loop for 5.4 s and took 331 MB.
 
     >>> look_up = RequestClass.from_deadline(name="look-up", deadline_ms=2000, weight=8)
     >>> rows = ClassTable(classes={"look-up": look_up}, rng=Random(1))
@@ -29,8 +29,8 @@
     def __missing__(self, name: str) -> ClassState:
         row = make_class_state(self._classes[name], self._rng)
         rows = {**self, name: row}
-        # In the order of the configuration, not of the requests: of two classes whose
-        # turn it is equally, the first has it.
+        # Kept in the order of the configuration, not of the first requests: between
+        # two classes of equal virtual time, the first in the table is served.
         self.clear()
-        self.update((one, rows[one]) for one in self._classes if one in rows)
+        self.update((known, rows[known]) for known in self._classes if known in rows)
         return row
--- a/src/gentianwharf/load/_idempotency.py
+++ b/src/gentianwharf/load/_idempotency.py
@@ -1,18 +1,21 @@
-"""Repeated requests with one ``Idempotency-Key`` join the first, or get its answer.
+"""Deduplication of requests that carry an ``Idempotency-Key``.
 
-Load pattern: a treasurer's client gives up after ten seconds and posts the same dues
-again while the first request still runs, or just after its answer was lost. Sent on,
-the second one depends on the server's own memory; where that has none, it charges
-twice.
+A repeated request joins the first one while that is in flight, and gets its answer
+after that.
 
-On one daemon the cache is here. On another one the request goes to the same server
-(the key is hashed to it by the caller of this module), whose own memory sees it; a
-second host that holds each request and answer, as in the related paper, would cost two
-more messages a request and the answer's bytes, so it is not done.
+Load pattern: a client times out after ten seconds and posts the same dues again while
+the first request is still running, or just after its answer was lost. If the second
+request is sent on, only the server can detect the repetition; a server that does not
+store idempotency keys charges twice.
 
-Kept answers are bounded by count, bytes and time. An answer that is too large, or
-of which it isn't known whether it ran, is remembered without its bytes: a repeated
-request is told so, and is never sent again.
+This cache detects repetitions on one daemon. On another daemon the request is sent to
+the same server (the caller of this module hashes the key to it), which can detect them.
+Replicating each request and answer to a second host, as in the related paper, would
+cost two more messages per request and the answer's bytes, and is not done.
+
+Stored answers are bounded by count, bytes and time. A request whose answer is too
+large, or whose outcome is unknown, is stored without an answer: a repetition is told so
+and is never sent again.
 """
 
 from collections import OrderedDict
@@ -20,14 +23,14 @@
 from enum import StrEnum
 from typing import Generic, TypeVar, final
 
-# A client that repeats does so within minutes; a day's answers would not fit.
+# Clients repeat requests within minutes; the answers of a day would not fit.
 RETENTION_S = 600.0
 MAX_ENTRIES = 20_000
-# Two answers of a whole chunk of 64 KiB per MiB; 32 MiB is a quarter of the memory
-# that a daemon may use for control.
+# Enough for 512 answers of the largest size, a chunk of 64 KiB. 32 MiB is a quarter of
+# the memory that a daemon may use for control.
 MAX_BYTES = 32 * 1024 * 1024
 MAX_ANSWER_BYTES = 64 * 1024
-# Entries in flight can't be dropped without risking a second run.
+# Entries of requests in flight cannot be dropped without risking a second run.
 MAX_IN_FLIGHT = 10_000
 
 Answer = TypeVar("Answer")
@@ -47,7 +50,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimResult(Generic[Answer]):
-    """The claim, with the request to join or the answer to give again.
+    """The claim, with the request to join or the stored answer.
 
     ``RUN``: send the request, then call ``complete`` or ``discard``. ``JOIN``: wait
     for the answer to ``request_id``. ``REPLAY``: return ``answer``. ``UNKNOWN``: the
@@ -72,11 +75,11 @@
 
 @final
 class IdempotencyCache(Generic[Answer]):
-    """What this daemon knows of requests that must run at most once.
+    """A record of a daemon's requests that must run at most once.
 
-    A key is scoped by its caller and service: ``scope`` keeps one caller from reading
-    the answer to another's request. ``fingerprint`` stands for method, path and what
-    else makes it the same request.
+    A key is scoped by its caller and service: ``scope`` prevents a caller from reading
+    the answer to another caller's request. ``fingerprint`` identifies the request by
+    its method, path and whatever else has to be equal in a repetition.
 
     >>> cache = IdempotencyCache()
     >>> def claim(request_id, now_s):
@@ -107,7 +110,7 @@
         self._max_answer_bytes = max_answer_bytes
         self._max_in_flight = max_in_flight
         self._in_flight: dict[tuple[str, str], _Entry[Answer]] = {}
-        # By time of the answer, the oldest first.
+        # Ordered by time of completion, the oldest first.
         self._completed: OrderedDict[tuple[str, str], _Entry[Answer]] = OrderedDict()
         self._answer_bytes_total = 0
 
@@ -116,18 +119,18 @@
 
     @property
     def answer_bytes_total(self) -> int:
-        """Return the bytes of all kept answers."""
+        """Return the size of all stored answers in bytes."""
         return self._answer_bytes_total
 
     def claim(
         self, *, scope: str, key: str, request_id: str, fingerprint: str, now_s: float
     ) -> ClaimResult[Answer]:
-        """Say what the request has to do."""
-        self._drop_old(now_s)
-        place = (scope, key)
-        entry = self._in_flight.get(place) or self._completed.get(place)
+        """Return what the request has to do, and record it if it is new."""
+        self._drop_expired(now_s)
+        scoped_key = (scope, key)
+        entry = self._in_flight.get(scoped_key) or self._completed.get(scoped_key)
         if entry is None:
-            return self._claim_new(place, request_id, fingerprint)
+            return self._claim_new(scoped_key, request_id, fingerprint)
         if entry.fingerprint != fingerprint:
             return ClaimResult(claim=Claim.MISMATCH, request_id=entry.request_id)
         if entry.completed_s is None:
@@ -147,7 +150,7 @@
         answer: Answer | None,
         answer_bytes: int = 0,
     ) -> None:
-        """Keep the answer; None when it is unknown or was not gathered."""
+        """Store the answer, or None if it is unknown or was not collected."""
         entry = self._in_flight.pop((scope, key), None)
         if entry is None:
             return
@@ -160,18 +163,20 @@
         self._drop_excess()
 
     def discard(self, *, scope: str, key: str) -> None:
-        """Drop a request that was proved not to have run: it may be sent again."""
+        """Drop a request that was proved not to have run and may be sent again."""
         self._in_flight.pop((scope, key), None)
 
     def _claim_new(
-        self, place: tuple[str, str], request_id: str, fingerprint: str
+        self, scoped_key: tuple[str, str], request_id: str, fingerprint: str
     ) -> ClaimResult[Answer]:
         if len(self._in_flight) >= self._max_in_flight:
             return ClaimResult(claim=Claim.FULL, request_id=request_id)
-        self._in_flight[place] = _Entry(request_id=request_id, fingerprint=fingerprint)
+        self._in_flight[scoped_key] = _Entry(
+            request_id=request_id, fingerprint=fingerprint
+        )
         return ClaimResult(claim=Claim.RUN, request_id=request_id)
 
-    def _drop_old(self, now_s: float) -> None:
+    def _drop_expired(self, now_s: float) -> None:
         while self._completed:
             oldest = next(iter(self._completed.values()))
             if (
--- a/src/gentianwharf/load/_refusals.py
+++ b/src/gentianwharf/load/_refusals.py
@@ -1,14 +1,15 @@
-"""Refusals: the final answer of a request that is not run.
+"""Refusals: the final answers to requests that are not run.
 
-Load pattern: three times more requests than slots, two thirds of which must be told
-so. Each gets its answer at once with a time to come back, and is counted by reason.
-Without a time from the real backlog all come back together and are the next overload.
+Load pattern: three times the load that the slots can serve, so that two thirds of the
+requests have to be refused. Each is refused at once with a time to retry, and counted
+by reason. If the times did not follow the actual backlog, all refused callers would
+retry together and cause the next overload.
 
 >>> refusals = Refusals(rng=Random(1))
 >>> look_up = Ticket(id="1", service="ledger", request_class="look-up",
 ...                  caller="round-rock", deadline_s=2.0)
->>> refused = refusals.refuse(look_up, RefuseReason.NO_SERVER, None, 0.0)
->>> 1.0 <= refused.retry_after_s <= 2.0, refusals.counts[RefuseReason.NO_SERVER]
+>>> refusal = refusals.refuse(look_up, RefuseReason.NO_SERVER, None, 0.0)
+>>> 1.0 <= refusal.retry_after_s <= 2.0, refusals.counts[RefuseReason.NO_SERVER]
 (True, 1)
 """
 
@@ -19,13 +20,13 @@
 from ._pool import Pool
 from ._requests import Refuse, RefuseReason, Ticket
 
-# Without a pool nothing is known of the backlog: a moment, spread over a second.
+# Used without a pool, whose backlog is unknown; up to a second of jitter is added.
 UNKNOWN_RETRY_AFTER_S = 1.0
 
 
 @final
 class Refusals:
-    """Makes refusals and counts them."""
+    """Creates refusals and counts them by reason."""
 
     def __init__(self, *, rng: Random) -> None:
         self._rng = rng
@@ -34,7 +35,7 @@
     def refuse(
         self, ticket: Ticket, reason: RefuseReason, pool: Pool | None, now_s: float
     ) -> Refuse:
-        """Return the refusal of a request; ``pool`` is where it would have gone."""
+        """Return a refusal; ``pool`` is the request's pool, None if it has none."""
         if pool is None:
             self.counts[reason] += 1
             retry_after_s = UNKNOWN_RETRY_AFTER_S + self._rng.random()
@@ -48,7 +49,7 @@
     def refuse_overload(
         self, ticket: Ticket, class_state: ClassState, rate_per_s: float, now_s: float
     ) -> Refuse:
-        """Return the refusal of a request that finds no place in its class's queue."""
+        """Return the refusal of a request whose class's queue is full."""
         return self._refuse(
             ticket, RefuseReason.OVERLOAD, class_state, rate_per_s, now_s
         )
--- a/src/gentianwharf/load/_registry.py
+++ b/src/gentianwharf/load/_registry.py
@@ -16,7 +16,7 @@
 
 @final
 class Registry:
-    """Rows are added and dropped here; the systems that run over them are elsewhere.
+    """Adds and drops the state of servers and pools; other modules operate on it.
 
     A pool's key is its service and, for requests bound to one server, that server.
     """
@@ -33,10 +33,12 @@
         self._domain = domain
         self._rng = rng
         self._daemons = max(1, daemons)
-        self._classes: dict[str, RequestClass] = {one.name: one for one in classes}
+        self._classes: dict[str, RequestClass] = {
+            request_class.name: request_class for request_class in classes
+        }
         self.servers: dict[str, ServerState] = {}
-        # Each change of the rules asks for every service's: looked up among all, the
-        # servers of 1,219 services held the loop for 0.4 s.
+        # Each change of the rules looks up the servers of every service. By a scan over
+        # all servers, that blocked the event loop for 0.4 s with 1,219 services.
         self._by_service: dict[str, dict[str, ServerState]] = {}
         self.pools: dict[PoolKey, Pool] = {}
         self.budgets: dict[str, RetryBudget] = {}
@@ -44,10 +46,10 @@
             self._add_service(service)
 
     def pool_of(self, ticket: Ticket) -> Pool:
-        """Return the pool of a request whose service or server is known."""
+        """Return the pool of a request; its service or server must be registered."""
         pool = self.pools.get((ticket.service, ticket.server))
         if pool is None:
-            assert ticket.server is not None, "a pool of a whole service always stands"
+            assert ticket.server is not None, "an unkeyed service always has a pool"
             states = [self.servers[ticket.server]]
             pool = self._make_pool(ticket.service, states, pinned=True)
             self.pools[ticket.service, ticket.server] = pool
@@ -56,16 +58,16 @@
     def set_servers(
         self, service: str, servers: Iterable[BackendServer], now_s: float
     ) -> Pool | None:
-        """Follow a service's servers; return the pool that they share, if any."""
-        wanted = {one.id: one for one in servers}
+        """Update a service's servers; return the pool that they share, if any."""
+        listed = {server.id: server for server in servers}
         for state in self._states_of(service):
-            state.set_listed(state.server.id in wanted, now_s)
-        for server in wanted.values():
-            known = self.servers.get(server.id)
-            if known is None:
+            state.set_listed(state.server.id in listed, now_s)
+        for server in listed.values():
+            existing = self.servers.get(server.id)
+            if existing is None:
                 self._add_server(server).ramp_started_s = now_s
-            elif known.server != server:
-                self._update_server(known, server, now_s)
+            elif existing.server != server:
+                self._update_server(existing, server, now_s)
         for state in self._states_of(service):
             self.drop_if_unlisted(state)
         pool = self.pools.get((service, None))
@@ -74,18 +76,18 @@
         return pool
 
     def add_classes(self, classes: Iterable[RequestClass]) -> None:
-        """Take classes that came later; one that is known is treated as before."""
-        for one in classes:
-            self._classes.setdefault(one.name, one)
+        """Add classes; those that exist already keep their parameters."""
+        for request_class in classes:
+            self._classes.setdefault(request_class.name, request_class)
 
     def add_services(self, services: Iterable[Service]) -> None:
-        """Take services that came later; their servers follow by ``set_servers``."""
-        for one in services:
-            if one.name not in self.budgets:
-                self._add_service(one)
+        """Add services; ``set_servers`` sets their servers."""
+        for service in services:
+            if service.name not in self.budgets:
+                self._add_service(service)
 
     def set_daemons(self, daemons: int) -> None:
-        """Follow the number of daemons that share the servers."""
+        """Set the number of daemons that share the servers."""
         self._daemons = max(1, daemons)
         for state in self.servers.values():
             state.max_connections = self._share_of_connections(state.server)
@@ -93,12 +95,12 @@
             pool.set_daemons(self._daemons)
 
     def _share_of_connections(self, server: BackendServer) -> int:
-        # All daemons together must stay within what the server accepts; each counts
-        # its own and asks nobody.
+        # All daemons together must not open more connections than the server accepts.
+        # Each stays within its own share without coordination.
         return max(1, server.connections // self._daemons)
 
     def drop_if_unlisted(self, state: ServerState) -> None:
-        """Drop the row of a server that has left, once nothing is in flight there."""
+        """Drop a server that is not listed and has no requests in flight."""
         if state.listed or state.flights or state.server.id not in self.servers:
             return
         service = state.server.service
@@ -106,10 +108,10 @@
         del self._by_service[service][state.server.id]
         pool = self.pools.get((service, None))
         if pool is not None:
-            pool.set_states([one for one in pool.states if one is not state])
+            pool.set_states([other for other in pool.states if other is not state])
 
     def drop_idle_pools(self) -> None:
-        """Drop pools of single servers that are gone, so that the table is bounded."""
+        """Drop pools of removed servers, so that the table is bounded."""
         idle = [
             key
             for key, pool in self.pools.items()
@@ -135,18 +137,18 @@
         return state
 
     def _index(self, state: ServerState) -> None:
-        """Put a row where its service and the server's own pool find it."""
+        """Add a server's state to the index by service and to the server's own pool."""
         server = state.server
         self._by_service.setdefault(server.service, {})[server.id] = state
         pool = self.pools.get((server.service, server.id))
         if pool is not None:
-            # It was here before, and requests may still wait for it.
+            # The server was listed before, and requests may still be queued for it.
             pool.set_states([state])
 
     def _update_server(
         self, state: ServerState, server: BackendServer, now_s: float
     ) -> None:
-        """Take what is now known of a server: it may have started again elsewhere."""
+        """Apply a server's new entry: it may have restarted at another address."""
         state.set_listed(True, now_s)
         del self._by_service[state.server.service][server.id]
         state.server = server
--- a/src/gentianwharf/load/_requests.py
+++ b/src/gentianwharf/load/_requests.py
@@ -1,25 +1,26 @@
-"""What the gate is asked and what it answers; plain frozen data.
+"""The gate's input and output types; immutable data.
 
-Times ending in ``_s`` are readings of the reactor's clock, in seconds, unless they
-are plainly lengths (``elapsed_s``, ``retry_after_s``).
+Names that end in ``_s`` are readings of the reactor's clock in seconds, except for
+durations such as ``elapsed_s`` and ``retry_after_s``.
 """
 
 from dataclasses import dataclass
 from enum import StrEnum
 from typing import Self, final
 
-# Classes with a deadline at least this long are transfers and leisure reads
-# (30 s and 60 s in both examples), the others are looked at by a waiting person.
+# Classes with a deadline at least this long are transfers and archive reads (30 s and
+# 60 s in both examples); for the other classes a person is waiting for the answer.
 LONG_DEADLINE_MS = 10_000
-# Share of the deadline that a request may spend waiting at the router: 100 ms of a
-# consultation's 2 s. Longer queues add delay and hardly an answer.
+# The share of the deadline that a request may spend waiting at the router: 100 ms for a
+# deadline of 2 s. Longer queues add delay and hardly any more answers.
 WAIT_SHARE = 0.05
-# Most slots of a service that long requests may hold, so that short ones find one.
+# The share of a service's slots that long requests may hold, so that slots are left for
+# short ones.
 LONG_SLOT_SHARE = 0.5
 
 
 class Discipline(StrEnum):
-    """Which of a class's waiting requests goes first, inside a fair round."""
+    """The order in which a class's waiting requests are served within a fair round."""
 
     OLDEST_FIRST = "oldest-first"
     NEWEST_FIRST = "newest-first"
@@ -29,12 +30,12 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestClass:
-    """How the requests of a class are treated.
+    """Scheduling parameters of a request class.
 
-    ``weight`` is the class's share of server time while others wait too,
-    ``max_wait_ms`` the longest expected wait that is still admitted, ``slot_share``
-    the most of a service's slots that the class may hold, ``hedged`` whether a late
-    repeatable request may be sent to a second server.
+    ``weight`` is the class's relative share of server time while other classes wait,
+    ``max_wait_ms`` the longest expected wait with which a request is queued,
+    ``slot_share`` the largest share of a service's slots that the class may hold, and
+    ``hedged`` whether a late repeatable request may be sent to a second server.
     """
 
     name: str
@@ -47,7 +48,7 @@
 
     @classmethod
     def from_deadline(cls, *, name: str, deadline_ms: int, weight: int) -> Self:
-        """Return the treatment that suits a class with this deadline.
+        """Return a class with parameters derived from its deadline.
 
         >>> RequestClass.from_deadline(name="upload", deadline_ms=30_000, weight=4)
         ... # doctest: +ELLIPSIS
@@ -68,17 +69,17 @@
 
     @property
     def long(self) -> bool:
-        """Whether the class is kept from holding all slots."""
+        """Whether the class may hold only a share of the slots."""
         return self.slot_share < 1.0
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ticket:
-    """A request that asks to be sent.
+    """A request to be admitted.
 
-    ``server`` is the owner's id for a keyed service, or the server that a repeated
-    ``Idempotency-Key`` must reach; None lets the gate choose.
+    ``server`` is the id of the owner for a keyed service, or of the server that a
+    repeated ``Idempotency-Key`` must be sent to; None lets the gate choose.
     """
 
     id: str
@@ -104,7 +105,8 @@
     CANCELLED = "cancelled"
 
 
-# The server itself, or the missing connection, proves that nothing was run.
+# For these, the server's answer or the failed connection proves that the request was
+# not run.
 PROVES_NOT_RUN = frozenset(
     {OutcomeKind.SHED, OutcomeKind.NOT_OWNER, OutcomeKind.CONNECT_FAILED}
 )
@@ -113,7 +115,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Outcome:
-    """What a sent request came to, and how long it took from ``Start``."""
+    """How a sent request ended, and how long it took since its ``Start``."""
 
     kind: OutcomeKind
     elapsed_s: float
@@ -121,7 +123,7 @@
 
 
 class RefuseReason(StrEnum):
-    """Why a request was refused; it was not run."""
+    """Why a request was refused without being run."""
 
     OVERLOAD = "overload"
     DEADLINE = "deadline"
@@ -143,7 +145,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Wait:
-    """The request waits; a later decision names it."""
+    """The request is queued; a later decision contains its ``ticket_id``."""
 
     ticket_id: str
 
@@ -151,7 +153,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refuse:
-    """Answer at once that the request was not run and when to come back."""
+    """Answer at once that the request was not run and when it may be retried."""
 
     ticket_id: str
     reason: RefuseReason
--- a/src/gentianwharf/load/_short_answers.py
+++ b/src/gentianwharf/load/_short_answers.py
@@ -1,30 +1,30 @@
-"""What the answers of short requests say of how busy a server is just now.
+"""An estimate of how busy a server is, from the answers to short requests.
 
-Load pattern: long jobs at the owner of a key, sent by twelve hosts that do not know of
-each other's. Nobody counts them all, but a slot that a long job took is missing for
-the short requests, and they show it: their answers become slow.
+Load pattern: twelve hosts send long jobs to the owner of a key, without information
+about each other's jobs. No host can count all of them, but a slot that runs a long job
+is not available to short requests, so the answers to those become slow.
 """
 
 from dataclasses import dataclass
 from typing import final
 
-# An answer of twice the median: two of three are quicker while nothing waits inside the
-# server, and hardly any once most slots are taken by long jobs.
+# In medians. Two of three answers are quicker while no request waits inside the server,
+# and hardly any once long jobs hold most slots.
 QUICK_RATIO = 2.0
-# One quick answer is luck in half of the cases; three in a row came too seldom, and
-# uploads waited half as long again.
+# A single quick answer is due to chance in half of the cases. Three consecutive ones
+# were too rare, and uploads waited 1.5 times as long.
 QUICK_ANSWERS = 2
-# As evidence a quick answer is old after some three service times: another host may
-# have sent a long job meanwhile.
+# A quick answer is evidence for about three service times; after that another host may
+# have sent a long job.
 MAX_EVIDENCE_AGE_S = 0.05
-# Without short requests for so long there is nobody whom a long job would keep waiting.
+# Without short answers for this long, no short request would be delayed by a long job.
 IDLE_S = 1.0
 
 
 @final
 @dataclass(kw_only=True, slots=True, eq=False)
 class ShortAnswers:
-    """The latest answers of short requests of one server.
+    """The latest answers of one server to short requests.
 
     ``last_sent_s`` is when the latest answered request was sent. A request that was
     sent before it and has no answer is being run; one sent after it may be waiting.
@@ -46,7 +46,7 @@
     consecutive_quick: int = 0
 
     def record(self, ratio: float, sent_s: float, now_s: float) -> None:
-        """Note an answer that took ``ratio`` times the median."""
+        """Record an answer that took ``ratio`` times the median."""
         self.last_answer_s = now_s
         self.last_sent_s = max(self.last_sent_s, sent_s)
         self.consecutive_quick = (
@@ -54,7 +54,7 @@
         )
 
     def allow_long_job(self, now_s: float) -> bool:
-        """Whether a long job may be added, as far as short requests can tell."""
+        """Whether the answers to short requests indicate a free slot for a long job."""
         age_s = now_s - self.last_answer_s
         if age_s > IDLE_S:
             return True
--- a/src/gentianwharf/load/_snapshot.py
+++ b/src/gentianwharf/load/_snapshot.py
@@ -1,4 +1,4 @@
-"""The gate's state as frozen data, for metrics and ``status``."""
+"""Immutable snapshots of the gate's state, for metrics and ``status``."""
 
 from dataclasses import dataclass
 from typing import final
@@ -12,7 +12,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClassSnapshot:
-    """A class within a pool; times in milliseconds."""
+    """A request class within a pool; times in milliseconds."""
 
     name: str
     waiting: int
@@ -24,7 +24,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PoolSnapshot:
-    """A service, or one server that requests are bound to."""
+    """The pool of a service, or of one server that requests are bound to."""
 
     service: str
     server: str | None
@@ -37,7 +37,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerSnapshot:
-    """A backend server as this daemon sees it."""
+    """A backend server's state at this daemon."""
 
     id: str
     service: str
@@ -50,7 +50,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GateSnapshot:
-    """Everything, at one moment."""
+    """The state of all pools and servers, and totals since the gate was created."""
 
     pools: tuple[PoolSnapshot, ...]
     servers: tuple[ServerSnapshot, ...]
@@ -62,7 +62,7 @@
 
 
 def pool_snapshot(key: tuple[str, str | None], pool: Pool) -> PoolSnapshot:
-    """Return a pool as seen from outside."""
+    """Return the snapshot of a pool."""
     return PoolSnapshot(
         service=key[0],
         server=key[1],
@@ -72,12 +72,12 @@
         classes=tuple(
             ClassSnapshot(
                 name=name,
-                waiting=len(one.queue),
-                in_flight=one.in_flight,
-                mean_ms=one.mean_s * 1000,
-                expected_wait_ms=_expected_wait_s(pool, one) * 1000,
+                waiting=len(state.queue),
+                in_flight=state.in_flight,
+                mean_ms=state.mean_s * 1000,
+                expected_wait_ms=_expected_wait_s(pool, state) * 1000,
             )
-            for name, one in pool.classes.items()
+            for name, state in pool.classes.items()
         ),
     )
 
@@ -87,7 +87,7 @@
 
 
 def server_snapshot(state: ServerState) -> ServerSnapshot:
-    """Return a server as seen from outside."""
+    """Return the snapshot of a server."""
     return ServerSnapshot(
         id=state.server.id,
         service=state.server.service,
