--- a/tests/test_load_gate.py
+++ b/tests/test_load_gate.py
@@ -1,4 +1,4 @@
-"""The gate: every request gets one final decision, at once where it is a refusal."""
+"""Tests of the gate: each request gets one final decision, and refusals at once."""
 
 import pytest
 
@@ -15,13 +15,13 @@
 from . import builders_load as build
 
 
-def test_request_starts_while_there_is_room_and_waits_after_that() -> None:
+def test_request_starts_while_there_is_capacity_and_waits_after_that() -> None:
     gate = build.gate(build.service(servers=1, slots=3))
     kinds = [type(gate.submit(build.ticket(str(n)), 0.0)) for n in range(5)]
     assert kinds == [Start, Start, Start, Wait, Wait]
 
 
-def test_full_queue_refuses_at_once_with_a_time_to_come_back() -> None:
+def test_full_queue_refuses_at_once_with_a_retry_time() -> None:
     gate = build.gate(build.service(servers=1, slots=3))
     last = [gate.submit(build.ticket(str(n)), 0.0) for n in range(500)][-1]
     assert isinstance(last, Refuse)
@@ -29,33 +29,34 @@
     assert last.retry_after_s >= 0.5
 
 
-def test_place_is_left_for_another_caller_than_the_hot_one() -> None:
-    """A faculty's script asks 500 times at once; a family's only request is refused.
+def test_hot_caller_leaves_queue_capacity_to_other_callers() -> None:
+    """Guards against a hot caller's requests filling the queue.
 
-    The queue was full of the script's requests, and whoever came later found no
-    place: first come, first served.
+    One caller sent 500 requests at once. With a FIFO queue these took all places, and
+    the single requests of later callers were refused.
     """
     gate = build.gate(build.service(servers=1, slots=3))
     for number in range(500):
         gate.submit(build.ticket(f"hot-{number}", caller="script"), 0.0)
     callers = [f"family-{number}" for number in range(5)]
-    decisions = [gate.submit(build.ticket(one, caller=one), 0.0) for one in callers]
-    assert [type(one) for one in decisions] == [Start, Start, Start, Wait, Wait]
-    ended = [gate.finished(one, build.ok(), 0.01) for one in callers[:3]]
-    served = {one.ticket_id for decisions in ended for one in decisions}
+    decisions = [gate.submit(build.ticket(name, caller=name), 0.0) for name in callers]
+    assert [type(item) for item in decisions] == [Start, Start, Start, Wait, Wait]
+    followed = [gate.finished(name, build.ok(), 0.01) for name in callers[:3]]
+    served = {decision.ticket_id for later in followed for decision in later}
     assert served == {"family-3", "family-4"}
 
 
-def test_held_back_hot_caller_is_still_the_busiest() -> None:
-    """Beside a script that asks without end, a family's second request waits 60 ms.
+def test_limited_hot_caller_is_still_the_busiest() -> None:
+    """Guards against a light caller's request waiting behind those of a hot caller.
 
-    Held back, the script had one request in flight and the rest waiting. By what was
-    in flight the family, with one, was as busy, and got in line behind it.
+    A limited hot caller had one request in flight and the rest waiting. When only
+    requests in flight were counted, another caller with one request seemed equally
+    busy, and its second request waited 60 ms.
     """
     gate = build.gate(build.service(servers=1, slots=2))
     callers = ["family", *["script"] * 4, "family"]
-    tickets = [build.ticket(str(n), caller=one) for n, one in enumerate(callers)]
-    kinds = [type(gate.submit(one, 0.0)) for one in tickets]
+    tickets = [build.ticket(str(n), caller=name) for n, name in enumerate(callers)]
+    kinds = [type(gate.submit(ticket, 0.0)) for ticket in tickets]
     assert kinds == [Start, Start, Start, Wait, Wait, Start]
 
 
@@ -63,10 +64,10 @@
     gate = build.gate(build.service(servers=1, slots=8))
     gate.submit(build.ticket("family", caller="family"), 0.0)
     hot = [gate.submit(build.ticket(str(n), caller="script"), 0.0) for n in range(8)]
-    assert sum(isinstance(one, Start) for one in hot) == 8 * 0.75 - 1
+    assert sum(isinstance(decision, Start) for decision in hot) == 8 * 0.75 - 1
 
 
-def test_waiter_that_cannot_meet_its_deadline_is_refused_and_never_started() -> None:
+def test_waiting_request_past_its_deadline_is_refused_and_never_started() -> None:
     gate = build.gate(build.service(servers=1, slots=1))
     gate.submit(build.ticket("running"), 0.0)
     gate.submit(build.ticket("late", deadline_s=0.5), 0.0)
@@ -76,7 +77,7 @@
     assert gate.finished("running", build.ok(), 0.7) == []
 
 
-def test_late_waiter_is_not_started_when_a_slot_becomes_free() -> None:
+def test_expired_waiting_request_is_not_started_when_a_slot_becomes_free() -> None:
     gate = build.gate(build.service(servers=1, slots=1))
     gate.submit(build.ticket("running"), 0.0)
     gate.submit(build.ticket("late", deadline_s=0.5), 0.0)
@@ -85,13 +86,13 @@
     assert refused.reason is RefuseReason.DEADLINE
 
 
-def test_cancelled_waiter_leaves_its_place() -> None:
+def test_cancelled_waiting_request_leaves_the_queue() -> None:
     gate = build.gate(build.service(servers=1, slots=1))
     for name in ("running", "gone", "next"):
         gate.submit(build.ticket(name), 0.0)
     assert gate.cancel("gone", 0.1) == []
     decisions = gate.finished("running", build.ok(), 0.2)
-    assert [one.ticket_id for one in decisions] == ["next"]
+    assert [decision.ticket_id for decision in decisions] == ["next"]
 
 
 def test_request_bound_to_an_owner_goes_only_there() -> None:
@@ -110,31 +111,32 @@
         pytest.param(OutcomeKind.TIMEOUT, False, Refuse, id="timeout-may-have-run"),
     ],
 )
-def test_retry_only_of_what_did_not_run_or_may_repeat(
+def test_only_requests_that_did_not_run_or_may_repeat_are_retried(
     kind: OutcomeKind, repeatable: bool, expected: type
 ) -> None:
     gate = build.gate()
-    asked = build.ticket("1", repeatable=repeatable)
-    started = gate.submit(asked, 0.0)
+    ticket = build.ticket("1", repeatable=repeatable)
+    started = gate.submit(ticket, 0.0)
     assert isinstance(started, Start)
     gate.finished("1", Outcome(kind=kind, elapsed_s=0.01), 0.01)
-    again = gate.retry(asked, kind, 0.01, avoid=started.server)
-    assert isinstance(again, expected)
-    assert not isinstance(again, Start) or again.server != started.server
+    retry = gate.retry(ticket, kind, 0.01, avoid=started.server)
+    assert isinstance(retry, expected)
+    assert not isinstance(retry, Start) or retry.server != started.server
 
 
-def test_what_an_owner_shed_is_refused_at_once() -> None:
-    """An owner full of long jobs sheds a look-up; its caller is told 700 ms later.
+def test_request_that_an_owner_shed_is_refused_at_once() -> None:
+    """Guards against refusals that come 700 ms late.
 
-    The look-up waited at the host, was sent again, was shed again, and was refused at
-    last for want of retry budget, though nobody but the owner could have run it.
+    An owner full of long jobs shed a look-up, which waited at the host, was sent and
+    shed again, and was refused only when the retry budget was used up, although no
+    other server could run it.
     """
     gate = build.gate(build.service(name="calendrier", keyed=True))
-    asked = build.owned("1")
-    assert isinstance(gate.submit(asked, 0.0), Start)
+    ticket = build.owned("1")
+    assert isinstance(gate.submit(ticket, 0.0), Start)
     shed = Outcome(kind=OutcomeKind.SHED, elapsed_s=0.002)
     gate.finished("1", shed, 0.002)
-    refused = gate.retry(asked, OutcomeKind.SHED, 0.002, avoid=build.OWNER)
+    refused = gate.retry(ticket, OutcomeKind.SHED, 0.002, avoid=build.OWNER)
     assert isinstance(refused, Refuse)
     assert refused.reason is RefuseReason.OVERLOAD
 
@@ -143,19 +145,19 @@
     ("since_s", "expected"),
     [pytest.param(0.05, Wait, id="busy"), pytest.param(0.2, Refuse, id="stuck")],
 )
-def test_nobody_begins_to_wait_for_an_owner_that_is_stuck(
-    since_s: float, expected: type
-) -> None:
-    """Long jobs hold all slots of an owner; whoever waits for it is refused late.
+def test_no_request_is_queued_for_a_stuck_owner(since_s: float, expected: type) -> None:
+    """Guards against late refusals while long jobs hold all slots of an owner.
 
-    Requests queued behind look-ups that the owner had owed for 200 ms. How long those
-    take nobody knows, so their callers are told at once.
+    Requests were queued behind look-ups that the owner had not answered for 200 ms.
+    Since the time to wait is unknown, they have to be refused at once.
     """
     gate = build.gate(build.service(name="calendrier", keyed=True), daemons=12)
-    owed = [gate.submit(build.owned(f"owed-{n}", caller="a"), 0.0) for n in range(3)]
-    assert {type(one) for one in owed} == {Start}
-    asked = build.owned("late", caller="a")
-    assert type(gate.submit(asked, since_s)) is expected
+    pending = [
+        gate.submit(build.owned(f"pending-{n}", caller="a"), 0.0) for n in range(3)
+    ]
+    assert {type(decision) for decision in pending} == {Start}
+    ticket = build.owned("late", caller="a")
+    assert type(gate.submit(ticket, since_s)) is expected
 
 
 @pytest.mark.parametrize(
@@ -165,10 +167,11 @@
 def test_long_job_starts_at_an_owner_after_quick_answers_only(
     took_s: float, started: bool
 ) -> None:
-    """Twelve hosts send one upload each to an owner of six slots.
+    """Guards against look-ups waiting behind uploads of several hosts.
 
-    No host sees the others' uploads; the look-ups' p99 was 714 ms. Their answers show
-    it: while they are slow, an upload waits.
+    Twelve hosts sent one upload each to an owner with six slots, and the look-ups' p99
+    was 714 ms. A host cannot see the uploads of others, but look-ups are answered
+    slowly meanwhile; an upload has to wait until they are quick.
     """
     gate = build.gate(build.service(name="calendrier", keyed=True))
     now_s = 0.0
@@ -178,27 +181,29 @@
         gate.finished(f"look-up-{number}", build.ok(elapsed_s), now_s)
     upload = build.owned("upload", request_class="upload")
     assert isinstance(gate.submit(upload, now_s), Start) is started
-    quiet = gate.tick(now_s + 2.0)
-    assert [one.ticket_id for one in quiet] == ([] if started else ["upload"])
+    decisions = gate.tick(now_s + 2.0)
+    assert [item.ticket_id for item in decisions] == ([] if started else ["upload"])
 
 
 def test_retry_budget_bounds_the_load_that_failures_add() -> None:
     gate = build.gate(build.service(servers=1, slots=3))
-    asked = build.ticket("1")
+    ticket = build.ticket("1")
     kinds = []
     for number in range(20):
-        decision = gate.retry(asked, OutcomeKind.SHED, float(number))
+        decision = gate.retry(ticket, OutcomeKind.SHED, float(number))
         gate.finished("1", build.ok(), float(number))
         kinds.append(type(decision))
     assert kinds == [Start] * 10 + [Refuse] * 10
 
 
-def test_server_that_left_gets_no_new_work() -> None:
+def test_unlisted_server_gets_no_new_requests() -> None:
     gate = build.gate()
-    left = build.server(0)
+    removed = build.server(0)
     gate.set_servers("inscription", [build.server(1), build.server(2)], 0.0)
     started = [gate.submit(build.ticket(str(n)), 1.0) for n in range(6)]
-    assert left.id not in {one.server for one in started if isinstance(one, Start)}
+    assert removed.id not in {
+        decision.server for decision in started if isinstance(decision, Start)
+    }
     assert len(gate.snapshot().servers) == 2
 
 
@@ -209,27 +214,29 @@
 def test_daemons_together_stay_within_a_server_s_connections(
     daemons: int, started: int
 ) -> None:
-    """A server refuses everybody once it is out of connections.
+    """Guards against using up a server's connections, after which it refuses all.
 
-    Thirteen daemons each opened as many as the server accepts from all of them,
-    since the number of daemons was taken from the start and not from the host list.
+    Thirteen daemons each opened as many connections as the server accepts in total,
+    since the number of daemons was taken from the time of the start and not from the
+    host list.
     """
     gate = build.gate(build.service(servers=1, slots=1_000))
     gate.set_daemons(daemons)
     assert count_started(gate) == started
 
 
-def test_hosts_of_the_list_share_a_server_also_unheard_and_leaving() -> None:
-    """A server refuses everybody once it is out of connections.
+def test_unreachable_and_leaving_hosts_keep_their_share_of_connections() -> None:
+    """Guards against using up a server's connections, after which it refuses all.
 
-    A host cut off from its peers hears none of them, and one that leaves still has
-    requests in flight: counted as gone, their shares are taken while they use them.
+    A host that is cut off from its peers receives nothing from them, and a leaving host
+    still has requests in flight. If such hosts were not counted, others would use their
+    shares of the connections as well.
     """
     names = ("lac-1", "lac-2", "charguia-1", "charguia-2")
     hosts, gate = build.host_table(), build.gate(build.service(servers=1, slots=1_000))
     shares = []
-    for leaving, gone in [((), 0), (names[3:], 0), (names[3:], 1)]:
-        listed = build.listed_hosts(names[: len(names) - gone], leaving=leaving)
+    for leaving, removed in [((), 0), (names[3:], 0), (names[3:], 1)]:
+        listed = build.listed_hosts(names[: len(names) - removed], leaving=leaving)
         assert hosts.take(listed)
         assert not hosts.is_live(names[1])
         gate.set_daemons(hosts.daemons)
@@ -240,9 +247,9 @@
 def count_started(gate: Gate) -> int:
     names = [str(number) for number in range(100)]
     started = [
-        one.ticket_id
-        for one in (gate.submit(build.ticket(name), 0.0) for name in names)
-        if isinstance(one, Start)
+        decision.ticket_id
+        for decision in (gate.submit(build.ticket(name), 0.0) for name in names)
+        if isinstance(decision, Start)
     ]
     for name in names:
         gate.cancel(name, 0.0)
--- a/tests/test_load_idempotency.py
+++ b/tests/test_load_idempotency.py
@@ -1,4 +1,4 @@
-"""One Idempotency-Key runs at most once on a daemon; the cache is bounded."""
+"""Tests of IdempotencyCache: one run per key on a daemon, and bounded size."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     ).claim
 
 
-def settle(
+def complete(
     cache: IdempotencyCache[str],
     key: str,
     *,
@@ -29,14 +29,14 @@
 
 
 def test_repeated_request_joins_the_one_in_flight_then_gets_its_answer() -> None:
-    """A treasurer's client posts the same dues again before the answer is there.
+    """Guards against running a request twice that is repeated before its answer.
 
-    Without the cache both were sent on, and a server that remembers no keys
-    charged twice.
+    Without the cache both requests were sent on, and a server that does not store
+    idempotency keys charged twice.
     """
     cache = IdempotencyCache[str]()
     assert [claim(cache, "a"), claim(cache, "a")] == [Claim.RUN, Claim.JOIN]
-    settle(cache, "a")
+    complete(cache, "a")
     assert claim(cache, "a") is Claim.REPLAY
 
 
@@ -47,12 +47,12 @@
         pytest.param("large", 65 * 1024, id="answer-too-large-to-keep"),
     ],
 )
-def test_request_without_kept_answer_is_not_sent_again(
+def test_request_without_stored_answer_is_not_sent_again(
     answer: str | None, answer_bytes: int
 ) -> None:
     cache = IdempotencyCache[str]()
     claim(cache, "a")
-    settle(cache, "a", answer=answer, answer_bytes=answer_bytes)
+    complete(cache, "a", answer=answer, answer_bytes=answer_bytes)
     assert claim(cache, "a") is Claim.UNKNOWN
     assert cache.answer_bytes_total == 0
 
@@ -64,10 +64,10 @@
     assert claim(cache, "a") is Claim.RUN
 
 
-def test_key_of_another_request_or_caller_gives_no_answer_away() -> None:
+def test_key_of_another_request_or_caller_does_not_replay_the_answer() -> None:
     cache = IdempotencyCache[str]()
     claim(cache, "a")
-    settle(cache, "a")
+    complete(cache, "a")
     assert claim(cache, "a", body="POST /other") is Claim.MISMATCH
     other = cache.claim(
         scope="ledger/austin", key="a", request_id="x", fingerprint="POST /", now_s=0.0
@@ -76,25 +76,25 @@
 
 
 @pytest.mark.parametrize(
-    ("cache", "kept"),
+    ("cache", "expected"),
     [
         pytest.param(IdempotencyCache[str](max_entries=3), 3, id="count"),
         pytest.param(IdempotencyCache[str](max_bytes=8), 2, id="bytes"),
         pytest.param(IdempotencyCache[str](retention_s=2.5), 3, id="time"),
     ],
 )
-def test_memory_is_bounded_and_drops_the_oldest(
-    cache: IdempotencyCache[str], kept: int
+def test_cache_is_bounded_and_drops_the_oldest(
+    cache: IdempotencyCache[str], expected: int
 ) -> None:
     for number in range(6):
         claim(cache, str(number), now_s=float(number))
-        settle(cache, str(number), now_s=float(number))
+        complete(cache, str(number), now_s=float(number))
     claims = [claim(cache, str(number), now_s=5.0) for number in range(6)]
-    assert claims.count(Claim.REPLAY) == kept
-    assert claims[-kept:] == [Claim.REPLAY] * kept
+    assert claims.count(Claim.REPLAY) == expected
+    assert claims[-expected:] == [Claim.REPLAY] * expected
 
 
-def test_full_memory_refuses_instead_of_dropping_what_is_in_flight() -> None:
+def test_full_cache_refuses_instead_of_dropping_requests_in_flight() -> None:
     cache = IdempotencyCache[str](max_in_flight=2)
     claims = [claim(cache, key) for key in "abca"]
     assert claims == [Claim.RUN, Claim.RUN, Claim.FULL, Claim.JOIN]
