--- a/tests/builders_load_owner.py
+++ b/tests/builders_load_owner.py
@@ -1,4 +1,4 @@
-"""Many hosts that share the one server of some keys, on a virtual clock."""
+"""A simulation of hosts that share the only server of some keys, in virtual time."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -21,23 +21,23 @@
 
 
 @dataclass
-class Asked:
-    """One request, from its host to its end."""
+class SimulatedRequest:
+    """A request and its state; times in seconds."""
 
     id: str
     host: int
-    asked_s: float
-    state: str = "asked"
+    submitted_s: float
+    state: str = "submitted"
     sent_s: float = 0.0
     took_s: float = 0.0
 
 
 @dataclass
 class SharedOwner:
-    """Hosts with a gate each, and one server with slots and a queue, first come first.
+    """Hosts with a gate each, and one server with slots and a FIFO queue.
 
-    A host gives up an answer after ``timeout_s``; the server runs what it was sent all
-    the same. With each answer it says how many requests run and wait there.
+    A host stops waiting for an answer after ``timeout_s``; the server runs the request
+    all the same. With each answer it reports how many requests are waiting.
     """
 
     hosts: int
@@ -48,15 +48,15 @@
     work_s: float
     seed: int = 1
     now_s: float = 0.0
-    asked: list[Asked] = field(default_factory=list)
+    requests: list[SimulatedRequest] = field(default_factory=list)
     running: int = 0
-    waiting: deque[Asked] = field(default_factory=deque)
+    waiting: deque[SimulatedRequest] = field(default_factory=deque)
     _events: list[tuple[float, int, Any, tuple[Any, ...]]] = field(default_factory=list)
     _numbers: Any = field(default_factory=count)
 
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
-        self.by_id: dict[str, Asked] = {}
+        self.by_id: dict[str, SimulatedRequest] = {}
         self.server = BackendServer(
             id="owner",
             service="roster",
@@ -80,34 +80,35 @@
         return gate
 
     def after(self, delay_s: float, call: Any, *args: Any) -> None:
-        """Call something later."""
+        """Schedule a call."""
         heappush(self._events, (self.now_s + delay_s, next(self._numbers), call, args))
 
     def run(self, until_s: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the calls that are due."""
         while self._events and self._events[0][0] <= until_s:
             self.now_s, _, call, args = heappop(self._events)
             call(*args)
         self.now_s = until_s
 
-    def ask_for(self, duration_s: float, per_s: float) -> None:
-        """Let callers ask at random times from now on."""
+    def submit_for(self, duration_s: float, per_s: float) -> None:
+        """Schedule requests at random times from now on, ``per_s`` on average."""
         at_s = self.rng.expovariate(per_s)
         while at_s < duration_s:
-            self.after(at_s, self._ask)
+            self.after(at_s, self._submit)
             at_s += self.rng.expovariate(per_s)
 
-    def good(self, from_s: float, to_s: float) -> int:
-        """Return how many of those asked meanwhile were answered."""
+    def count_answered(self, from_s: float, to_s: float) -> int:
+        """Return how many requests submitted in this interval were answered."""
         return sum(
-            one.state == "answered" and from_s <= one.asked_s < to_s
-            for one in self.asked
+            request.state == "answered" and from_s <= request.submitted_s < to_s
+            for request in self.requests
         )
 
     def count(self, state: str, from_s: float, to_s: float) -> int:
-        """Return how many of those asked meanwhile ended so."""
+        """Return how many requests submitted in this interval are in ``state``."""
         return sum(
-            one.state == state and from_s <= one.asked_s < to_s for one in self.asked
+            request.state == state and from_s <= request.submitted_s < to_s
+            for request in self.requests
         )
 
     def _tick(self) -> None:
@@ -115,12 +116,12 @@
             self._apply(host, gate.tick(self.now_s))
         self.after(TICK_S, self._tick)
 
-    def _ask(self) -> None:
+    def _submit(self) -> None:
         host = self.rng.randrange(self.hosts)
-        number = str(len(self.asked))
-        asked = Asked(id=number, host=host, asked_s=self.now_s)
-        self.asked.append(asked)
-        self.by_id[number] = asked
+        number = str(len(self.requests))
+        request = SimulatedRequest(id=number, host=host, submitted_s=self.now_s)
+        self.requests.append(request)
+        self.by_id[number] = request
         ticket = Ticket(
             id=number,
             service="roster",
@@ -135,49 +136,51 @@
         self._apply(host, [self.gates[host].submit(ticket, self.now_s)])
 
     def _apply(self, host: int, decisions: list[Any]) -> None:
-        for one in decisions:
-            asked = self.by_id[one.ticket_id]
-            if isinstance(one, Start):
-                self._send(asked)
-            elif type(one).__name__ == "Refuse":
-                asked.state = "refused"
-                asked.took_s = self.now_s - asked.asked_s
-
-    def _send(self, asked: Asked) -> None:
-        asked.state, asked.sent_s = "sent", self.now_s
+        for decision in decisions:
+            request = self.by_id[decision.ticket_id]
+            if isinstance(decision, Start):
+                self._send(request)
+            elif type(decision).__name__ == "Refuse":
+                request.state = "refused"
+                request.took_s = self.now_s - request.submitted_s
+
+    def _send(self, request: SimulatedRequest) -> None:
+        request.state, request.sent_s = "sent", self.now_s
         if self.running < self.slots:
-            self._run(asked)
+            self._run(request)
         elif len(self.waiting) < self.queue:
-            self.waiting.append(asked)
+            self.waiting.append(request)
         else:
-            self._end(asked, "shed", OutcomeKind.SHED)
+            self._end(request, "shed", OutcomeKind.SHED)
             return
-        left_s = asked.asked_s + self.timeout_s - self.now_s
-        self.after(left_s, self._give_up, asked)
+        remaining_s = request.submitted_s + self.timeout_s - self.now_s
+        self.after(remaining_s, self._time_out, request)
 
-    def _run(self, asked: Asked) -> None:
+    def _run(self, request: SimulatedRequest) -> None:
         self.running += 1
-        self.after(self.work_s * self.rng.uniform(0.5, 1.5), self._done, asked)
+        self.after(self.work_s * self.rng.uniform(0.5, 1.5), self._done, request)
 
-    def _done(self, asked: Asked) -> None:
+    def _done(self, request: SimulatedRequest) -> None:
         self.running -= 1
         if self.waiting:
             self._run(self.waiting.popleft())
-        if asked.state != "sent":
+        if request.state != "sent":
             return
-        gate = self.gates[asked.host]
+        gate = self.gates[request.host]
         gate.note_load(
             "owner", waiting=len(self.waiting), slots=self.slots, now_s=self.now_s
         )
-        self._end(asked, "answered", OutcomeKind.OK)
-
-    def _give_up(self, asked: Asked) -> None:
-        if asked.state == "sent":
-            self._end(asked, "timed out", OutcomeKind.TIMEOUT)
-
-    def _end(self, asked: Asked, state: str, kind: OutcomeKind) -> None:
-        asked.state = state
-        asked.took_s = self.now_s - asked.asked_s
-        outcome = Outcome(kind=kind, elapsed_s=self.now_s - asked.sent_s)
-        gate = self.gates[asked.host]
-        self._apply(asked.host, gate.finished(asked.id, outcome, self.now_s, "owner"))
+        self._end(request, "answered", OutcomeKind.OK)
+
+    def _time_out(self, request: SimulatedRequest) -> None:
+        if request.state == "sent":
+            self._end(request, "timed out", OutcomeKind.TIMEOUT)
+
+    def _end(self, request: SimulatedRequest, state: str, kind: OutcomeKind) -> None:
+        request.state = state
+        request.took_s = self.now_s - request.submitted_s
+        outcome = Outcome(kind=kind, elapsed_s=self.now_s - request.sent_s)
+        gate = self.gates[request.host]
+        self._apply(
+            request.host, gate.finished(request.id, outcome, self.now_s, "owner")
+        )
--- a/tests/test_admission_tickets.py
+++ b/tests/test_admission_tickets.py
@@ -1,4 +1,4 @@
-"""Two requests under one name are two requests."""
+"""Tests that requests with the same id are kept apart by the admission adapter."""
 
 from random import Random
 from typing import Any
@@ -38,12 +38,12 @@
     )
 
 
-def test_request_that_is_sent_again_under_its_name_ends_apart_from_the_first() -> None:
-    """A family's page shows a fault of the router, twice.
+def test_request_that_is_resent_with_its_id_ends_independently_of_the_first() -> None:
+    """Guards against internal errors when a client resends a request with the same id.
 
-    Their connection closed behind an answer, and what they had sent after it was sent
-    again, under the same name, while the host still served the first. The end of one
-    was taken for the other's.
+    The connection was closed after an answer, and the client resent the requests that
+    followed it with the same ids, while the host was still serving the first ones. The
+    end of one request was taken for that of the other.
     """
     gate = Gate(
         services=[
@@ -70,4 +70,4 @@
     for serial, server in enumerate(sent, start=1):
         admission.finished(ticket(serial), server, Outcome.ANSWERED, 0.1)
         admission.forget(ticket(serial))
-    assert all(not one.in_flight for one in gate.snapshot().servers)
+    assert all(not row.in_flight for row in gate.snapshot().servers)
--- a/tests/test_load_many_services.py
+++ b/tests/test_load_many_services.py
@@ -1,4 +1,4 @@
-"""What many services and classes cost a host when new rules bring them."""
+"""Tests of the cost of rules with many services and classes."""
 
 from random import Random
 
@@ -16,7 +16,7 @@
 
 
 def comparisons(count: int) -> int:
-    """Return the comparisons of services while each of ``count`` gets its server."""
+    """Return the comparisons of names while ``count`` services get their servers."""
     gate = empty_gate()
     names = [CountedText(f"s{number}") for number in range(count)]
     gate.add(
@@ -38,31 +38,31 @@
 
 
 def test_twice_as_many_services_cost_twice_as_much() -> None:
-    """A host stands still while it takes rules for many services, and callers wait.
+    """Guards against a blocked event loop when rules with many services are applied.
 
-    After each change of the rules each service's servers are followed, and each time
-    all servers of all services were looked through: 1,219 services took 0.4 s.
+    Each change of the rules updates the servers of every service. Each update scanned
+    the servers of all services, which took 0.4 s with 1,219 services.
     """
     few, many = comparisons(200), comparisons(400)
     assert many <= max(few, 200) * MOST_GROWTH
 
 
-def test_classes_that_no_request_has_cost_nothing(
+def test_classes_without_requests_create_no_state(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A host stands still for seconds, then outgrows its memory and is ended.
+    """Guards against a blocked event loop and a host that runs out of memory.
 
-    Each pool got queue, counts and timings for each class of all rules, though its
-    service's requests have few of them: 300 classes and 1,219 services took 5.4 s and
-    331 MB, and classes that changed with each version of the rules were added up.
+    Each pool had a queue, counts and timings for each class of all rules, although a
+    service gets requests of few classes: 300 classes and 1,219 services took 5.4 s and
+    331 MB, and classes that changed with each version of the rules accumulated.
     """
-    made: list[RetrySchedule] = []
+    created: list[RetrySchedule] = []
 
-    def counted(*, rng: Random) -> RetrySchedule:
-        made.append(RetrySchedule(rng=rng))
-        return made[-1]
+    def create(*, rng: Random) -> RetrySchedule:
+        created.append(RetrySchedule(rng=rng))
+        return created[-1]
 
-    monkeypatch.setattr("gentianwharf.load._class_state.RetrySchedule", counted)
+    monkeypatch.setattr("gentianwharf.load._class_state.RetrySchedule", create)
     gate = empty_gate()
     gate.add(
         services=[Service(name=f"s{n}", keyed=False, shards=0) for n in range(20)],
@@ -71,11 +71,11 @@
             for n in range(30)
         ],
     )
-    assert len(made) == 0
+    assert len(created) == 0
 
 
-def test_rows_stand_in_the_order_of_the_configuration() -> None:
-    """Two classes whose turn it is equally: which one goes must not be by chance."""
+def test_class_table_keeps_the_order_of_the_configuration() -> None:
+    """Guards against a choice by chance between classes of equal virtual time."""
     classes = {
         name: RequestClass.from_deadline(name=name, deadline_ms=1000, weight=1)
         for name in ("first", "second", "third")
--- a/tests/test_load_patterns.py
+++ b/tests/test_load_patterns.py
@@ -1,8 +1,8 @@
-"""Load patterns, judged by what callers receive: twelve gates over shared servers.
+"""Tests of load patterns by what callers receive: twelve gates with shared servers.
 
-The same trials as ``python -m bench.load``, shorter; virtual clock, fixed seed, so a
-figure is the same on every machine. The bounds are the goals where they are met, and
-what was reached where not (docs/LOAD.md says which).
+These are the trials of ``python -m bench.load``, shortened, on a virtual clock and with
+a fixed seed, so that figures are the same on every machine. Bounds are the goals where
+these are met, and otherwise what was reached (docs/LOAD.md states which).
 """
 
 import json
@@ -18,22 +18,22 @@
 from bench.load_trial import ROUTERS, Trial
 
 SHORT_END_S = TO_S + 6.0
-# Callers who are all told to return within half a minute are on their way by then.
+# By then callers that are all told to retry within half a minute have done so.
 COMEBACK_END_S = TO_S + 20.0
-# The largest loads run on half of the servers with half of the callers, and have half
-# of the answers.
+# These largest loads run with half of the servers and callers, and get half of the
+# answers.
 HALVED = {"overload-10x", "burst-5x"}
 
 
 @cache
 def run_trial(name: str, router: str) -> Trial:
     end_s = COMEBACK_END_S if name == "callers-come-back" else SHORT_END_S
-    chosen = scenario(name)
-    chosen = replace(chosen, end_s=min(chosen.end_s, end_s))
+    shortened = scenario(name)
+    shortened = replace(shortened, end_s=min(shortened.end_s, end_s))
     if name in HALVED:
-        streams = tuple(replace(one, callers=100) for one in chosen.streams)
-        chosen = replace(chosen, servers=chosen.servers // 2, streams=streams)
-    trial = Trial(scenario=chosen, make_router=ROUTERS[router], seed=SEED)
+        streams = tuple(replace(stream, callers=100) for stream in shortened.streams)
+        shortened = replace(shortened, servers=shortened.servers // 2, streams=streams)
+    trial = Trial(scenario=shortened, make_router=ROUTERS[router], seed=SEED)
     trial.run()
     return trial
 
@@ -46,7 +46,7 @@
 
 @cache
 def recorded(name: str, router: str) -> dict[str, Any]:
-    """Return a row of the page: what needs no second run here."""
+    """Return a recorded row of the page, which saves a run here."""
     rows: list[dict[str, Any]] = json.loads(RESULTS.read_text())
     return next(
         row for row in rows if (row["scenario"], row["router"]) == (name, router)
@@ -54,12 +54,12 @@
 
 
 def growth(figures: Figures) -> float:
-    """Return how much the look-ups' p99 grew over the time before."""
+    """Return the ratio of the look-ups' p99 to that before the disturbance."""
     look_ups = figures.classes["consultation"]
     return figures.others_p99_ms / look_ups.before_p99_ms
 
 
-def test_burst_is_answered_with_quick_refusals_and_over_at_once() -> None:
+def test_burst_is_refused_quickly_and_service_recovers_at_once() -> None:
     figures = run("burst-5x")
     usual = recorded("overload-1x", "gentianwharf")["goodput_per_s"]
     assert figures.goodput_per_s > 0.95 * usual / 2
@@ -68,7 +68,7 @@
     assert figures.normal_after_s <= 5.0
 
 
-def test_ten_times_the_load_keeps_the_answers_of_one_time() -> None:
+def test_goodput_at_ten_times_the_load_is_that_of_normal_load() -> None:
     figures = run("overload-10x")
     usual = recorded("overload-1x", "gentianwharf")["goodput_per_s"]
     assert figures.goodput_per_s > 0.95 * usual / 2
@@ -76,18 +76,19 @@
     assert figures.unserved_caller_s < 2.0
 
 
-def test_callers_that_come_back_do_not_keep_the_overload_up() -> None:
-    """Five times the load for ten seconds; whoever is refused asks again.
+def test_retries_of_refused_callers_do_not_prolong_the_overload() -> None:
+    """Guards against a second overload by callers that were refused in a burst.
 
-    Told to return within 30 s, they all did between 30 and 48 s after the burst's
-    beginning, and 40 % of the new callers were refused then.
+    The load is five times as high for ten seconds, and all refused callers retry. When
+    they were told to retry within 30 s, all did so between 30 and 48 s after the start
+    of the burst, and 40 % of the new callers were refused then.
     """
     trial = run_trial("callers-come-back", "gentianwharf")
     figures = run("callers-come-back")
     assert figures.normal_after_s is not None
     assert figures.normal_after_s <= 5.0
-    later = [one for one in trial.requests if one.submitted_s > TO_S + 5.0]
-    refused = sum(one.result == "refused" for one in later)
+    later = [item for item in trial.requests if item.submitted_s > TO_S + 5.0]
+    refused = sum(item.result == "refused" for item in later)
     assert refused < 0.01 * len(later)
 
 
@@ -98,11 +99,12 @@
         pytest.param("hot-caller-returns", 1.3, id="that-returns-at-once"),
     ],
 )
-def test_hot_caller_takes_little_from_the_others(name: str, most_growth: float) -> None:
-    """A script asks twenty times as much as each family; families are refused.
+def test_hot_caller_hardly_affects_the_others(name: str, most_growth: float) -> None:
+    """Guards against refusals of other callers beside a hot one.
 
-    The more of the script's requests were refused, the fewer could wait, the
-    families' as well: 7 % of theirs were refused when it asked again at once.
+    A caller sends twenty times as many requests as each other one. The more of its
+    requests were refused, the shorter the queue became for all callers: 7 % of the
+    others' requests were refused when the hot caller retried at once.
     """
     figures = run(name)
     assert growth(figures) < most_growth
@@ -111,17 +113,18 @@
     assert baseline["others_refused_share"] > 0.2
 
 
-def test_hot_key_takes_little_from_the_others() -> None:
+def test_hot_key_hardly_affects_the_others() -> None:
     figures = run("hot-key")
     assert growth(figures) < 1.1
     assert figures.others_refused_share < 0.005
 
 
 def test_unused_share_is_lent_to_the_hosts_that_are_busy() -> None:
-    """The balancer sends everything to two hosts of twelve; servers are 70 % busy.
+    """Guards against refusals while slots are free.
 
-    Each host stayed at its fair share, a twelfth, and 30 % was refused beside free
-    slots: by chance a window of few answers always seemed slower than the best one.
+    The load balancer sends everything to two of twelve hosts, and the servers are 70 %
+    busy. Each host stayed at its fair share, a twelfth, and 30 % was refused: with few
+    answers in a window, it always seemed slower by chance than the best window.
     """
     figures = run("two-busy-hosts")
     assert figures.others_refused_share < 0.005
@@ -129,32 +132,35 @@
     assert growth(figures) < 1.1
 
 
-def test_long_jobs_at_owners_of_keys_are_no_worse_than_beside_a_baseline() -> None:
-    """Uploads and archive reads at the owners that answer look-ups too.
+def test_long_jobs_at_owners_of_keys_are_no_worse_than_with_a_baseline() -> None:
+    """Guards against long jobs that fill the owners that answer look-ups too.
 
-    Twelve hosts sent a long job each, six of them filled an owner, and the gate did
-    worse than no limits at all: p99 714 ms, refusals after 691 ms.
+    Twelve hosts sent a long job each, and six of those filled an owner. The gate was
+    then worse than no limits at all: p99 714 ms, refusals after 691 ms.
     """
     trial = run_trial("keyed-and-long", "gentianwharf")
     figures = run("keyed-and-long")
     baselines = [
-        recorded("keyed-and-long", one) for one in ("round-robin", "least-outstanding")
+        recorded("keyed-and-long", router)
+        for router in ("round-robin", "least-outstanding")
     ]
-    assert figures.others_p99_ms < min(one["others_p99_ms"] for one in baselines)
-    assert figures.goodput_per_s > max(one["goodput_per_s"] for one in baselines)
+    assert figures.others_p99_ms < min(row["others_p99_ms"] for row in baselines)
+    assert figures.goodput_per_s > max(row["goodput_per_s"] for row in baselines)
     assert figures.wrong_runs == 0
-    refused = [one for one in trial.requests if one.result == "refused"]
-    late = [one for one in refused if one.ended_s - one.submitted_s > 0.005]
+    refused = [item for item in trial.requests if item.result == "refused"]
+    late = [item for item in refused if item.ended_s - item.submitted_s > 0.005]
     assert len(late) < 0.02 * len(refused)
-    # Long jobs may wait for a while, for a small part of the time that they have.
-    assert {one.ticket.request_class for one in late} <= {"upload", "archive"}
-    for one in late:
-        waited_s = one.ended_s - one.submitted_s
-        assert waited_s < 0.1 * (one.ticket.deadline_s - one.submitted_s)
+    # Long jobs may wait before they are refused, for a small part of their deadline.
+    assert {item.ticket.request_class for item in late} <= {"upload", "archive"}
+    for item in late:
+        waited_s = item.ended_s - item.submitted_s
+        assert waited_s < 0.1 * (item.ticket.deadline_s - item.submitted_s)
 
 
 @pytest.mark.parametrize("fault", ["server-10x-slow", "server-frozen"])
-def test_bad_server_is_hardly_noticed_from_the_second_second_on(fault: str) -> None:
+def test_faulty_server_hardly_affects_answers_after_the_first_second(
+    fault: str,
+) -> None:
     figures = run(fault)
     assert growth(figures) < 1.5
     assert figures.wrong_runs == 0
@@ -164,12 +170,12 @@
 def test_long_jobs_do_not_block_short_ones() -> None:
     assert run("long-1-in-100").others_p99_ms < 80.0
     alone, mixed = run("lookups-alone"), run("lookups-and-long")
-    ours = mixed.classes["consultation"].p99_ms
-    assert ours < 1.1 * alone.classes["consultation"].p99_ms
+    p99_ms = mixed.classes["consultation"].p99_ms
+    assert p99_ms < 1.1 * alone.classes["consultation"].p99_ms
     assert mixed.classes["upload"].refused_share == 0.0
 
 
-def test_domain_and_cold_servers_cost_no_collapse() -> None:
+def test_lost_domain_and_cold_servers_cause_no_collapse() -> None:
     assert run("domain-lost").goodput_per_s > 1400
     assert run("cold-start").others_refused_share < 0.01
 
--- a/tests/test_load_queues.py
+++ b/tests/test_load_queues.py
@@ -1,4 +1,4 @@
-"""What servers say of their queues is followed at once."""
+"""Tests that reported queue lengths of servers take effect at once."""
 
 from random import Random
 
@@ -48,51 +48,51 @@
     return gate
 
 
-def in_flight(gate: Gate, asked: int) -> int:
-    sent = [gate.submit(ticket(n, owner="s0"), 10.0) for n in range(asked)]
-    return sum(isinstance(one, Start) for one in sent)
+def count_started(gate: Gate, submitted: int) -> int:
+    decisions = [gate.submit(ticket(n, owner="s0"), 10.0) for n in range(submitted)]
+    return sum(isinstance(decision, Start) for decision in decisions)
 
 
-def test_owner_that_says_that_its_queue_is_long_gets_less_from_each_host() -> None:
-    """A big club's roster is asked for by everybody, and its server resets connections.
+def test_owner_that_reports_a_long_queue_gets_fewer_requests_per_host() -> None:
+    """Guards against filling the owner of a hot key until it resets connections.
 
-    Ten hosts send it six requests each while it has three slots and room for twelve
-    more. What it resets may have run, so nobody may send it again.
+    Ten hosts sent six requests each to an owner with three slots and a queue of twelve.
+    A request that was reset may have run, so it must not be sent again.
     """
-    before = in_flight(make_gate(keyed=True), 20)
+    before = count_started(make_gate(keyed=True), 20)
     gate = make_gate(keyed=True)
-    # One request, so that the gate knows the owner.
+    # A first request, so that the gate creates the owner's pool.
     gate.submit(ticket(99, owner="s0"), 5.0)
     gate.finished("99", Outcome(kind=OutcomeKind.OK, elapsed_s=0.1), 5.1)
     for _ in range(12):
         gate.note_load("s0", waiting=10, slots=SLOTS, now_s=5.2)
-    after = in_flight(gate, 20)
+    after = count_started(gate, 20)
     assert after <= 2
     assert after <= before
 
 
-def test_server_with_a_queue_is_passed_over_for_one_without() -> None:
+def test_server_without_a_queue_is_preferred_to_one_with_a_queue() -> None:
     gate = make_gate(keyed=False, servers=2)
     for number in range(2):
         gate.note_load(f"s{number}", waiting=0, slots=SLOTS, now_s=10.0)
     gate.note_load("s0", waiting=8, slots=SLOTS, now_s=10.0)
     chosen = [gate.submit(ticket(n, owner=None), 10.0) for n in range(2)]
-    assert [one.server for one in chosen if isinstance(one, Start)] == ["s1", "s1"]
+    assert [item.server for item in chosen if isinstance(item, Start)] == ["s1", "s1"]
 
 
-def test_word_of_a_queue_is_forgotten() -> None:
+def test_reported_queue_length_expires() -> None:
     gate = make_gate(keyed=False, servers=2)
     gate.note_load("s0", waiting=8, slots=SLOTS, now_s=10.0)
     chosen = [gate.submit(ticket(n, owner=None), 11.0) for n in range(2)]
-    servers = {one.server for one in chosen if isinstance(one, Start)}
+    servers = {item.server for item in chosen if isinstance(item, Start)}
     assert servers == {"s0", "s1"}
 
 
-def test_server_that_resets_at_once_gets_nothing_that_must_not_repeat() -> None:
-    """An editor's issue is sent to a server that is full, and nobody knows its fate.
+def test_server_that_resets_connections_gets_no_requests_for_a_moment() -> None:
+    """Guards against an unknown outcome of requests that must not repeat.
 
-    The server resets connections when its queue is full. Refused by the router the
-    upload can be sent again, reset by the server it can't.
+    The server resets connections when its queue is full. An upload that the router
+    refuses can be sent again; one that the server resets cannot.
     """
     gate = make_gate(keyed=True)
     gate.submit(ticket(99, owner="s0"), 5.0)
@@ -101,12 +101,12 @@
     assert isinstance(gate.submit(ticket(2, owner="s0"), 5.2), Start)
 
 
-def test_server_that_leaves_the_list_and_returns_is_one_server() -> None:
-    """Every request for some keys gets a fault of the router, until it restarts.
+def test_server_that_is_unlisted_and_listed_again_keeps_its_counts() -> None:
+    """Guards against internal errors for all requests of some keys until a restart.
 
-    Their server was gone from the list for a moment, as after an outage of the store,
-    and had nothing in flight. Back on the list it was another row than the one that
-    its requests were still counted in.
+    Their server was missing from the list for a moment, as after an outage of the
+    store, and had no requests in flight. Listed again, it got a new state, while its
+    requests were still counted in the old one.
     """
     gate = make_gate(keyed=True)
     gate.submit(ticket(1, owner="s0"), 1.0)
@@ -114,6 +114,6 @@
     gate.set_servers("roster", [], 1.2)
     gate.set_servers("roster", [server(0)], 1.21)
     assert isinstance(gate.submit(ticket(2, owner="s0"), 1.3), Start)
-    assert [one.in_flight for one in gate.snapshot().servers] == [1]
+    assert [row.in_flight for row in gate.snapshot().servers] == [1]
     gate.finished("2", Outcome(kind=OutcomeKind.OK, elapsed_s=0.1), 1.4)
-    assert [one.in_flight for one in gate.snapshot().servers] == [0]
+    assert [row.in_flight for row in gate.snapshot().servers] == [0]
--- a/tests/test_load_slow_owner.py
+++ b/tests/test_load_slow_owner.py
@@ -1,4 +1,4 @@
-"""A key's only server becomes slow while all hosts go on sending to it."""
+"""Tests of an owner of keys that becomes slow while all hosts send to it."""
 
 import pytest
 
@@ -22,54 +22,56 @@
         work_s=USUAL_S,
         seed=seed,
     )
-    owner.ask_for(30.0, per_s=20.0)
+    owner.submit_for(30.0, per_s=20.0)
     owner.run(5.0)
     return owner
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_a_slow_owner_still_answers_what_it_can(seed: int) -> None:
-    """Secretaries get no answer at all from a club's server, though it works.
+def test_slow_owner_still_answers_what_its_capacity_allows(seed: int) -> None:
+    """Guards against a slow owner that answers no request in time.
 
-    It takes five times as long for each look-up and could answer six a second. Each of
-    ten hosts keeps one look-up there all the same, so that each waits there for more
-    than a second, is given up, and is run for nobody.
+    The owner takes five times as long for each look-up and could answer six a second.
+    Each of ten hosts kept one look-up in flight there. Each look-up waited there for
+    longer than its timeout, and the owner ran it although the host no longer waited.
     """
     owner = make(seed)
     owner.work_s = SLOW_S
     owner.run(20.0)
-    could_s = SLOTS / SLOW_S
-    assert owner.good(9.0, 17.0) > 0.4 * could_s * 8
-    assert owner.count("timed out", 9.0, 17.0) < 0.3 * could_s * 8
+    capacity_per_s = SLOTS / SLOW_S
+    assert owner.count_answered(9.0, 17.0) > 0.4 * capacity_per_s * 8
+    assert owner.count("timed out", 9.0, 17.0) < 0.3 * capacity_per_s * 8
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_what_a_slow_owner_can_not_answer_is_refused_at_once(seed: int) -> None:
+def test_requests_beyond_the_capacity_of_a_slow_owner_are_refused_at_once(
+    seed: int,
+) -> None:
     owner = make(seed)
     owner.work_s = SLOW_S
     owner.run(20.0)
     refused = sorted(
-        one.took_s
-        for one in owner.asked
-        if one.state == "refused" and 7.0 <= one.asked_s < 17.0
+        request.took_s
+        for request in owner.requests
+        if request.state == "refused" and 7.0 <= request.submitted_s < 17.0
     )
     assert refused[int(len(refused) * 0.9)] < 0.3
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_an_owner_that_is_well_again_is_used_in_full(seed: int) -> None:
+def test_recovered_owner_gets_all_requests_again(seed: int) -> None:
     owner = make(seed)
     owner.work_s = SLOW_S
     owner.run(12.0)
     owner.work_s = USUAL_S
     owner.run(28.0)
-    asked = sum(16.0 <= one.asked_s < 25.0 for one in owner.asked)
-    assert owner.good(16.0, 25.0) > 0.95 * asked
+    submitted = sum(16.0 <= item.submitted_s < 25.0 for item in owner.requests)
+    assert owner.count_answered(16.0, 25.0) > 0.95 * submitted
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_an_owner_that_is_well_answers_nearly_all(seed: int) -> None:
+def test_healthy_owner_answers_nearly_all_requests(seed: int) -> None:
     owner = make(seed)
     owner.run(20.0)
-    asked = sum(7.0 <= one.asked_s < 17.0 for one in owner.asked)
-    assert owner.good(7.0, 17.0) > 0.95 * asked
+    submitted = sum(7.0 <= item.submitted_s < 17.0 for item in owner.requests)
+    assert owner.count_answered(7.0, 17.0) > 0.95 * submitted
