--- a/src/gentianwharf/admission/_gate_admission.py
+++ b/src/gentianwharf/admission/_gate_admission.py
@@ -7,7 +7,7 @@
 
 from gentianwharf import load
 from gentianwharf.placement import rendezvous_rank
-from gentianwharf.relay import Hedge, Outcome, Problem, Run, ServerLoad, Ticket
+from gentianwharf.relay import HedgeCallback, Outcome, Problem, Run, ServerLoad, Ticket
 from gentianwharf.topology import BackendServer
 
 _OUTCOME_KINDS = {
@@ -59,10 +59,10 @@
             listed = self._listed.get(server.service, ())
             self._listed[server.service] = (*listed, server)
         self._waiting: dict[str, Deferred[BackendServer]] = {}
-        self._hedges: dict[str, Hedge] = {}
+        self._hedges: dict[str, HedgeCallback] = {}
 
     async def admit(
-        self, ticket: Ticket, owner: BackendServer | None, hedge: Hedge
+        self, ticket: Ticket, owner: BackendServer | None, hedge: HedgeCallback
     ) -> BackendServer:
         """Return the server to send to, after waiting if necessary."""
         gate_ticket = _gate_ticket(ticket, owner)
@@ -70,11 +70,11 @@
             ticket, hedge, [self._gate.submit(gate_ticket, self._now_s())]
         )
 
-    async def admit_again(
+    async def admit_retry(
         self,
         ticket: Ticket,
         owner: BackendServer | None,
-        hedge: Hedge,
+        hedge: HedgeCallback,
         *,
         after: Outcome,
         avoid: BackendServer,
@@ -96,7 +96,7 @@
         elapsed_s: float,
         retry_after_s: float | None = None,
     ) -> None:
-        """Record how a leg ended and apply the decisions that follow from it."""
+        """Record how an attempt ended and apply the decisions that follow from it."""
         if outcome is Outcome.TIMED_OUT:
             self.on_timeout(server)
         if outcome is not Outcome.CANCELLED:
@@ -132,7 +132,7 @@
         self._apply(self._gate.set_servers(service, servers, self._now_s()))
 
     async def _await_decision(
-        self, ticket: Ticket, hedge: Hedge, decisions: list[load.Decision]
+        self, ticket: Ticket, hedge: HedgeCallback, decisions: list[load.Decision]
     ) -> BackendServer:
         waiting: Deferred[BackendServer] = Deferred(lambda _: self._cancel(ticket.id))
         self._waiting[ticket.id] = waiting
@@ -152,7 +152,7 @@
         )
         self.on_load(server, load, elapsed_s)
 
-    def forget(self, ticket: Ticket) -> None:
+    def discard(self, ticket: Ticket) -> None:
         """Discard the hedge callback of a request that has had its answer."""
         self._hedges.pop(ticket.id, None)
 
--- a/src/gentianwharf/keyspace/_leadership.py
+++ b/src/gentianwharf/keyspace/_leadership.py
@@ -12,7 +12,11 @@
 from gentianwharf.logs import log
 from gentianwharf.store import Change, Item, LeaseEndedError, Put, Store
 
-from ._former import Former, decode_former, encode_former
+from ._previous_leader import (
+    PreviousLeader,
+    decode_previous_leader,
+    encode_previous_leader,
+)
 from ._timing import LEADER_LEASE_S, RENEW_LEASE_EVERY_S
 
 CAMPAIGN_WITHIN_S = 0.15
@@ -35,13 +39,13 @@
 
 @final
 class Leadership:
-    """Gains and keeps the place of the leader; times are of a clock that counts pauses.
+    """Campaigns for the leadership and renews the lease that it depends on.
 
-    ``value`` is what the others should know of a leader; ``stand_back_s`` is how much
-    later than others this host asks for the place.
+    ``value`` identifies this host to the others while it leads. ``campaign_delay_s`` is
+    how much later than other hosts this one campaigns.
 
-    A clock that stands still while the host is suspended would let a host act on a
-    lease that has ended meanwhile.
+    ``now_s`` has to be a clock that goes on while the host is suspended. With one that
+    stops, a resumed host would act on a lease that has expired in the meantime.
     """
 
     def __init__(
@@ -49,26 +53,26 @@
         *,
         store: Store,
         key: str,
-        former_key: str,
+        previous_leader_key: str,
         value: bytes,
         now_s: Clock,
         rng: Random,
-        stand_back_s: float = 0.0,
+        campaign_delay_s: float = 0.0,
     ) -> None:
         self.term: Term | None = None
-        self.heard_s = float("-inf")
-        self.on_gained: Callable[[Former | None], None] = lambda former: None
+        self.lease_renewed_s = float("-inf")
+        self.on_gained: Callable[[PreviousLeader | None], None] = lambda previous: None
         self.on_lost: Callable[[], None] = lambda: None
-        self._stands_back_until_s = float("-inf")
+        self._campaign_pause_until_s = float("-inf")
         self._store = store
         self._key = key
-        self._former_key = former_key
-        self._former_item: Item | None = None
-        self._former: Former | None = None
+        self._previous_leader_key = previous_leader_key
+        self._previous_leader_item: Item | None = None
+        self._previous_leader: PreviousLeader | None = None
         self.value = value
         self._now_s = now_s
         self._rng = rng
-        self._stand_back_s = stand_back_s
+        self._campaign_delay_s = campaign_delay_s
         self._item: Item | None = None
         self._asking_lease_id = 0
         self._asked_s = 0.0
@@ -80,9 +84,12 @@
         """Whether this host takes itself for the leader."""
         return self.term is not None
 
-    def may_change(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether the lease surely holds, so that nobody else leads."""
-        return self.term is not None and self._now_s() < self.heard_s + LEADER_LEASE_S
+        return (
+            self.term is not None
+            and self._now_s() < self.lease_renewed_s + LEADER_LEASE_S
+        )
 
     def note_item(self, item: Item | None) -> None:
         """Follow the leader's item in the store."""
@@ -103,7 +110,7 @@
             return
         if self.term is not None:
             _start(self._renew(self.term, now_s))
-        elif self._campaigning or now_s < self._stands_back_until_s:
+        elif self._campaigning or now_s < self._campaign_pause_until_s:
             return
         elif self._item is None:
             self._campaigning = True
@@ -111,15 +118,15 @@
         else:
             self._due_s = None
 
-    async def resign(self, held_s: float, *, stand_back_s: float) -> None:
+    async def resign(self, held_s: float, *, campaign_pause_s: float) -> None:
         """Give the place up, so that another host takes it at once.
 
         ``held_s`` is for how long this host's grants may still hold. The next leader
         finds it beside the place, and puts its own word there when it takes the place:
         so it is never taken for the word of a leader in between, who was lost. For
-        ``stand_back_s`` this host does not ask for the place again.
+        ``campaign_pause_s`` this host does not ask for the place again.
         """
-        self._stands_back_until_s = self._now_s() + stand_back_s
+        self._campaign_pause_until_s = self._now_s() + campaign_pause_s
         term = self.term
         if term is None:
             return
@@ -128,24 +135,24 @@
             await self._store.change(
                 Change(
                     expected={self._key: term.revision},
-                    puts=(self._word(is_settled=True, held_s=held_s),),
+                    puts=(self._word(earlier_grants_expired=True, held_s=held_s),),
                     removals=(self._key,),
                 )
             )
         except GentianwharfError as error:
             log.info("not resigned, the lease will run out: {}", error.message)
 
-    def give_way(self) -> None:
+    def step_down(self) -> None:
         """Lead no more: another host does, and has said so."""
         if self.term is not None:
             self._lose("another host leads")
 
-    async def settle(self) -> bool:
+    async def mark_earlier_grants_expired(self) -> bool:
         """Leave word that only grants of this leader may hold; whether that is done."""
         term = self.term
         if term is None:
             return False
-        word = self._word(is_settled=True)
+        word = self._word(earlier_grants_expired=True)
         try:
             await self._store.change(
                 Change(expected={self._key: term.revision}, puts=(word,))
@@ -155,13 +162,21 @@
             return False
         return True
 
-    def note_former(self, item: Item | None) -> None:
+    def note_previous_leader(self, item: Item | None) -> None:
         """Follow the item in which each leader leaves its word for the next one."""
-        self._former_item = item
-
-    def _word(self, *, is_settled: bool, held_s: float | None = None) -> Put:
-        former = Former(value=self.value, is_settled=is_settled, held_s=held_s)
-        return Put(key=self._former_key, value=encode_former(former))
+        self._previous_leader_item = item
+
+    def _word(
+        self, *, earlier_grants_expired: bool, held_s: float | None = None
+    ) -> Put:
+        previous = PreviousLeader(
+            value=self.value,
+            earlier_grants_expired=earlier_grants_expired,
+            held_s=held_s,
+        )
+        return Put(
+            key=self._previous_leader_key, value=encode_previous_leader(previous)
+        )
 
     def _end_campaign(self, _: object) -> None:
         self._campaigning = False
@@ -172,8 +187,8 @@
             self._asking_lease_id = 0
             lease_id = await self._store.open_lease(LEADER_LEASE_S)
             self._asking_lease_id, self._asked_s = lease_id, now_s
-            former = self._former_item
-            self._former = decode_former(former)
+            previous = self._previous_leader_item
+            self._previous_leader = decode_previous_leader(previous)
             put = Put(key=self._key, value=self.value, lease_id=lease_id)
             revision = await self._store.change(
                 Change(
@@ -181,9 +196,9 @@
                     # heard of may have granted what an earlier one knows nothing of.
                     expected={
                         self._key: 0,
-                        self._former_key: former.revision if former else 0,
+                        self._previous_leader_key: previous.revision if previous else 0,
                     },
-                    puts=(put, self._word(is_settled=False)),
+                    puts=(put, self._word(earlier_grants_expired=False)),
                 )
             )
         except ConflictError:
@@ -217,20 +232,22 @@
             return
         if self.term is term:
             # The lease runs from the call's arrival, which is not before its sending.
-            self.heard_s = max(self.heard_s, now_s)
+            self.lease_renewed_s = max(self.lease_renewed_s, now_s)
 
     def _gain(self, revision: int) -> None:
         self.term = Term(lease_id=self._asking_lease_id, revision=revision)
         self._asking_lease_id = 0
-        self.heard_s = self._asked_s
+        self.lease_renewed_s = self._asked_s
         self._due_s = self._now_s() + RENEW_LEASE_EVERY_S
-        held_s = self._former.held_s if self._former is not None else None
+        held_s = (
+            self._previous_leader.held_s if self._previous_leader is not None else None
+        )
         log.info("leading", extra={"revision": revision, "held_s": held_s})
-        self.on_gained(self._former)
+        self.on_gained(self._previous_leader)
 
     def _campaign_s(self) -> float:
         within_s = self._rng.random() * CAMPAIGN_WITHIN_S
-        return self._now_s() + self._stand_back_s + within_s
+        return self._now_s() + self._campaign_delay_s + within_s
 
     def _lose(self, reason: str) -> None:
         self.term = None
--- a/src/gentianwharf/relay/_leg.py
+++ b/src/gentianwharf/relay/_leg.py
@@ -13,9 +13,9 @@
 
 from ._answer import check_request_id, has_provable_end
 from ._caller_request import CallerRequest
-from ._connections import ServerConnection, ServerConnections
-from ._deadline import Remaining, remaining
-from ._dialect import Dialect, ServerRefusal
+from ._connections import ServerConnection, ServerConnectionPool
+from ._deadline import RemainingTime, remaining_time
+from ._header_codec import HeaderCodec, ServerRefusal
 from ._headers import passed_on, set_fields
 from ._ports import Admission, Outcome, Owner, Ticket
 from ._problem import Problem
@@ -64,9 +64,9 @@
         ticket: Ticket,
         server: BackendServer,
         owner: Owner | None,
-        connections: ServerConnections,
+        connections: ServerConnectionPool,
         admission: Admission,
-        dialect: Dialect,
+        codec: HeaderCodec,
         reactor: Any,
         fresh: bool = False,
     ) -> None:
@@ -79,7 +79,7 @@
         self._owner = owner
         self._connections = connections
         self._admission = admission
-        self._dialect = dialect
+        self._codec = codec
         self._reactor = reactor
         self._fresh = fresh
 
@@ -103,9 +103,9 @@
         return response
 
     def _note_load(self, response: Response) -> None:
-        load = self._dialect.load(response.headers)
+        load = self._codec.load(response.headers)
         if load is not None:
-            has_run = self._dialect.refusal(response) is None
+            has_run = self._codec.refusal(response) is None
             elapsed_s = self.elapsed_s if has_run else None
             self._admission.note_load(self.server, load, elapsed_s)
 
@@ -116,7 +116,7 @@
 
     def retire_silent_connections(self) -> None:
         """Trust no older connection to this server any more."""
-        self._connections.renew()
+        self._connections.retire_all()
 
     async def _connect(self) -> ServerConnection:
         try:
@@ -138,22 +138,22 @@
             ) from error
 
     async def _send(self, connection: ServerConnection) -> Response:
-        time_left = remaining(self._deadline_s(), now_s=self._reactor.seconds)
-        if time_left.left_s <= 0:
-            self._connections.put_back(connection)
+        remaining = remaining_time(self._deadline_s(), now_s=self._reactor.seconds)
+        if remaining.duration_s <= 0:
+            self._connections.release(connection)
             raise FinalError(
                 outcome=Outcome.CANCELLED,
                 problem=self._not_run("no time was left to run the request"),
             )
         self.is_sent = True
-        answer = connection.exchange(
+        answer = connection.send_request(
             method=self._request.method,
             uri=self._request.uri,
-            headers=self._headers(time_left),
+            headers=self._headers(remaining),
             body=self._request.body,
         )
         timeout = Timeout(
-            clock=self._reactor, delay_s=time_left.left_s, expire=answer.cancel
+            clock=self._reactor, delay_s=remaining.duration_s, expire=answer.cancel
         )
         try:
             return await answer
@@ -191,10 +191,10 @@
             return self._ticket.deadline_s
         return min(self._ticket.deadline_s, self._owner.deadline_s)
 
-    def _headers(self, time_left: Remaining) -> Headers:
-        dialect = self._dialect
-        headers = passed_on(self._request.requestHeaders, dialect.is_passed_on)
-        fields = dialect.sent_fields(self._ticket, self.server, self._owner, time_left)
+    def _headers(self, remaining: RemainingTime) -> Headers:
+        codec = self._codec
+        headers = passed_on(self._request.requestHeaders, codec.is_forwarded)
+        fields = codec.request_fields(self._ticket, self.server, self._owner, remaining)
         set_fields(headers, fields)
         return headers
 
@@ -203,7 +203,7 @@
             check_request_id(
                 response,
                 self._ticket.request_id,
-                dialect=self._dialect,
+                codec=self._codec,
                 peer=self.server.address,
             )
         except PeerMismatchError as error:
@@ -212,7 +212,7 @@
                 outcome=Outcome.LOST,
                 problem=self._unknown(502, "an answer to another request came", error),
             ) from error
-        refusal = self._dialect.refusal(response)
+        refusal = self._codec.refusal(response)
         if refusal is not None:
             if cast(Any, response.length) != 0:
                 connection.abort_now()
--- a/tests/builders_keyspace_hosts.py
+++ b/tests/builders_keyspace_hosts.py
@@ -13,7 +13,7 @@
     PeerUnavailableError,
 )
 from gentianwharf.keyspace import (
-    Keeper,
+    GrantManager,
     Leadership,
     Planner,
 )
@@ -26,8 +26,8 @@
     Store,
 )
 from tests.builders_keyspace import (
-    FORMER_KEY,
     LEADER_KEY,
+    PREVIOUS_LEADER_KEY,
     SERVICE,
     SHARDS,
     TABLE_KEY,
@@ -190,7 +190,7 @@
 
 @dataclass
 class LeadingHost:
-    """One host's leadership, planner and keeper, wired as an entry host does it."""
+    """One host's leadership, planner and manager, wired as an entry host does it."""
 
     name: str
     store: SimpleStore
@@ -204,23 +204,25 @@
         self.leadership = Leadership(
             store=store,
             key=LEADER_KEY,
-            former_key=FORMER_KEY,
+            previous_leader_key=PREVIOUS_LEADER_KEY,
             value=self.name.encode(),
             now_s=clock.seconds,
             rng=Middle(),  # type: ignore[arg-type]
         )
-        self.keeper = Keeper(orders=self.servers, timing=TIMING, now_s=clock.seconds)
+        self.manager = GrantManager(
+            orders=self.servers, timing=TIMING, now_s=clock.seconds
+        )
         self.planner = Planner(
             store=store,
             leadership=self.leadership,
             leader_key=LEADER_KEY,
             table_prefix=TABLE_PREFIX,
-            keeper=self.keeper,
+            grant_manager=self.manager,
             shards=SHARDS,
             now_s=clock.seconds,
         )
         self.leadership.on_gained = self.planner.note_gained
-        self.leadership.on_lost = self.keeper.stop
+        self.leadership.on_lost = self.manager.stop
         self.planner.set_services({SERVICE: 5.0})
         self.store.listeners.append(self.note_item)
         self.leadership.note_item(self.store.items_by_key.get(LEADER_KEY))
@@ -231,8 +233,8 @@
             return
         if key == LEADER_KEY:
             self.leadership.note_item(item)
-        elif key == FORMER_KEY:
-            self.leadership.note_former(item)
+        elif key == PREVIOUS_LEADER_KEY:
+            self.leadership.note_previous_leader(item)
         elif key == TABLE_KEY and item is not None:
             self.planner.note_table(item)
 
@@ -247,14 +249,14 @@
         assert self.way is not None
         self.way.is_cut = False
         self.hears_store = True
-        for key in (LEADER_KEY, FORMER_KEY, TABLE_KEY):
+        for key in (LEADER_KEY, PREVIOUS_LEADER_KEY, TABLE_KEY):
             self.note_item(key, self.store.items_by_key.get(key))
 
     def tick(self) -> None:
         """Do what is due."""
         self.leadership.tick()
         self.planner.tick()
-        self.keeper.tick()
+        self.manager.tick()
 
     @property
     def leads(self) -> bool:
--- a/tests/test_admission_tickets.py
+++ b/tests/test_admission_tickets.py
@@ -69,5 +69,5 @@
     assert len(sent) == 2
     for serial, server in enumerate(sent, start=1):
         admission.finished(ticket(serial), server, Outcome.ANSWERED, 0.1)
-        admission.forget(ticket(serial))
+        admission.discard(ticket(serial))
     assert all(not row.in_flight for row in gate.snapshot().servers)
