--- a/src/gentianwharf/load/_flows.py
+++ b/src/gentianwharf/load/_flows.py
@@ -38,9 +38,9 @@
 
     __slots__ = (
         "_counts",
-        "_flows_with",
-        "_min_busy",
+        "_flows_by_count",
         "_max_count",
+        "_min_busy",
         "_total",
         "_waiting",
     )
@@ -50,7 +50,7 @@
         self._counts: dict[str, int] = {}
         self._waiting: dict[str, int] = {}
         # The number of flows with each count, to find the highest count without a scan.
-        self._flows_with: dict[int, int] = {}
+        self._flows_by_count: dict[int, int] = {}
         self._max_count = 0
         self._total = 0
 
@@ -69,7 +69,7 @@
         """Count a request that is sent."""
         before = self._counts.get(flow, 0)
         self._counts[flow] = before + 1
-        self._move(before, before + 1)
+        self._update_totals(before, before + 1)
 
     def remove(self, flow: str) -> None:
         """Stop counting a request that was sent."""
@@ -78,7 +78,7 @@
             self._counts[flow] = before - 1
         else:
             del self._counts[flow]
-        self._move(before, before - 1)
+        self._update_totals(before, before - 1)
 
     def add_waiting(self, flow: str) -> None:
         """Count a request that waits."""
@@ -113,20 +113,20 @@
             and self._max_count >= self._total * BUSIEST_SHARE
         )
 
-    def _move(self, before: int, after: int) -> None:
+    def _update_totals(self, before: int, after: int) -> None:
         self._total += after - before
-        flows_with = self._flows_with
+        flows = self._flows_by_count
         if before:
-            remaining = flows_with[before] - 1
+            remaining = flows[before] - 1
             if remaining:
-                flows_with[before] = remaining
+                flows[before] = remaining
             else:
-                del flows_with[before]
+                del flows[before]
         if after:
-            flows_with[after] = flows_with.get(after, 0) + 1
+            flows[after] = flows.get(after, 0) + 1
         if after > self._max_count:
             self._max_count = after
-        elif before == self._max_count and before not in flows_with:
+        elif before == self._max_count and before not in flows:
             # The only flow with the highest count now has one request fewer, and no
             # other flow has more than that.
             self._max_count = after
--- a/src/gentianwharf/load/_gate.py
+++ b/src/gentianwharf/load/_gate.py
@@ -2,9 +2,9 @@
 
 The code is sans-I/O: it never blocks, reads a clock or opens a connection. The calls
 for a request are, in this order: ``submit``; after a ``Start``, exactly one
-``finished`` for each server that the request was sent to; after a ``Wait``, a decision
-about the request is returned by a later ``finished``, ``tick`` or ``set_servers``,
-unless ``cancel`` withdraws it. ``tick`` has to be called every 10 to 50 ms.
+``finished`` for each server that the request was sent to; after a ``Wait``, a later
+call returns a decision about the request, unless ``cancel`` withdraws it first.
+``tick`` has to be called every 10 to 50 ms.
 """
 
 from collections.abc import Iterable
--- a/src/gentianwharf/load/_pool.py
+++ b/src/gentianwharf/load/_pool.py
@@ -120,7 +120,7 @@
         self.set_states(self.states)
 
     def is_unavailable(self, now_s: float) -> bool:
-        """Whether the only server is frozen or has left, so that waiting is no use."""
+        """Whether the only server is frozen or has left, so that waiting is useless."""
         return self.pinned and not self.states[0].accepts_pinned(now_s)
 
     def can_serve(self, ticket: Ticket, now_s: float) -> bool:
--- a/tests/test_load_patterns.py
+++ b/tests/test_load_patterns.py
@@ -93,13 +93,13 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "most_growth"),
+    ("name", "max_growth"),
     [
         pytest.param("hot-caller-20x", 1.2, id="that-goes-away"),
         pytest.param("hot-caller-returns", 1.3, id="that-returns-at-once"),
     ],
 )
-def test_hot_caller_hardly_affects_the_others(name: str, most_growth: float) -> None:
+def test_hot_caller_hardly_affects_the_others(name: str, max_growth: float) -> None:
     """Guards against refusals of other callers beside a hot one.
 
     A caller sends twenty times as many requests as each other one. The more of its
@@ -107,7 +107,7 @@
     others' requests were refused when the hot caller retried at once.
     """
     figures = run(name)
-    assert growth(figures) < most_growth
+    assert growth(figures) < max_growth
     assert figures.others_refused_share < 0.02
     baseline = recorded(name, "round-robin")
     assert baseline["others_refused_share"] > 0.2
