--- a/src/gentianwharf/entryhost/_rules.py
+++ b/src/gentianwharf/entryhost/_rules.py
@@ -9,13 +9,13 @@
 from gentianwharf.matching import RequestFacts, RuleMatch, RuleSet
 from gentianwharf.platform import SHARDS, Configuration, decode_configuration
 from gentianwharf.relay import Problem
-from gentianwharf.runs import Run
+from gentianwharf.runs import RunStatus
 from gentianwharf.store import Item
 
 NO_RULES_YET = Problem(
     status=503,
     title="this host has just started and knows no rules yet",
-    run=Run.NOT_RUN,
+    run=RunStatus.NOT_RUN,
     retry_after_s=0.3,
     step="match",
 )
@@ -23,7 +23,7 @@
 UNREAD_RULE = Problem(
     status=503,
     title="this host can't read the rule for this request",
-    run=Run.NOT_RUN,
+    run=RunStatus.NOT_RUN,
     detail="The operators have to write it in a form that this release knows.",
     retry_after_s=1.0,
     step="match",
@@ -137,10 +137,10 @@
             raise replace(UNREAD_RULE)
         return match
 
-    def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
+    def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
         """Return ``match`` with another service of its rule's split."""
         assert self._rules is not None, "a match comes from rules"
-        return self._rules.sent_to(match, service)
+        return self._rules.with_service(match, service)
 
 
 def _shards(configuration: Configuration) -> Mapping[str, int]:
--- a/src/gentianwharf/relay/_ports.py
+++ b/src/gentianwharf/relay/_ports.py
@@ -6,7 +6,7 @@
 from typing import Protocol, final
 
 from gentianwharf.matching import RequestFacts, RuleMatch
-from gentianwharf.runs import Run
+from gentianwharf.runs import RunStatus
 from gentianwharf.topology import BackendServer
 
 from ._problem import Problem
@@ -83,7 +83,7 @@
     def match(self, facts: RequestFacts) -> RuleMatch | None:
         """Return what the first matching rule says."""
 
-    def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
+    def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
         """Return ``match`` with another service of its rule's split."""
 
 
@@ -161,7 +161,7 @@
     server: str
     domain: str
     status: int
-    run: Run
+    run: RunStatus
     waited_s: float
     elapsed_s: float
     reason: str
--- a/src/gentianwharf/rules/_explain.py
+++ b/src/gentianwharf/rules/_explain.py
@@ -1,21 +1,21 @@
-"""Why a request falls to a rule: for operators, not for the path of requests."""
+"""Explains to operators why a rule matches a request; not used to route requests."""
 
 from gentianwharf.matching import (
     CompiledRule,
     RequestFacts,
     RuleSet,
-    holds,
+    find_shard,
+    is_in_range,
     read_key,
-    shard_in,
 )
 
-from ._results import Explanation, PassedOver
+from ._results import Explanation, UnmatchedRule
 
 
 def explain(rules: RuleSet, facts: RequestFacts) -> Explanation:
-    """Say which rule decides ``facts`` and which earlier ones did not, and why."""
+    """Return which rule matches ``facts``, and why each earlier rule does not."""
     match = rules.match(facts)
-    deciding = match.number if match is not None else len(rules.compiled) + 1
+    end_number = match.number if match is not None else len(rules.compiled) + 1
     return Explanation(
         revision=rules.revision,
         number=match.number if match is not None else None,
@@ -27,12 +27,12 @@
         shard=match.shard if match is not None else None,
         repeatable=match.repeatable if match is not None else None,
         passed_over=tuple(
-            PassedOver(
-                number=one.number,
-                rule_name=one.rule.name,
-                reasons=tuple(_reasons(one, facts)),
+            UnmatchedRule(
+                number=rule.number,
+                rule_name=rule.rule.name,
+                reasons=tuple(_reasons(rule, facts)),
             )
-            for one in rules.compiled[: deciding - 1]
+            for rule in rules.compiled[: end_number - 1]
         ),
     )
 
@@ -44,8 +44,8 @@
     if not facts.path.startswith(rule.path_prefix):
         reasons.append(f"path does not begin with {rule.path_prefix!r}")
     if rule.methods and facts.method not in rule.methods:
-        asked = ", ".join(sorted(rule.methods))
-        reasons.append(f"method is {facts.method}, the rule asks for {asked}")
+        methods = ", ".join(sorted(rule.methods))
+        reasons.append(f"method is {facts.method}, the rule asks for {methods}")
     for name, value in rule.headers:
         found = facts.headers.get(name)
         if found != value:
@@ -54,13 +54,13 @@
                 if found is not None
                 else f"header {name} is missing, the rule asks for {value!r}"
             )
-    if rule.divides:
+    if rule.has_key_condition:
         reasons.extend(_key_reasons(rule, facts))
     return reasons
 
 
 def _key_reasons(rule: CompiledRule, facts: RequestFacts) -> list[str]:
-    key = read_key(rule.source, facts)
+    key = read_key(rule.key_source, facts)
     if key is None:
         return ["the request has no key where the rule looks for it, or two of them"]
     if rule.key is not None:
@@ -69,8 +69,8 @@
         return [f"key is {key!r}, the rule asks for {rule.key!r}"]
     if not rule.shards:
         return [f"service {rule.rule.then.service} has no shards"]
-    shard = shard_in(rule.source, key, rule.shards)
-    if holds(rule.first_shard, shard, rule.end_shard):
+    shard = find_shard(rule.key_source, key, rule.shards)
+    if is_in_range(rule.first_shard, shard, rule.end_shard):
         return []
     return [
         f"the key's shard is {shard}, the rule holds for shards"
