--- a/src/gentianwharf/platform/_header_codec.py
+++ b/src/gentianwharf/platform/_header_codec.py
@@ -84,7 +84,7 @@
         return ServerLoad(running=running, waiting=waiting, slots=slots)
 
     def retry_after(self, delay_s: float) -> bytes:
-        """Return fractional seconds, which the platform's clients accept."""
+        """Return fractional seconds, which the platform's clients can parse."""
         return b"%.3f" % max(0.0, delay_s)
 
 
--- a/src/gentianwharf/platform/_orders.py
+++ b/src/gentianwharf/platform/_orders.py
@@ -22,10 +22,10 @@
 
 CONNECT_TIMEOUT_S = 0.5
 IDLE_TIMEOUT_S = 8.0
-"""Servers close a connection that has been idle for 10 s."""
+"""Less than the 10 s after which servers close an idle connection."""
 
 MAX_IDLE_CONNECTIONS = 2
-"""One for grants, which are sent one at a time, and one for a concurrent release."""
+"""One connection for grants, which are sent one at a time, and one for a release."""
 
 STATUS_OK = 200
 STATUS_STALE_TOKEN = 409
--- a/src/gentianwharf/platform/_servers.py
+++ b/src/gentianwharf/platform/_servers.py
@@ -40,8 +40,8 @@
     state: ServerState
 
 
-# Larger integers can't be encoded. The ownership table contains a server's birth time,
-# and a table that can't be written would block every move of the server's service.
+# Larger integers can't be written to the store again. The key table contains a server's
+# birth time, and a table that can't be written blocks every move of its service.
 _StoredInt = Annotated[int, msgspec.Meta(le=2**63 - 1)]
 
 
--- a/src/gentianwharf/platform/_settings.py
+++ b/src/gentianwharf/platform/_settings.py
@@ -37,7 +37,7 @@
     """Limits and timeouts that the operators require of every host."""
 
     drain_timeout_s: float
-    """Time after a server starts draining within which requests may still be sent."""
+    """Time after a server starts draining within which it may still get requests."""
     grace_period_s: float
     """From SIGTERM to SIGKILL."""
     rules_delay_s: float
@@ -54,7 +54,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostSettings:
-    """A host's own identity and limits, and its environment, as read at its start."""
+    """A host's own identity and limits, and its environment.
+
+    When the file is read again, the names of the fields that changed are logged.
+    """
 
     name: str
     ip: str
--- a/src/gentianwharf/platform/standin/_store.py
+++ b/src/gentianwharf/platform/standin/_store.py
@@ -52,7 +52,7 @@
 
 
 class _Rejection(Exception):  # noqa: N818
-    """Rejects a call with an HTTP status and an empty result."""
+    """Raised to reject a call with an HTTP status and an empty result."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
