--- a/src/gentianwharf/relay/_app.py
+++ b/src/gentianwharf/relay/_app.py
@@ -1,4 +1,4 @@
-"""The callers' application: a catch-all route that begins an exchange."""
+"""The callers' application: starts an exchange for each request."""
 
 from collections.abc import Callable, Sequence
 from collections.abc import Set as AbstractSet
@@ -17,38 +17,38 @@
 
 from ._caller_request import CallerRequest, CatchAllResource
 from ._connections import ServerConnectionPool
-from ._exchange import FAULT, STOPPING_NOT_RUN, Exchange
+from ._exchange import INTERNAL_ERROR, STOPPING_NOT_RUN, Exchange
 from ._header_codec import DefaultHeaderCodec, HeaderCodec
-from ._headers import KEY_HEADER, connection_options, facts_of
+from ._headers import KEY_HEADER, connection_options, request_facts
+from ._idempotency import IdempotencyKey, IdempotentRequests
 from ._ports import Admission, Observer, Ownership, Rules, Ticket
 from ._problem import Problem, write_problem
-from ._repeats import RepeatKey, Repeats
 
 DEFAULT_DEADLINE_MS = 10_000
 REQUEST_ID_BITS = 96
-# Of a caller's own words in a problem document.
-MOST_SHOWN_BYTES = 80
+# Limit for parts of the request that a problem document quotes.
+MAX_QUOTED_BYTES = 80
 SAFE_METHODS = frozenset({b"GET", b"HEAD", b"OPTIONS"})
 
 
 @final
 class _RelayResource(CatchAllResource):
-    """Hands every request to the relay, whatever its path."""
+    """Passes every request to a handler, whatever its path."""
 
-    def __init__(self, *, begin: Callable[[CallerRequest], Any]) -> None:
+    def __init__(self, *, handler: Callable[[CallerRequest], Any]) -> None:
         super().__init__()
-        self._begin = begin
+        self._handler = handler
 
     def serve(self, request: CallerRequest) -> None:
-        """Begin to serve ``request``; it is cancelled when its caller goes."""
-        done = cast(Any, maybeDeferred(self._begin, request))
+        """Start serving ``request``; cancelled when its caller disconnects."""
+        done = cast(Any, maybeDeferred(self._handler, request))
         if not done.called:
             request.notifyFinish().addErrback(lambda _: done.cancel())
-        done.addErrback(self._failed, request)
+        done.addErrback(self._handle_failure, request)
 
-    def _failed(self, failure: Failure, request: CallerRequest) -> None:
+    def _handle_failure(self, failure: Failure, request: CallerRequest) -> None:
         # ``_serve`` and ``Exchange`` respond to their own errors. After any other, part
-        # of an answer may have been sent, so the connection is aborted.
+        # of a response may have been sent, so the connection is aborted.
         log.error("request failed: {}", failure.getTraceback())
         request.abort()
 
@@ -56,8 +56,8 @@
 class RelayApp:
     """Serves callers by the rules in force.
 
-    ``rules`` may be replaced at any time; each request keeps the rules that it
-    began with.
+    ``rules`` may be replaced at any time; a request continues with the rules that were
+    in force when it arrived.
     """
 
     def __init__(
@@ -87,21 +87,21 @@
         self._keyed = keyed
         self._reactor = reactor
         self._rng = rng
-        self._served = 0
+        self._last_serial = 0
         self._codec = codec or DefaultHeaderCodec()
         self.splitter = Splitter()
-        self._repeats = Repeats(now_s=reactor.seconds)
+        self._idempotent_requests = IdempotentRequests(now_s=reactor.seconds)
 
     def resource(self) -> CatchAllResource:
-        """Return the root of the callers' site."""
-        return _RelayResource(begin=self._serve)
+        """Return the root resource of the callers' site."""
+        return _RelayResource(handler=self._serve)
 
     def _serve(self, caller_request: CallerRequest) -> Any:
         request_id = self._codec.request_id(caller_request.requestHeaders)
         if request_id is None:
             request_id = f"{self._rng.getrandbits(REQUEST_ID_BITS):024x}"
         try:
-            exchange = self._begin(caller_request, request_id)
+            exchange = self._create_exchange(caller_request, request_id)
         except Problem as problem:
             self._refuse(caller_request, request_id, problem)
             return None
@@ -110,16 +110,16 @@
                 "request failed",
                 extra={"request_id": request_id, "step": "begin", "peer": "self"},
             )
-            fault = replace(FAULT, run=Run.NOT_RUN)
-            self._refuse(caller_request, request_id, fault)
+            internal_error = replace(INTERNAL_ERROR, run=Run.NOT_RUN)
+            self._refuse(caller_request, request_id, internal_error)
             return None
         self.in_flight.add(exchange)
         if len(self.in_flight) == 1:
             self.on_first_in_flight()
-        return exchange.start().addBoth(self._ended, exchange)
+        return exchange.start().addBoth(self._remove, exchange)
 
     def answer_in_flight(self) -> None:
-        """Send a final answer to each request in flight, and refuse new ones."""
+        """Send a final response to each request in flight, and refuse new ones."""
         self._accepts_requests = False
         for exchange in list(self.in_flight):
             exchange.cancel_for_shutdown()
@@ -130,23 +130,23 @@
         self._observer.record_refusal(request_id, problem)
         write_problem(request, problem, request_id=request_id, codec=self._codec)
 
-    def _ended(self, result: Any, exchange: Exchange) -> Any:
+    def _remove(self, result: Any, exchange: Exchange) -> Any:
         self.in_flight.discard(exchange)
         return result
 
-    def _begin(self, request: CallerRequest, request_id: str) -> Exchange:
+    def _create_exchange(self, request: CallerRequest, request_id: str) -> Exchange:
         if not self._accepts_requests:
             raise replace(STOPPING_NOT_RUN)
         hosts = request.requestHeaders.getRawHeaders(b"host")
         if not hosts or len(hosts) != 1:
             raise _bad_request("expected exactly one Host header")
-        if _has_two_lengths(request):
+        if _has_length_and_coding(request):
             raise _bad_request("expected Content-Length or Transfer-Encoding, got both")
         if len(set(request.requestHeaders.getRawHeaders(KEY_HEADER) or ())) > 1:
             raise _bad_request("expected one Gentianwharf-Key, got two that differ")
         _check_upgrade(request.requestHeaders)
         _check_length(request)
-        facts = facts_of(request.method, request.uri, request.requestHeaders)
+        facts = request_facts(request.method, request.uri, request.requestHeaders)
         match = self.rules.match(facts)
         if match is None:
             raise Problem(
@@ -154,7 +154,7 @@
                 title="no rule matches",
                 run=Run.NOT_RUN,
                 detail=(
-                    f"{_shown_target(facts)}: ask the operators, or use: gentianwharf"
+                    f"{_quoted_target(facts)}: ask the operators, or use: gentianwharf"
                     " rules explain"
                 ),
                 step="match",
@@ -175,8 +175,8 @@
             connections=self.connections,
             observer=self._observer,
             codec=self._codec,
-            repeats=self._repeats,
-            repeat=_repeat_key(request, match),
+            idempotent_requests=self._idempotent_requests,
+            idempotency_key=_idempotency_key(request, match),
             reactor=self._reactor,
         )
 
@@ -189,13 +189,13 @@
         left_s = self._codec.caller_timeout_s(request.requestHeaders)
         if left_s is not None:
             deadline_ms = min(deadline_ms, int(left_s * 1000))
-        self._served += 1
+        self._last_serial += 1
         return Ticket(
             request_id=request_id,
-            serial=self._served,
+            serial=self._last_serial,
             service=match.service,
             request_class=match.request_class,
-            caller=_caller_of(request),
+            caller=_caller_address(request),
             key=match.key,
             shard=match.shard,
             deadline_s=self._reactor.seconds() + deadline_ms / 1000,
@@ -203,9 +203,9 @@
         )
 
 
-def _has_two_lengths(request: CallerRequest) -> bool:
-    # Twisted lets "Transfer-Encoding: identity" pass beside a length; a server that
-    # reads the former otherwise would see where the next request begins otherwise.
+def _has_length_and_coding(request: CallerRequest) -> bool:
+    # Twisted accepts "Transfer-Encoding: identity" together with a length. A server
+    # that parses it differently would disagree on where the next request begins.
     headers = request.requestHeaders
     return headers.hasHeader(b"content-length") and headers.hasHeader(
         b"transfer-encoding"
@@ -226,40 +226,40 @@
 
 
 def _check_upgrade(headers: Headers) -> None:
-    """Refuse a request that asks to leave HTTP on its connection.
+    """Refuse a request to switch the connection to another protocol.
 
-    Handed on without its ``Upgrade`` it would be answered as a plain one, and its
-    caller wait for a stream that never opens. Upgrades to HTTP/2 are passed over, as
-    RFC 9110, section 7.8, allows: their callers go on with HTTP/1.1.
+    ``Upgrade`` is not forwarded, so the server would respond as to a plain request and
+    the caller would wait for a stream that never opens. Upgrades to HTTP/2 are ignored,
+    as RFC 9110, section 7.8, allows: their callers continue with HTTP/1.1.
     """
     values = headers.getRawHeaders(b"upgrade")
     if not values or b"upgrade" not in connection_options(headers):
         return
-    wanted = {one.strip().lower() for value in values for one in value.split(b",")}
-    if wanted <= {b"h2c", b""}:
+    protocols = {item.strip().lower() for value in values for item in value.split(b",")}
+    if protocols <= {b"h2c", b""}:
         return
     raise Problem(
         status=501,
         title="no upgrade is supported",
         run=Run.NOT_RUN,
-        detail=f"Expected a plain HTTP/1.1 request, got Upgrade: {_shown(values)}",
+        detail=f"Expected a plain HTTP/1.1 request, got Upgrade: {_quoted(values)}",
     )
 
 
-def _shown(values: Sequence[bytes]) -> str:
-    return b", ".join(values)[:MOST_SHOWN_BYTES].decode("latin-1")
+def _quoted(values: Sequence[bytes]) -> str:
+    return b", ".join(values)[:MAX_QUOTED_BYTES].decode("latin-1")
 
 
-def _shown_target(facts: RequestFacts) -> str:
-    """Return what rules decide on; a query may hold a caller's data and is left out."""
-    return f"{facts.method} {facts.host}{facts.path}"[:MOST_SHOWN_BYTES]
+def _quoted_target(facts: RequestFacts) -> str:
+    """Return the target without its query, which may contain the caller's data."""
+    return f"{facts.method} {facts.host}{facts.path}"[:MAX_QUOTED_BYTES]
 
 
-def _caller_of(request: CallerRequest) -> str:
-    """Return the caller's address, as the platform's balancer saw it.
+def _caller_address(request: CallerRequest) -> str:
+    """Return the caller's address as reported by the platform's load balancer.
 
-    The balancer adds the address that it saw at the end; what stands before was
-    written by the caller, who could pose as many callers and take many shares.
+    The balancer appends the address. Earlier entries come from the caller, who could
+    use them to pose as several callers and get several shares.
     """
     values = request.requestHeaders.getRawHeaders(b"x-forwarded-for")
     if values:
@@ -267,13 +267,13 @@
     return str(request.getClientAddress().host)
 
 
-def _repeat_key(request: CallerRequest, match: RuleMatch) -> RepeatKey | None:
+def _idempotency_key(request: CallerRequest, match: RuleMatch) -> IdempotencyKey | None:
     values = request.requestHeaders.getRawHeaders(b"idempotency-key")
     if not values or request.method in SAFE_METHODS:
         return None
     target = request.method + b" " + request.uri
-    return RepeatKey(
-        scope=f"{match.service}/{_caller_of(request)}",
+    return IdempotencyKey(
+        scope=f"{match.service}/{_caller_address(request)}",
         key=values[0].decode("latin-1"),
         fingerprint=target.decode("latin-1"),
     )
--- a/src/gentianwharf/relay/_leg.py
+++ b/src/gentianwharf/relay/_attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one server, up to the head of its answer."""
+"""One attempt to send a request to a server, up to the head of the response."""
 
 from typing import Any, cast, final
 
@@ -11,51 +11,51 @@
 from gentianwharf.runs import Run
 from gentianwharf.topology import BackendServer
 
-from ._answer import check_request_id, has_provable_end
 from ._caller_request import CallerRequest
 from ._connections import ServerConnection, ServerConnectionPool
 from ._deadline import RemainingTime, remaining_time
 from ._header_codec import HeaderCodec, ServerRefusal
-from ._headers import passed_on, set_fields
+from ._headers import forwarded_headers, set_fields
 from ._ports import Admission, Outcome, Owner, Ticket
 from ._problem import Problem
+from ._response import check_request_id, has_detectable_end
 
 DEFAULT_RETRY_AFTER_S = 1.0
 
 
-class LegError(Exception):
-    """A leg that brought no answer; ``problem`` is for the caller.
+class AttemptError(Exception):
+    """An attempt that brought no response; ``problem`` is sent to the caller.
 
-    ``shed_s`` is for how long a server that sheds said that it wants no work, None
-    where it named no time.
+    ``retry_after_s`` is the delay that a server that shed the request asked for, None
+    if it named no delay.
     """
 
     def __init__(
-        self, *, outcome: Outcome, problem: Problem, shed_s: float | None = None
+        self, *, outcome: Outcome, problem: Problem, retry_after_s: float | None = None
     ) -> None:
         super().__init__(problem.title)
         self.outcome = outcome
         self.problem = problem
-        self.shed_s = shed_s
+        self.retry_after_s = retry_after_s
 
 
 @final
-class NotRunError(LegError):
-    """The request provably did not run; another leg may follow."""
+class NotRunError(AttemptError):
+    """The request provably did not run; another attempt may follow."""
 
 
 @final
-class LostError(LegError):
-    """The request may have run; another leg may follow if it is repeatable."""
+class LostError(AttemptError):
+    """The request may have run; another attempt may follow if it is repeatable."""
 
 
 @final
-class FinalError(LegError):
-    """Another leg would end the same way."""
+class FinalError(AttemptError):
+    """The request must not be sent again, since the outcome would be the same."""
 
 
-class Leg:
-    """Sends the request on one connection and checks the answer's head."""
+class Attempt:
+    """Sends the request on one connection and checks the head of the response."""
 
     def __init__(
         self,
@@ -85,24 +85,24 @@
 
     @property
     def elapsed_s(self) -> float:
-        """Seconds since the leg began."""
+        """Seconds since the attempt began."""
         return float(self._reactor.seconds() - self.begun_s)
 
     @property
-    def reused(self) -> bool:
+    def is_reused(self) -> bool:
         """Whether the connection had carried an earlier request."""
         return self.connection is not None and self.connection.requests > 1
 
     async def run(self) -> Response:
-        """Return the answer's head; raises ``LegError``."""
+        """Return the response once its head has arrived; raises ``AttemptError``."""
         connection = await self._connect()
         self.connection = connection
         response = await self._send(connection)
-        self._note_load(response)
+        self._record_load(response)
         self._check(connection, response)
         return response
 
-    def _note_load(self, response: Response) -> None:
+    def _record_load(self, response: Response) -> None:
         load = self._codec.load(response.headers)
         if load is not None:
             has_run = self._codec.refusal(response) is None
@@ -110,12 +110,15 @@
             self._admission.note_load(self.server, load, elapsed_s)
 
     def abort(self) -> None:
-        """Close the connection: that tells the server, and no late answer is read."""
+        """Close the connection.
+
+        This signals the cancellation to the server and discards a late response.
+        """
         if self.connection is not None:
             self.connection.abort_now()
 
-    def retire_silent_connections(self) -> None:
-        """Trust no older connection to this server any more."""
+    def retire_connections(self) -> None:
+        """Close the existing connections to this server once they are idle."""
         self._connections.retire_all()
 
     async def _connect(self) -> ServerConnection:
@@ -124,8 +127,8 @@
         except PeerUnavailableError as error:
             raise NotRunError(
                 outcome=Outcome.CONNECT_FAILED,
-                # 503 and not 502: callers take it for a promise that nothing ran, and
-                # ask again also where a request must not repeat.
+                # 503 and not 502: callers rely on a 503 to mean that nothing ran, and
+                # also retry requests that must not run twice.
                 problem=Problem(
                     status=503,
                     title="the server can't be reached",
@@ -146,24 +149,26 @@
                 problem=self._not_run("no time was left to run the request"),
             )
         self.is_sent = True
-        answer = connection.send_request(
+        response = connection.send_request(
             method=self._request.method,
             uri=self._request.uri,
             headers=self._headers(remaining),
             body=self._request.body,
         )
         timeout = Timeout(
-            clock=self._reactor, delay_s=remaining.duration_s, expire=answer.cancel
+            clock=self._reactor, delay_s=remaining.duration_s, expire=response.cancel
         )
         try:
-            return await answer
+            return await response
         except RequestNotSent as error:
             raise NotRunError(
                 outcome=Outcome.CONNECT_FAILED,
                 problem=self._not_run("the connection was closed"),
             ) from error
         except CancelledError as error:
-            raise self._cancelled(connection, timed_out=timeout.expired) from error
+            raise self._cancellation_error(
+                connection, timed_out=timeout.expired
+            ) from error
         except Exception as error:
             connection.abort_now()
             raise LostError(
@@ -173,14 +178,16 @@
         finally:
             timeout.stop()
 
-    def _cancelled(self, connection: ServerConnection, *, timed_out: bool) -> Exception:
+    def _cancellation_error(
+        self, connection: ServerConnection, *, timed_out: bool
+    ) -> Exception:
         connection.abort_now()
         if not timed_out:
             return CancelledError()
-        if self.reused:
-            # Perhaps the server is slow; perhaps a middlebox has lost track of this
-            # connection, and then most likely of the others that are as old.
-            self.retire_silent_connections()
+        if self.is_reused:
+            # The server may be slow, or a middlebox may have dropped the state of this
+            # connection, and then most likely that of the others of the same age.
+            self.retire_connections()
         return LostError(
             outcome=Outcome.TIMED_OUT,
             problem=self._unknown(504, "no answer by the deadline"),
@@ -193,7 +200,7 @@
 
     def _headers(self, remaining: RemainingTime) -> Headers:
         codec = self._codec
-        headers = passed_on(self._request.requestHeaders, codec.is_forwarded)
+        headers = forwarded_headers(self._request.requestHeaders, codec.is_forwarded)
         fields = codec.request_fields(self._ticket, self.server, self._owner, remaining)
         set_fields(headers, fields)
         return headers
@@ -216,8 +223,8 @@
         if refusal is not None:
             if cast(Any, response.length) != 0:
                 connection.abort_now()
-            raise self._refused_by_server(refusal)
-        if not has_provable_end(connection, response):
+            raise self._refusal_error(refusal)
+        if not has_detectable_end(connection, response):
             connection.abort_now()
             raise FinalError(
                 outcome=Outcome.LOST,
@@ -230,14 +237,14 @@
                 ),
             )
 
-    def _refused_by_server(self, refusal: ServerRefusal) -> NotRunError:
-        named_s = refusal.retry_after_s
+    def _refusal_error(self, refusal: ServerRefusal) -> NotRunError:
+        retry_after_s = refusal.retry_after_s
         return NotRunError(
-            shed_s=named_s,
+            retry_after_s=retry_after_s,
             outcome=Outcome.NOT_OWNER if refusal.not_owner else Outcome.SHED,
             problem=self._not_run(
                 "the server refused the request without running it",
-                retry_after_s=named_s or DEFAULT_RETRY_AFTER_S,
+                retry_after_s=retry_after_s or DEFAULT_RETRY_AFTER_S,
             ),
         )
 
@@ -270,6 +277,6 @@
         )
 
 
-def run_leg(leg: Leg) -> "Deferred[Response]":
-    """Start a leg; cancelling the result ends it."""
-    return Deferred.fromCoroutine(leg.run())
+def run_attempt(attempt: Attempt) -> "Deferred[Response]":
+    """Start an attempt; cancelling the result cancels it."""
+    return Deferred.fromCoroutine(attempt.run())
--- a/src/gentianwharf/relay/_connections.py
+++ b/src/gentianwharf/relay/_connections.py
@@ -1,8 +1,8 @@
-"""Kept connections to one backend server.
+"""Persistent connections to one backend server.
 
-A connection carries one request at a time and is kept only after a whole answer.
-One that timed out, was cancelled or holds an unfinished answer is aborted, so that
-a late answer can never be taken for the answer to another request.
+A connection carries one request at a time and is reused only after a complete response.
+After a timeout, a cancellation or an incomplete response it is aborted, so that a late
+response can't be read as the response to another request.
 """
 
 import socket
@@ -28,14 +28,15 @@
 
 __all__ = ["ServerConnection", "ServerConnectionPool"]
 
-# Loopback and rack round trips take well under a millisecond and opening 1 ms; a
-# SYN that is lost is repeated after 1 s, so anything longer waits for a dead host.
+# Round trips on loopback and within a rack take well under 1 ms, and connecting takes
+# 1 ms. A lost SYN is retransmitted after 1 s, so a longer timeout only waits for hosts
+# that are down.
 CONNECT_TIMEOUT_S = 0.5
-# Firewalls and balancers commonly discard idle connections after a minute or more; a
-# connection unused for longer than this is closed instead of trusted.
-MOST_IDLE_S = 15.0
-# Probes begin after 4 s of silence, two seconds apart; two without an answer end the
-# connection, so that one gone silent lives for 8 s at most, within the idle limit.
+# Firewalls and load balancers commonly discard idle connections after a minute or more.
+# A connection that was idle for longer than this is closed instead of reused.
+MAX_IDLE_S = 15.0
+# Keep-alive probes start after 4 s without data, 2 s apart. The kernel closes the
+# connection after two unanswered probes, that is within 8 s and thus within MAX_IDLE_S.
 KEEPALIVE = {
     socket.TCP_KEEPIDLE: 4,
     socket.TCP_KEEPINTVL: 2,
@@ -44,12 +45,12 @@
 
 
 HTTP_1_0 = (1, 0)
-# Heads of answers are some hundred bytes, with early hints a few thousand.
-MOST_ANSWER_HEAD_BYTES = 65_536
+# Response heads have some hundred bytes, or a few thousand with early hints.
+MAX_RESPONSE_HEAD_BYTES = 65_536
 
 
-class _Sent(ServerRequest):
-    """A request whose head is written in one piece."""
+class _OneWriteRequest(ServerRequest):
+    """A request whose head is written to the transport in one call."""
 
     def _writeHeaders(self, transport: Any, length: bytes | None) -> None:  # noqa: N802
         super()._writeHeaders(JoinedLines(transport=transport), length)
@@ -64,14 +65,14 @@
         self.idle_since_s = 0.0
         self.requests = 0
         self.retired = False
-        self._answered: Deferred[Response] | None = None
+        self._pending: Deferred[Response] | None = None
         self._head_bytes = 0
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Let the kernel probe the connection while it is idle.
+        """Enable TCP keep-alive probes.
 
-        A middlebox that has lost track of it answers no probe: the connection is
-        closed while it is idle, and not found silent by a request.
+        If a middlebox has dropped the state of the connection, the probes fail and the
+        connection is closed while it is idle, before a request is sent on it.
         """
         super().connectionMade()
         handle = cast(Any, self.transport).getHandle()
@@ -82,47 +83,46 @@
     def connectionLost(  # noqa: N802
         self, reason: Failure = connectionDone
     ) -> None:
-        """Forget the connection, wherever it was."""
+        """Remove the connection from the pool."""
         self.pool.discard(self)
         super().connectionLost(reason)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take data, and give up on a server whose answer's head has no end.
+        """Parse data, and fail the request if the head of the response is too large.
 
-        Twisted bounds each line, but neither their number nor that of informational
-        answers: a mad server would fill the memory and keep the loop busy until the
-        request's deadline.
+        Twisted limits the length of a line, but not the number of lines or of
+        informational responses. A faulty server could otherwise exhaust the memory and
+        keep the loop busy until the request's deadline.
         """
         super().dataReceived(data)
-        answered = self._answered
-        if answered is None or answered.called:
+        pending = self._pending
+        if pending is None or pending.called:
             return
         self._head_bytes += len(data)
-        if self._head_bytes > MOST_ANSWER_HEAD_BYTES:
-            answered.errback(self._endless_head())
+        if self._head_bytes > MAX_RESPONSE_HEAD_BYTES:
+            pending.errback(self._oversized_head_error())
             self.abort_now()
 
-    def _endless_head(self) -> PeerMismatchError:
+    def _oversized_head_error(self) -> PeerMismatchError:
         return PeerMismatchError(
-            f"expected an answer's head within {MOST_ANSWER_HEAD_BYTES} bytes, got"
+            f"expected an answer's head within {MAX_RESPONSE_HEAD_BYTES} bytes, got"
             f" {self._head_bytes} without its end",
             step="read-answer",
             peer=self.pool.server.address,
         )
 
     def _finishResponse(self, rest: bytes) -> None:  # noqa: N802
-        # A server that sends more than its answer is out of step: what follows would
-        # be read as the answer to the next request, and Twisted drops only the part
-        # that is here already.
-        if rest or self._will_close():
+        # Data after the end of the response would be read as the response to the next
+        # request. Twisted drops only the part that has already arrived.
+        if rest or self._server_closes():
             self.retired = True
         super()._finishResponse(rest)
 
-    def _will_close(self) -> bool:
-        """Whether the server closes after this answer.
+    def _server_closes(self) -> bool:
+        """Return whether the server closes the connection after this response.
 
-        Twisted knows the word ``close`` alone and in lower case. A request sent on such
-        a connection is lost, and its outcome unknown.
+        Twisted recognizes ``close`` only in lower case and as the only option. A
+        request sent on such a connection would be lost and its outcome unknown.
         """
         parser = self._parser
         if parser is None:
@@ -135,51 +135,51 @@
     def send_request(
         self, *, method: bytes, uri: bytes, headers: Headers, body: IBodyProducer | None
     ) -> Deferred[Response]:
-        """Send a request; fires with the answer once its head is here.
+        """Send a request; the result fires once the head of the response has arrived.
 
-        A server may answer before it has read the whole body; Twisted's client
-        reports such an answer only after the upload, which the server may never
-        read. So the answer is taken from the parser as soon as it has its head.
+        A server may respond before it has read the whole body. Twisted's client reports
+        such a response only after the upload, which the server may never read, so the
+        response is taken from the parser as soon as its head is complete.
         """
         self.requests += 1
-        request = _Sent._construct(method, uri, headers, body, True)
-        answered: Deferred[Response] = Deferred(lambda _: self.abort_now())
-        self._answered, self._head_bytes = answered, 0
+        request = _OneWriteRequest._construct(method, uri, headers, body, True)
+        pending: Deferred[Response] = Deferred(lambda _: self.abort_now())
+        self._pending, self._head_bytes = pending, 0
         sent = cast("Deferred[Response]", self.request(request))
         early = getattr(self, "_responseDeferred", None)
         if early is not None:
-            early.addCallback(_tee, answered)
+            early.addCallback(_copy_response, pending)
         sent.addCallbacks(
-            lambda response: _fire(answered, response),
-            lambda failure: _fail(answered, failure),
+            lambda response: _deliver(pending, response),
+            lambda failure: _deliver_failure(pending, failure),
         )
         send_now(self.transport)
-        return answered
+        return pending
 
     def abort_now(self) -> None:
-        """Close at once; whatever answer is still to come is never read."""
+        """Close the connection immediately, without reading a pending response."""
         self.retired = True
         if self.transport is not None:
             cast(ITCPTransport, self.transport).abortConnection()
 
 
-def _tee(response: Response, answered: "Deferred[Response]") -> Response:
-    _fire(answered, response)
+def _copy_response(response: Response, pending: "Deferred[Response]") -> Response:
+    _deliver(pending, response)
     return response
 
 
-def _fire(answered: "Deferred[Response]", response: Response) -> None:
-    if not answered.called:
-        answered.callback(response)
+def _deliver(pending: "Deferred[Response]", response: Response) -> None:
+    if not pending.called:
+        pending.callback(response)
 
 
-def _fail(answered: "Deferred[Response]", failure: Any) -> None:
-    if not answered.called:
-        answered.errback(failure)
+def _deliver_failure(pending: "Deferred[Response]", failure: Any) -> None:
+    if not pending.called:
+        pending.errback(failure)
 
 
 class ServerConnectionPool:
-    """The connections of this daemon to one backend server."""
+    """The connections of a daemon to one backend server."""
 
     def __init__(self, *, server: BackendServer, reactor: Any) -> None:
         self.server = server
@@ -188,14 +188,14 @@
         self._reactor = reactor
         self._clock: IReactorTime = reactor
         self._idle: deque[ServerConnection] = deque()
-        self._all: set[ServerConnection] = set()
+        self._open: set[ServerConnection] = set()
         self._connecting = 0
 
     def update_server(self, server: BackendServer) -> None:
-        """Take what is now known of the server; call ``set_daemon_count`` after it.
+        """Apply changed data of the server; call ``set_daemon_count`` afterwards.
 
-        A server may start again under its id at another address. Connections to the old
-        one are closed: it may be another server's by now.
+        A server may restart under its id at another address. Connections to the old
+        address are closed, since another server may be using it by now.
         """
         moved = server.address != self.server.address
         self.server = server
@@ -203,34 +203,34 @@
             self.retire_all()
 
     def set_daemon_count(self, daemons: int) -> None:
-        """Take an equal part of what the server accepts from all daemons.
+        """Limit this pool to an equal share of the server's connections.
 
-        The list of hosts tells how many there are, so nobody has to be asked; what
-        one daemon does not use, another can't borrow, since a server that is out of
-        connections refuses everybody.
+        The number of daemons comes from the list of hosts, so the daemons need not
+        coordinate. A daemon can't use another one's unused share, since a server that
+        runs out of connections refuses all daemons.
         """
         self.max_connections = max(1, self.server.connections // max(1, daemons))
 
     def __len__(self) -> int:
-        return len(self._all) + self._connecting
+        return len(self._open) + self._connecting
 
     async def acquire(self, *, fresh: bool = False) -> ServerConnection:
-        """Return a connection nobody else uses; ``fresh`` asks for a new one.
+        """Return an unused connection; ``fresh`` requests a new one.
 
-        Raises ``PeerUnavailableError``: no byte of any request was sent.
+        Raises ``PeerUnavailableError``, before any byte of a request is sent.
         """
         if not fresh:
-            kept = self._take_idle()
-            if kept is not None:
-                return kept
+            connection = self._acquire_idle()
+            if connection is not None:
+                return connection
         if len(self) >= self.max_connections:
             raise self._unavailable(
                 f"all {self.max_connections} connections are in use"
             )
         return await self._connect()
 
-    def _take_idle(self) -> ServerConnection | None:
-        oldest_s = self._clock.seconds() - MOST_IDLE_S
+    def _acquire_idle(self) -> ServerConnection | None:
+        oldest_s = self._clock.seconds() - MAX_IDLE_S
         while self._idle:
             connection = self._idle.pop()
             if connection.idle_since_s >= oldest_s:
@@ -255,9 +255,9 @@
         finally:
             self._connecting -= 1
         self.opened += 1
-        self._all.add(connection)
+        self._open.add(connection)
         if address != self.server.address:
-            # The server has moved meanwhile: the address may be another one's by now.
+            # The server moved while connecting; another one may be using the address.
             connection.abort_now()
             raise self._unavailable(f"it has left {address}")
         return connection
@@ -266,7 +266,7 @@
         return PeerUnavailableError(message, step="connect", peer=self.server.address)
 
     def release(self, connection: ServerConnection) -> None:
-        """Keep a connection whose answer has come whole."""
+        """Return a connection to the pool after a complete response."""
         if connection.retired:
             connection.abort_now()
             return
@@ -274,27 +274,27 @@
         self._idle.append(connection)
 
     def discard(self, connection: ServerConnection) -> None:
-        """Drop a connection that is closed."""
-        self._all.discard(connection)
+        """Remove a closed connection."""
+        self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
 
     def idle(self) -> tuple[ServerConnection, ...]:
-        """Return the connections that wait for a request."""
+        """Return the idle connections."""
         return tuple(self._idle)
 
     def retire_all(self) -> None:
-        """Close idle connections now and the others after their answers.
+        """Close idle connections now and the others after their responses.
 
-        For when one was found silent for good: what lost track of it, a firewall
-        that restarted for instance, has likely lost track of the others as well.
+        To be called if a connection has stopped working. The cause, such as a firewall
+        restart, is likely to affect the other connections as well.
         """
-        for connection in self._all:
+        for connection in self._open:
             connection.retired = True
         while self._idle:
             self._idle.popleft().abort_now()
 
     def close(self) -> None:
-        """Close everything."""
-        for connection in list(self._all):
+        """Close all connections."""
+        for connection in list(self._open):
             connection.abort_now()
--- a/src/gentianwharf/relay/_exchange.py
+++ b/src/gentianwharf/relay/_exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its head to the end of its answer."""
+"""One caller's request, from its head to the end of the response."""
 
 from dataclasses import replace
 from typing import Any, final
@@ -11,12 +11,12 @@
 from gentianwharf.runs import Run
 from gentianwharf.topology import BackendServer
 
-from ._answer import AnswerBody, write_head
+from ._attempt import Attempt, AttemptError, FinalError, NotRunError
 from ._caller_request import CallerRequest
 from ._connections import ServerConnectionPool
 from ._header_codec import HeaderCodec
-from ._headers import answered_with
-from ._leg import FinalError, Leg, LegError, NotRunError
+from ._headers import response_headers
+from ._idempotency import IdempotencyKey, IdempotentRequests, StoredResponse
 from ._ports import (
     Admission,
     Observer,
@@ -28,23 +28,23 @@
 )
 from ._problem import Problem, write_problem
 from ._race import Race
-from ._repeats import KeptAnswer, RepeatKey, Repeats
-
-# Tries that may have run, of a request that may repeat, where its rule names no number:
-# three reach a working server past two that fail.
-MOST_RUNS = 3
-# Each try needs proof that the one before did not run, or a request that may repeat.
-# Three reach a working server past one that is gone and one that sheds.
-MOST_TRIES = 3
-# Besides: a key that moves is refused by its former holder, and by the next one until
-# that has its grant.
-MOST_MISDIRECTED = 4
-# What is known of a request without an answer that may have run.
-STATUS_UNKNOWN = 502
-# What logs and metrics show for a caller that went away before its answer.
+from ._response import ResponseBody, write_response_head
+
+# Attempts of a repeatable request that may have run, if its rule sets no limit. Three
+# attempts reach a working server after two failures.
+DEFAULT_MAX_RUNS = 3
+# A retry requires proof that the previous try did not run, or a repeatable request.
+# Three tries reach a working server if one is down and one sheds the request.
+MAX_TRIES = 3
+# Not counted in MAX_TRIES: while a key moves, its former owner refuses the request, and
+# so does the new owner until it has its grant.
+MAX_MISDIRECTED = 4
+# Sent for a request that may have run and has no response.
+STATUS_OUTCOME_UNKNOWN = 502
+# Recorded in logs and metrics if the caller disconnects before the response.
 STATUS_CALLER_GONE = 499
 
-FAULT = Problem(
+INTERNAL_ERROR = Problem(
     status=500,
     title="a fault of the router",
     run=Run.UNKNOWN,
@@ -62,7 +62,7 @@
     step="shutdown",
 )
 STOPPING_UNKNOWN = Problem(
-    status=STATUS_UNKNOWN,
+    status=STATUS_OUTCOME_UNKNOWN,
     title="the host is stopping, and the server has not answered",
     run=Run.UNKNOWN,
     detail=(
@@ -75,7 +75,7 @@
 
 @final
 class Exchange:
-    """Serves one request: decides, sends it, and hands the answer back."""
+    """Serves a request: selects a server, sends to it and forwards the response."""
 
     def __init__(
         self,
@@ -88,8 +88,8 @@
         connections: dict[str, ServerConnectionPool],
         observer: Observer,
         codec: HeaderCodec,
-        repeats: Repeats,
-        repeat: RepeatKey | None,
+        idempotent_requests: IdempotentRequests,
+        idempotency_key: IdempotencyKey | None,
         reactor: Any,
     ) -> None:
         self.request = request
@@ -100,9 +100,9 @@
         self._connections = connections
         self._observer = observer
         self._codec = codec
-        self._repeats = repeats
-        self._repeat = repeat
-        self._kept: KeptAnswer | None = None
+        self._idempotent_requests = idempotent_requests
+        self._idempotency_key = idempotency_key
+        self._stored: StoredResponse | None = None
         self._reactor = reactor
         self._begun_s = reactor.seconds()
         self._waited_s = 0.0
@@ -112,39 +112,39 @@
         self._tries = 0
         self._runs = 0
         self._misdirected = 0
-        self._most_runs = match.rule.then.most_tries or MOST_RUNS
+        self._max_runs = match.rule.then.most_tries or DEFAULT_MAX_RUNS
         self._may_have_run = False
-        self._awaits_repeat = False
+        self._awaits_duplicate = False
         self._shutdown_problem: Problem | None = None
         self._done: Deferred[None] | None = None
 
     def start(self) -> "Deferred[None]":
-        """Start serving the request; cancelling the result ends it."""
+        """Start serving the request; cancelling the result cancels it."""
         self._done = Deferred.fromCoroutine(self.serve())
         return self._done
 
     def cancel_for_shutdown(self) -> None:
-        """Stop serving, and send a problem document if no answer has begun."""
+        """Stop serving, and send a problem document if no response has begun."""
         is_sent = self._race is not None and self._race.is_sent
-        may_have_run = is_sent or self._may_have_run or self._awaits_repeat
+        may_have_run = is_sent or self._may_have_run or self._awaits_duplicate
         self._shutdown_problem = STOPPING_UNKNOWN if may_have_run else STOPPING_NOT_RUN
         if self._done is not None:
             self._done.cancel()
 
     async def serve(self) -> None:
-        """Serve the request; every way out answers or breaks the connection."""
+        """Serve the request; always sends a response or aborts the connection."""
         try:
-            if self._repeat is None:
+            if self._idempotency_key is None:
                 await self._serve()
             else:
-                await self._serve_once(self._repeat)
+                await self._serve_idempotent(self._idempotency_key)
         except Problem as problem:
             self.refuse(problem)
         except CancelledError:
-            self._cancelled()
+            self._handle_cancellation()
         except Exception:
-            # A fault of ours must not look like an answer of the server's, and
-            # nothing is known of what it left behind.
+            # An internal error must not look like a response of the server, and the
+            # request may have run.
             log.exception(
                 "request failed",
                 extra={
@@ -153,11 +153,11 @@
                     "peer": "self",
                 },
             )
-            self.refuse(FAULT)
+            self.refuse(INTERNAL_ERROR)
         finally:
             self._admission.discard(self.ticket)
 
-    def _cancelled(self) -> None:
+    def _handle_cancellation(self) -> None:
         if self._shutdown_problem is None:
             self._record(
                 status=STATUS_CALLER_GONE, run=Run.UNKNOWN, reason="caller-gone"
@@ -165,44 +165,44 @@
         else:
             self.refuse(self._shutdown_problem)
 
-    async def _serve_once(self, repeat: RepeatKey) -> None:
-        self._awaits_repeat = True
-        kept = await self._repeats.claim(repeat, self.ticket.request_id)
-        self._awaits_repeat = False
-        if kept is not None:
-            self._give_again(kept)
+    async def _serve_idempotent(self, key: IdempotencyKey) -> None:
+        self._awaits_duplicate = True
+        stored = await self._idempotent_requests.claim(key, self.ticket.request_id)
+        self._awaits_duplicate = False
+        if stored is not None:
+            self._replay(stored)
             return
         try:
             await self._serve()
         except Problem as problem:
             if problem.run is Run.NOT_RUN and not self._may_have_run:
-                self._repeats.forget(repeat)
+                self._idempotent_requests.mark_not_run(key)
             else:
-                self._repeats.settle(repeat, None)
+                self._idempotent_requests.settle(key, None)
             raise
         except BaseException:
-            # The caller went away, or a fault of ours: nobody knows the outcome.
-            self._repeats.settle(repeat, None)
+            # The caller disconnected, or an internal error: the outcome is unknown.
+            self._idempotent_requests.settle(key, None)
             raise
-        self._repeats.settle(repeat, self._kept)
+        self._idempotent_requests.settle(key, self._stored)
 
-    def _give_again(self, kept: KeptAnswer) -> None:
+    def _replay(self, stored: StoredResponse) -> None:
         request = self.request
-        request.setResponseCode(kept.status, kept.phrase)
-        for name, values in kept.headers:
+        request.setResponseCode(stored.status, stored.phrase)
+        for name, values in stored.headers:
             request.responseHeaders.setRawHeaders(name, values)
         request.setHeader(
             self._codec.request_id_header, self.ticket.request_id.encode("latin-1")
         )
-        request.setHeader(b"Content-Length", str(len(kept.body)).encode())
-        request.write(kept.body)
+        request.setHeader(b"Content-Length", str(len(stored.body)).encode())
+        request.write(stored.body)
         request.finish()
-        self._record(status=kept.status, run=Run.RUN, reason="answer-given-again")
+        self._record(status=stored.status, run=Run.RUN, reason="answer-given-again")
 
     def hedge(self, server: BackendServer) -> None:
-        """Send the request a second time, beside the first."""
+        """Send the request a second time, concurrently with the first attempt."""
         race = self._race
-        may_run_twice = self._runs + 2 <= self._most_runs
+        may_run_twice = self._runs + 2 <= self._max_runs
         if (
             race is None
             or race.decided
@@ -211,14 +211,14 @@
         ):
             self._admission.finished(self.ticket, server, Outcome.CANCELLED, 0.0)
             return
-        race.start(self._leg(server, fresh=server == self._server))
+        race.start(self._new_attempt(server, fresh=server == self._server))
 
     def refuse(self, problem: Problem) -> None:
-        """Answer with a problem document at once."""
+        """Respond with a problem document."""
         if self._may_have_run and problem.run is Run.NOT_RUN:
-            # The last try did not run; an earlier one, of a repeatable request, may.
-            # Callers take a 503 for a promise that nothing ran.
-            problem = replace(problem, status=STATUS_UNKNOWN, run=Run.UNKNOWN)
+            # The last try did not run, but an earlier one of a repeatable request may
+            # have run. Callers rely on a 503 to mean that nothing ran.
+            problem = replace(problem, status=STATUS_OUTCOME_UNKNOWN, run=Run.UNKNOWN)
         if not self.request._disconnected and not self.request.startedWriting:
             write_problem(
                 self.request,
@@ -235,29 +235,29 @@
         )
 
     async def _serve(self) -> None:
-        error: LegError | None = None
+        error: AttemptError | None = None
         while True:
             server = await self._admit(error)
             try:
-                leg, response = await self._run(server)
+                attempt, response = await self._run(server)
             except FinalError as failed:
-                self._learn(failed)
+                self._record_failure(failed)
                 raise failed.problem from failed
-            except LegError as failed:
-                self._learn(failed)
-                if not self._may_try_again(failed):
+            except AttemptError as failed:
+                self._record_failure(failed)
+                if not self._may_retry(failed):
                     raise failed.problem from failed
                 error = failed
             else:
-                await self._hand_back(leg, response)
+                await self._forward_response(attempt, response)
                 return
 
-    async def _admit(self, error: LegError | None) -> BackendServer:
+    async def _admit(self, error: AttemptError | None) -> BackendServer:
         self._tries += 1
         self._owner = None
         if self.ticket.shard is not None:
             self._owner = await self._ownership.owner(self.ticket)
-        owner = self._owner.server if self._owner else self._same_server()
+        owner = self._owner.server if self._owner else self._server_for_key()
         if error is None or self._server is None:
             server = await self._admission.admit(self.ticket, owner, self.hedge)
             self._waited_s = self._reactor.seconds() - self._begun_s
@@ -266,18 +266,19 @@
         self._server = server
         return server
 
-    def _same_server(self) -> BackendServer | None:
-        """Return the one server that may run a repeated request of any daemon.
+    def _server_for_key(self) -> BackendServer | None:
+        """Return the server that every daemon selects for the idempotency key.
 
-        Without it a request that is repeated through another daemon would run on
-        another server, which has not seen its idempotency key.
+        Otherwise a repeat through another daemon would run on a second server.
         """
-        if self._repeat is None:
+        if self._idempotency_key is None:
             return None
-        return self._admission.server_for_key(self.ticket.service, self._repeat.key)
+        return self._admission.server_for_key(
+            self.ticket.service, self._idempotency_key.key
+        )
 
     async def _admit_retry(
-        self, error: LegError, owner: BackendServer | None, avoid: BackendServer
+        self, error: AttemptError, owner: BackendServer | None, avoid: BackendServer
     ) -> BackendServer:
         try:
             return await self._admission.admit_retry(
@@ -286,14 +287,14 @@
         except Problem as refusal:
             raise error.problem from refusal
 
-    async def _run(self, server: BackendServer) -> tuple[Leg, Response]:
+    async def _run(self, server: BackendServer) -> tuple[Attempt, Response]:
         race = Race(ticket=self.ticket, admission=self._admission)
         self._race = race
-        race.start(self._leg(server))
+        race.start(self._new_attempt(server))
         return await race.winner()
 
-    def _leg(self, server: BackendServer, *, fresh: bool = False) -> Leg:
-        return Leg(
+    def _new_attempt(self, server: BackendServer, *, fresh: bool = False) -> Attempt:
+        return Attempt(
             request=self.request,
             ticket=self.ticket,
             server=server,
@@ -305,19 +306,19 @@
             fresh=fresh,
         )
 
-    def _learn(self, error: LegError) -> None:
-        lost_legs = self._race.lost_legs if self._race is not None else 0
-        if lost_legs:
+    def _record_failure(self, error: AttemptError) -> None:
+        lost_attempts = self._race.lost_attempts if self._race is not None else 0
+        if lost_attempts:
             self._may_have_run = True
-            self._runs += lost_legs
+            self._runs += lost_attempts
         if error.outcome is Outcome.NOT_OWNER and self._owner is not None:
             self._misdirected += 1
             self._ownership.report_not_owner(self.ticket, self._owner)
 
-    def _may_try_again(self, error: LegError) -> bool:
-        if self._misdirected > MOST_MISDIRECTED or self._runs >= self._most_runs:
+    def _may_retry(self, error: AttemptError) -> bool:
+        if self._misdirected > MAX_MISDIRECTED or self._runs >= self._max_runs:
             return False
-        if self._tries - self._misdirected >= MOST_TRIES:
+        if self._tries - self._misdirected >= MAX_TRIES:
             return False
         if self._reactor.seconds() >= self.ticket.deadline_s:
             return False
@@ -326,42 +327,43 @@
             return False
         return isinstance(error, NotRunError) or self.ticket.repeatable
 
-    async def _hand_back(self, leg: Leg, response: Response) -> None:
-        self._server = leg.server
+    async def _forward_response(self, attempt: Attempt, response: Response) -> None:
+        self._server = attempt.server
         outcome = Outcome.CANCELLED
         try:
-            if await self._write_answer(leg, response):
+            if await self._write_response(attempt, response):
                 outcome = Outcome.ANSWERED
         finally:
-            self._admission.finished(self.ticket, leg.server, outcome, leg.elapsed_s)
+            self._admission.finished(
+                self.ticket, attempt.server, outcome, attempt.elapsed_s
+            )
 
-    async def _write_answer(self, leg: Leg, response: Response) -> bool:
+    async def _write_response(self, attempt: Attempt, response: Response) -> bool:
         request = self.request
         if request._disconnected:
-            leg.abort()
+            attempt.abort()
             return False
-        write_head(
-            request,
-            response,
-            request_id=self.ticket.request_id,
-            codec=self._codec,
+        write_response_head(
+            request, response, request_id=self.ticket.request_id, codec=self._codec
         )
-        body = AnswerBody(
-            request=request, clock=self._reactor, keep=self._repeat is not None
+        body = ResponseBody(
+            request=request,
+            clock=self._reactor,
+            store=self._idempotency_key is not None,
         )
         response.deliverBody(body)
-        body.watch()
+        body.start_stall_timer()
         try:
-            whole = await body.done
+            complete = await body.done
         except CancelledError:
-            leg.abort()
+            attempt.abort()
             raise
-        if not whole:
-            leg.abort()
+        if not complete:
+            attempt.abort()
             self._record(status=response.code, run=Run.RUN, reason="answer-cut")
             return False
-        if body.kept is not None:
-            self._kept = _kept(response, bytes(body.kept), self._codec)
+        if body.stored is not None:
+            self._stored = _to_stored(response, bytes(body.stored), self._codec)
         if not request._disconnected:
             request.send_now()
             request.finish()
@@ -389,13 +391,13 @@
         )
 
 
-def _kept(response: Response, body: bytes, codec: HeaderCodec) -> KeptAnswer:
-    return KeptAnswer(
+def _to_stored(response: Response, body: bytes, codec: HeaderCodec) -> StoredResponse:
+    return StoredResponse(
         status=response.code,
         phrase=response.phrase,
         headers=tuple(
             (name, tuple(values))
-            for name, values in answered_with(
+            for name, values in response_headers(
                 response.headers, codec.is_forwarded
             ).items()
         ),
--- a/src/gentianwharf/relay/_header_codec.py
+++ b/src/gentianwharf/relay/_header_codec.py
@@ -16,17 +16,17 @@
 from ._deadline import RemainingTime
 from ._ports import Owner, ServerLoad, Ticket
 
-# The status by which a server that is not the owner refuses a request without running
-# it, if it also says so in a header; any other such refusal is shedding or leaving.
+# Together with the header for "not run", this status means that the server is not the
+# owner. With any other status, the server is shedding load or shutting down.
 STATUS_NOT_OWNER = 421
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerRefusal:
-    """A server's word that it did not run a request.
+    """A response by which a server states that it did not run the request.
 
-    ``retry_after_s`` is for how long it wants no work, None where it named no time.
+    ``retry_after_s`` is the delay that it asks for, None if it names no delay.
     """
 
     not_owner: bool
@@ -34,19 +34,19 @@
 
 
 class HeaderCodec(Protocol):
-    """The spelling of what the router and its neighbours tell each other."""
+    """Reads and writes the headers for the relay's own data."""
 
     request_id_header: bytes
-    """The header that names a request towards callers, in Twisted's case."""
+    """The header with a request's id in responses to callers, in Twisted's case."""
 
     def request_id(self, headers: Headers) -> str | None:
-        """Return the id that the caller gave its request, None to make one up."""
+        """Return the id that the caller gave its request, None to generate one."""
 
     def caller_timeout_s(self, headers: Headers) -> float | None:
-        """Return for how long the caller waits, None when it does not say."""
+        """Return how long the caller waits, None if the request does not state it."""
 
     def is_forwarded(self, name: bytes) -> bool:
-        """Say whether an end-to-end header of this lower-case name is passed on."""
+        """Return whether an end-to-end header of this lower-case name is forwarded."""
 
     def request_fields(
         self,
@@ -55,19 +55,19 @@
         owner: Owner | None,
         remaining: RemainingTime,
     ) -> dict[bytes, list[bytes]]:
-        """Return the headers that the router sets for a server, in Twisted's case."""
+        """Return the headers that the router adds to a request, in Twisted's case."""
 
     def echoed_request_id(self, headers: Headers) -> bytes | None:
-        """Return which request a server's answer says it belongs to."""
+        """Return the request id in a server's response, None if it has none."""
 
     def refusal(self, response: Response) -> ServerRefusal | None:
-        """Return a server's refusal, None for an answer of a request that ran."""
+        """Return a server's refusal, None if the request ran."""
 
     def load(self, headers: Headers) -> ServerLoad | None:
-        """Return what an answer tells of its server's load."""
+        """Return the server's load as reported in a response, None if it is not."""
 
     def retry_after(self, delay_s: float) -> bytes:
-        """Return when to come back, as callers read it."""
+        """Return the value of ``Retry-After`` for callers."""
 
 
 @final
@@ -77,16 +77,16 @@
     request_id_header = names.REQUEST_ID
 
     def request_id(self, headers: Headers) -> str | None:
-        """Let the router make an id up: a caller could repeat another's."""
+        """Have the router generate the id, since a caller could reuse another's."""
         return None
 
     def caller_timeout_s(self, headers: Headers) -> float | None:
-        """Leave deadlines to the rules."""
+        """Return None: deadlines are set by the rules."""
         return None
 
     def is_forwarded(self, name: bytes) -> bool:
-        """Keep callers from posing as the router towards a server."""
-        return not name.startswith(names.OWN_PREFIX)
+        """Drop headers with which a caller could pose as the router to a server."""
+        return not name.startswith(names.ROUTER_PREFIX)
 
     def request_fields(
         self,
@@ -105,18 +105,18 @@
             fields[names.SHARD] = [b"%d" % owner.shard]
             fields[names.TOKEN] = [b"%d" % owner.token]
         if ticket.key is not None:
-            # A caller's own words: through the setter, which takes line breaks out.
+            # The key comes from the caller; the constructor removes line breaks.
             key = Headers({names.KEY: [ticket.key.encode()]})
             fields[names.KEY] = list(key.getRawHeaders(names.KEY) or ())
         return fields
 
     def echoed_request_id(self, headers: Headers) -> bytes | None:
-        """Return the echoed id; two different ones are no request's."""
+        """Return the echoed id; several are joined, so that they match no request."""
         echoed = headers.getRawHeaders(names.REQUEST_ID)
         return b", ".join(echoed) if echoed else None
 
     def refusal(self, response: Response) -> ServerRefusal | None:
-        """Return the refusal of a server that says that it did not run."""
+        """Return the refusal of a server that states that the request did not run."""
         if response.headers.getRawHeaders(names.RUN) != [b"not-run"]:
             return None
         not_owner = response.code == STATUS_NOT_OWNER
@@ -124,11 +124,11 @@
         return ServerRefusal(not_owner=not_owner, retry_after_s=named_s)
 
     def load(self, headers: Headers) -> ServerLoad | None:
-        """Return nothing: servers report their load elsewhere."""
+        """Return None: servers report their load elsewhere."""
         return None
 
     def retry_after(self, delay_s: float) -> bytes:
-        """Round up to whole seconds, as RFC 9110 has them."""
+        """Round up to whole seconds, the unit of RFC 9110."""
         return b"%d" % max(1, -int(-delay_s // 1))
 
 
--- a/src/gentianwharf/relay/_headers.py
+++ b/src/gentianwharf/relay/_headers.py
@@ -1,4 +1,4 @@
-"""Which headers pass between caller and backend server."""
+"""Selects the headers that are forwarded between caller and backend server."""
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from functools import lru_cache
@@ -8,7 +8,7 @@
 
 from gentianwharf.matching import RequestFacts
 
-# RFC 9110, section 7.6.1: these speak of one connection only.
+# RFC 9110, section 7.6.1: these apply to a single connection.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -22,11 +22,12 @@
         b"upgrade",
     }
 )
-# A caller must not be able to pose as the router towards a backend server.
-OWN_PREFIX = b"gentianwharf-"
+# Callers' headers with this prefix are dropped: a caller must not be able to pose as
+# the router to a backend server.
+ROUTER_PREFIX = b"gentianwharf-"
 KEY_HEADER = b"gentianwharf-key"
 
-# In the case that Twisted gives to names, as all names below.
+# Names are in the case to which Twisted normalizes them.
 CONTENT_LENGTH = b"Content-Length"
 REQUEST_ID = b"Gentianwharf-Request-Id"
 SERVICE = b"Gentianwharf-Service"
@@ -38,13 +39,14 @@
 
 
 NameFilter = Callable[[bytes], bool]
-"""Says whether a header of this lower-case name may pass the router."""
+"""Returns whether a header with this lower-case name may be forwarded."""
 
-# Few names come again and again; a caller that invents names can't fill the memory.
-MOST_KNOWN_NAMES = 1024
+# Most requests use the same few names. The limit bounds memory if a caller sends
+# invented ones.
+MAX_CACHED_NAMES = 1024
 
 
-@lru_cache(maxsize=MOST_KNOWN_NAMES)
+@lru_cache(maxsize=MAX_CACHED_NAMES)
 def _is_end_to_end(name: bytes, is_forwarded: NameFilter) -> bool:
     lower = name.lower()
     return lower not in HOP_BY_HOP and is_forwarded(lower)
@@ -62,35 +64,36 @@
 
 
 def set_fields(headers: Headers, fields: dict[bytes, list[bytes]]) -> None:
-    """Set names and values that were checked before.
+    """Set headers whose names and values have been validated.
 
-    ``Headers`` looks at each name and value again, line break by line break, which
-    was 4 % of a request's processor time. Only for what a Twisted parser has let
-    pass, and for what the router itself writes; names in Twisted's case.
+    Skips the validation in ``Headers``, which took 4 % of a request's CPU time. Use
+    only for headers that a Twisted parser has accepted or that the router writes, with
+    names in Twisted's case.
     """
     headers._rawHeaders.update(fields)
 
 
-def passed_on(headers: Headers, is_forwarded: NameFilter) -> Headers:
+def forwarded_headers(headers: Headers, is_forwarded: NameFilter) -> Headers:
     """Return the end-to-end headers of a caller's request.
 
-    >>> kept = passed_on(Headers({b"Connection": [b"x-mine"], b"X-Mine": [b"1"],
-    ...     b"Traceparent": [b"00-1"], b"Te": [b"trailers"]}), lambda name: True)
-    >>> sorted(name for name, _ in kept.getAllRawHeaders())
+    >>> received = Headers({b"Connection": [b"x-mine"], b"X-Mine": [b"1"],
+    ...     b"Traceparent": [b"00-1"], b"Te": [b"trailers"]})
+    >>> forwarded = forwarded_headers(received, lambda name: True)
+    >>> sorted(name for name, _ in forwarded.getAllRawHeaders())
     [b'Traceparent']
     """
-    kept = dict(_end_to_end(headers, is_forwarded))
-    # Written anew from the body's length.
-    kept.pop(CONTENT_LENGTH, None)
-    passed = Headers()
-    set_fields(passed, kept)
-    return passed
+    fields = dict(_end_to_end(headers, is_forwarded))
+    # Twisted's client sets it from the length of the body.
+    fields.pop(CONTENT_LENGTH, None)
+    forwarded = Headers()
+    set_fields(forwarded, fields)
+    return forwarded
 
 
-def answered_with(
+def response_headers(
     headers: Headers, is_forwarded: NameFilter
 ) -> dict[bytes, list[bytes]]:
-    """Return the end-to-end headers of a server's answer."""
+    """Return the end-to-end headers of a server's response."""
     return dict(_end_to_end(headers, is_forwarded))
 
 
@@ -104,12 +107,12 @@
     )
 
 
-def facts_of(method: bytes, uri: bytes, headers: Headers) -> RequestFacts:
-    """Return what rules may look at, as UTF-8 text."""
+def request_facts(method: bytes, uri: bytes, headers: Headers) -> RequestFacts:
+    """Return the parts of a request that rules can match on, as UTF-8 text."""
     path, _, query = uri.partition(b"?")
     return RequestFacts(
         method=_text(method),
-        host=_host_name(_first(headers, b"host")),
+        host=_host_name(_first_value(headers, b"host")),
         path=_text(path),
         query=_text(query),
         headers=_HeaderText(headers),
@@ -118,7 +121,7 @@
 
 @final
 class _HeaderText(Mapping[str, str]):
-    """Headers as text by their lower-case names; each is decoded when a rule asks.
+    """Headers as text by their lower-case names, decoded on access.
 
     >>> text = _HeaderText(Headers({b"X-Club": [b"lions", b"owls"]}))
     >>> text["x-club"], text.get("x-other"), text.get("no name"), dict(text)
@@ -134,7 +137,7 @@
         try:
             values = self._raw.getRawHeaders(name.encode())
         except InvalidHeaderName:
-            # A rule may name what can be no header; no request has it.
+            # A rule may contain an invalid header name, which no request has.
             values = None
         if values is None:
             raise KeyError(name)
@@ -148,13 +151,13 @@
         return len(self._raw._rawHeaders)
 
 
-def _text(octets: bytes) -> str:
-    """Decode as UTF-8, as percent-encoded keys are: one key must have one shard.
+def _text(data: bytes) -> str:
+    """Decode as UTF-8, like percent-encoded keys, so that a key has only one shard.
 
     >>> _text("é".encode()), _text(bytes([233]))
     ('é', '\ufffd')
     """
-    return octets.decode("utf-8", "replace")
+    return data.decode("utf-8", "replace")
 
 
 def _host_name(host: str) -> str:
@@ -169,6 +172,6 @@
     return host.lower()
 
 
-def _first(headers: Headers, name: bytes) -> str:
+def _first_value(headers: Headers, name: bytes) -> str:
     values = headers.getRawHeaders(name)
     return _text(values[0]) if values else ""
--- /dev/null
+++ b/src/gentianwharf/relay/_idempotency.py
@@ -0,0 +1,146 @@
+"""Requests with an ``Idempotency-Key``: the first runs, duplicates get its response."""
+
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from typing import final
+
+from twisted.internet.defer import Deferred
+
+from gentianwharf.load import Claim, IdempotencyMemory
+from gentianwharf.runs import Run
+
+from ._problem import Problem
+
+# Immediate retries mostly arrive while the first request is still running.
+RETRY_AFTER_S = 1.0
+
+
+@final
+@dataclass(frozen=True, kw_only=True, slots=True)
+class StoredResponse:
+    """A complete response that is small enough to be stored and replayed."""
+
+    status: int
+    phrase: bytes
+    headers: tuple[tuple[bytes, tuple[bytes, ...]], ...]
+    body: bytes
+
+
+@final
+@dataclass(frozen=True, kw_only=True, slots=True)
+class IdempotencyKey:
+    """Identifies requests that must run only once.
+
+    ``scope`` prevents a caller from reading the response to another caller's request;
+    ``fingerprint`` detects a key that is reused for a different request.
+    """
+
+    scope: str
+    key: str
+    fingerprint: str
+
+
+_NOT_RUN = Problem(
+    status=503,
+    title="the request with this idempotency key was not run",
+    run=Run.NOT_RUN,
+    retry_after_s=RETRY_AFTER_S,
+    step="join",
+)
+_UNKNOWN = Problem(
+    status=409,
+    title="the request with this idempotency key was sent once",
+    run=Run.UNKNOWN,
+    detail=(
+        "Its answer is not kept here, and it is not sent again. Ask the service for"
+        " its outcome."
+    ),
+    step="join",
+)
+_MISMATCH = Problem(
+    status=422,
+    title="the idempotency key was used for another request",
+    run=Run.NOT_RUN,
+    detail="Expected the same method and target as before; use a new key.",
+    step="join",
+)
+_FULL = Problem(
+    status=503,
+    title="too many requests with idempotency keys are in flight",
+    run=Run.NOT_RUN,
+    retry_after_s=RETRY_AFTER_S,
+    step="join",
+)
+
+
+@final
+class IdempotentRequests:
+    """Runs one of the requests that carry the same key on this daemon.
+
+    The others wait for its response.
+    """
+
+    def __init__(self, *, now_s: Callable[[], float]) -> None:
+        self._now_s = now_s
+        self._memory: IdempotencyMemory[StoredResponse] = IdempotencyMemory()
+        self._waiting: dict[tuple[str, str], list[Deferred[None]]] = {}
+
+    async def claim(
+        self, key: IdempotencyKey, request_id: str
+    ) -> StoredResponse | None:
+        """Return the stored response, or None if the request is to be run.
+
+        Waits for the first request while that is in flight. Raises ``Problem``.
+        """
+        while True:
+            result = self._memory.claim(
+                scope=key.scope,
+                key=key.key,
+                request_id=request_id,
+                fingerprint=key.fingerprint,
+                now_s=self._now_s(),
+            )
+            if result.claim is Claim.RUN:
+                return None
+            if result.claim is Claim.REPLAY:
+                return result.answer
+            if result.claim is Claim.JOIN:
+                await self._wait(key)
+                continue
+            raise replace(_PROBLEMS[result.claim])
+
+    def settle(self, key: IdempotencyKey, response: StoredResponse | None) -> None:
+        """Store the response; None if the outcome of the request is unknown."""
+        self._memory.settle(
+            scope=key.scope,
+            key=key.key,
+            now_s=self._now_s(),
+            answer=response,
+            answer_bytes=len(response.body) if response is not None else 0,
+        )
+        self._resume_waiting(key, None)
+
+    def mark_not_run(self, key: IdempotencyKey) -> None:
+        """Allow the request to be sent again, since it provably did not run."""
+        self._memory.forget(scope=key.scope, key=key.key)
+        self._resume_waiting(key, _NOT_RUN)
+
+    def _wait(self, key: IdempotencyKey) -> Deferred[None]:
+        waiting = self._waiting.setdefault((key.scope, key.key), [])
+        done: Deferred[None] = Deferred(waiting.remove)
+        waiting.append(done)
+        return done
+
+    def _resume_waiting(self, key: IdempotencyKey, problem: Problem | None) -> None:
+        for done in self._waiting.pop((key.scope, key.key), []):
+            if problem is None:
+                done.callback(None)
+            else:
+                done.errback(problem)
+
+
+_PROBLEMS = {
+    Claim.UNKNOWN: _UNKNOWN,
+    Claim.MISMATCH: _MISMATCH,
+    Claim.FULL: _FULL,
+}
--- a/src/gentianwharf/relay/_problem.py
+++ b/src/gentianwharf/relay/_problem.py
@@ -16,11 +16,11 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Problem(Exception):  # noqa: N818
-    """A request that got no answer from a server, and what its caller is told.
+    """The problem document that a caller gets instead of a server's response.
 
-    One that many requests share is raised as a copy, by ``dataclasses.replace``: each
-    raise of the same object adds to its traceback, whose frames would keep the requests
-    in memory, 16 kB each.
+    Raise a shared instance only as a copy, made by ``dataclasses.replace``. Each raise
+    of an object extends its traceback, whose frames would keep the requests in memory,
+    16 kB each.
     """
 
     status: int
@@ -35,7 +35,7 @@
 def write_problem(
     request: Request, problem: Problem, *, request_id: str, codec: "HeaderCodec"
 ) -> None:
-    """Answer ``request`` with ``problem`` and finish it."""
+    """Respond to ``request`` with ``problem`` and finish it."""
     body = json.dumps(_document(problem, request_id)).encode()
     request.setResponseCode(problem.status)
     request.setHeader(b"Content-Type", b"application/problem+json")
--- a/src/gentianwharf/relay/_race.py
+++ b/src/gentianwharf/relay/_race.py
@@ -1,8 +1,9 @@
-"""One or two legs of the same request, the first answer of which counts.
+"""One or two concurrent attempts of a request, of which the first response is used.
 
-A consultation whose answer is late may be sent a second time, to another server or,
-where a shard has one owner only, to the same one on a new connection. The leg that
-loses is aborted, so that its answer can never be read as another's.
+A consultation whose response is late may be hedged: sent a second time, to another
+server or, where a shard has only one owner, to the same server on a new connection.
+The attempt that loses is aborted, so that its response can't be read as that of another
+request.
 """
 
 from typing import Any, final
@@ -11,84 +12,93 @@
 from twisted.python.failure import Failure
 from twisted.web._newclient import Response
 
-from ._leg import Leg, LegError, LostError, run_leg
+from ._attempt import Attempt, AttemptError, LostError, run_attempt
 from ._ports import Admission, Outcome, Ticket
 
 
 @final
 class Race:
-    """Runs legs until one has an answer or all have failed."""
+    """Runs attempts until one has a response or all have failed."""
 
     def __init__(self, *, ticket: Ticket, admission: Admission) -> None:
         self._ticket = ticket
         self._admission = admission
-        self._running: dict[Leg, Deferred[Any]] = {}
-        self._won: Deferred[tuple[Leg, Response]] = Deferred(lambda _: self.abort())
+        self._running: dict[Attempt, Deferred[Any]] = {}
+        self._winner: Deferred[tuple[Attempt, Response]] = Deferred(
+            lambda _: self.abort()
+        )
         self.decided = False
-        self.lost_legs = 0
+        self.lost_attempts = 0
 
     @property
     def is_sent(self) -> bool:
-        """Whether a server may have received the request and has not answered it."""
-        return self.lost_legs > 0 or any(leg.is_sent for leg in self._running)
+        """Whether a server may have received the request without responding to it."""
+        return self.lost_attempts > 0 or any(
+            attempt.is_sent for attempt in self._running
+        )
 
-    def start(self, leg: Leg) -> None:
-        """Begin a leg beside those that run."""
+    def start(self, attempt: Attempt) -> None:
+        """Start an attempt alongside those that are running."""
         if self.decided:
-            self._admission.finished(self._ticket, leg.server, Outcome.CANCELLED, 0.0)
+            self._admission.finished(
+                self._ticket, attempt.server, Outcome.CANCELLED, 0.0
+            )
             return
-        done = run_leg(leg)
-        self._running[leg] = done
+        done = run_attempt(attempt)
+        self._running[attempt] = done
         done.addCallbacks(
-            self._answered, self._failed, callbackArgs=(leg,), errbackArgs=(leg,)
+            self._succeeded,
+            self._failed,
+            callbackArgs=(attempt,),
+            errbackArgs=(attempt,),
         )
 
-    async def winner(self) -> tuple[Leg, Response]:
-        """Return the first leg with an answer; raises the last leg's error."""
-        return await self._won
+    async def winner(self) -> tuple[Attempt, Response]:
+        """Return the first attempt with a response; raises the last attempt's error."""
+        return await self._winner
 
     def abort(self) -> None:
-        """End every leg: the caller has gone."""
+        """Cancel every attempt."""
         self.decided = True
-        for leg, done in list(self._running.items()):
+        for attempt, done in list(self._running.items()):
             done.cancel()
-            leg.abort()
+            attempt.abort()
 
-    def _answered(self, response: Response, leg: Leg) -> None:
-        self._running.pop(leg, None)
+    def _succeeded(self, response: Response, attempt: Attempt) -> None:
+        self._running.pop(attempt, None)
         if self.decided:
-            # Both answered in the same turn of the loop.
-            leg.abort()
-            self._finish(leg, Outcome.CANCELLED)
+            # Both responses arrived in the same iteration of the event loop.
+            attempt.abort()
+            self._report_finished(attempt, Outcome.CANCELLED)
             return
         self.decided = True
         for other in list(self._running):
-            if other.server == leg.server and other.reused:
-                # A new connection answers while an old one to the same server does
-                # not: something between the two ends has lost track of the old one.
-                leg.retire_silent_connections()
+            if other.server == attempt.server and other.is_reused:
+                # A new connection works while an older one to the same server does
+                # not: a middlebox has dropped the state of the older one.
+                attempt.retire_connections()
         self.abort()
-        self._won.callback((leg, response))
+        self._winner.callback((attempt, response))
 
-    def _failed(self, failure: Failure, leg: Leg) -> None:
-        self._running.pop(leg, None)
+    def _failed(self, failure: Failure, attempt: Attempt) -> None:
+        self._running.pop(attempt, None)
         error = failure.value
         if isinstance(error, LostError):
-            self.lost_legs += 1
-        if isinstance(error, LegError):
-            self._finish(leg, error.outcome, error.shed_s)
+            self.lost_attempts += 1
+        if isinstance(error, AttemptError):
+            self._report_finished(attempt, error.outcome, error.retry_after_s)
         else:
-            self._finish(leg, Outcome.CANCELLED)
+            self._report_finished(attempt, Outcome.CANCELLED)
         if self.decided or self._running:
             return
         self.decided = True
         if failure.check(CancelledError):
             return
-        self._won.errback(failure)
+        self._winner.errback(failure)
 
-    def _finish(
-        self, leg: Leg, outcome: Outcome, retry_after_s: float | None = None
+    def _report_finished(
+        self, attempt: Attempt, outcome: Outcome, retry_after_s: float | None = None
     ) -> None:
         self._admission.finished(
-            self._ticket, leg.server, outcome, leg.elapsed_s, retry_after_s
+            self._ticket, attempt.server, outcome, attempt.elapsed_s, retry_after_s
         )
--- a/src/gentianwharf/relay/_answer.py
+++ b/src/gentianwharf/relay/_response.py
@@ -1,4 +1,4 @@
-"""A server's answer on its way to the caller."""
+"""Forwards a server's response to the caller."""
 
 from typing import Any, cast
 
@@ -14,89 +14,91 @@
 
 from ._caller_request import CallerRequest
 from ._header_codec import HeaderCodec
-from ._headers import CONTENT_LENGTH, answered_with, set_fields
+from ._headers import CONTENT_LENGTH, response_headers, set_fields
 
 DATE = b"Date"
 # Confirmations of reservations and postings are a few hundred bytes.
-MOST_KEPT_BYTES = 64 * 1024
+MAX_STORED_BYTES = 64 * 1024
 
 
-class AnswerBody(Protocol):
-    """Hands an answer's body on, with the caller's pace kept to the server.
+class ResponseBody(Protocol):
+    """Forwards the body of a response, with back-pressure from caller to server.
 
-    ``done`` fires with True once the whole body was handed on, and with False when
-    the server broke off: the caller's connection is then broken as well, for a
-    short answer must never look whole.
+    ``done`` fires with True once the complete body was forwarded, and with False if
+    it was truncated. The caller's connection is then aborted as well, so that a
+    truncated response does not look complete.
     """
 
     def __init__(
-        self, *, request: CallerRequest, clock: IReactorTime, keep: bool = False
+        self, *, request: CallerRequest, clock: IReactorTime, store: bool = False
     ) -> None:
-        self.kept: bytearray | None = bytearray() if keep else None
+        self.stored: bytearray | None = bytearray() if store else None
         self.done: Deferred[bool] = Deferred(lambda _: self.abort())
         self._request = request
         self._clock = clock
         self._stall_timeout_s = cast(Any, request.site).limits.stall_timeout_s
-        self._stall: IDelayedCall | None = None
+        self._stall_timer: IDelayedCall | None = None
         self._finished = False
 
-    def watch(self) -> None:
-        """Break the answer if it stalls, for one that has not come whole at once."""
+    def start_stall_timer(self) -> None:
+        """Abort the response if it stalls, unless it is complete already."""
         if not self._finished:
-            self._stall = self._clock.callLater(self._stall_timeout_s, self._stalled)
+            self._stall_timer = self._clock.callLater(
+                self._stall_timeout_s, self._handle_stall
+            )
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Let the caller's transport pause and resume the server's."""
+        """Register the server's transport as a producer with the caller's."""
         self._request.registerProducer(self.transport, True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Hand a piece on."""
+        """Forward a chunk of the body."""
         if self._finished:
             return
-        if self._stall is not None:
-            self._stall.reset(self._stall_timeout_s)
-        self._keep(data)
+        if self._stall_timer is not None:
+            self._stall_timer.reset(self._stall_timeout_s)
+        self._store(data)
         self._request.write(data)
 
-    def _keep(self, data: bytes) -> None:
-        if self.kept is None:
+    def _store(self, data: bytes) -> None:
+        if self.stored is None:
             return
-        self.kept += data
-        if len(self.kept) > MOST_KEPT_BYTES:
-            self.kept = None
+        self.stored += data
+        if len(self.stored) > MAX_STORED_BYTES:
+            self.stored = None
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """End the answer, or break it."""
-        whole = reason is not None and cast(Failure, reason).check(ResponseDone)
-        self._end(whole=bool(whole))
+        """Finish or abort the response, by how the body ended."""
+        complete = reason is not None and cast(Failure, reason).check(ResponseDone)
+        self._finish(complete=bool(complete))
 
     def abort(self) -> None:
-        """Break the answer: the caller is gone or the daemon must stop."""
-        self._end(whole=False)
+        """Abort the response: the caller disconnected or the daemon is stopping."""
+        self._finish(complete=False)
 
-    def _stalled(self) -> None:
-        self._end(whole=False)
+    def _handle_stall(self) -> None:
+        self._finish(complete=False)
 
-    def _end(self, *, whole: bool) -> None:
+    def _finish(self, *, complete: bool) -> None:
         if self._finished:
             return
         self._finished = True
-        if self._stall is not None and self._stall.active():
-            self._stall.cancel()
+        if self._stall_timer is not None and self._stall_timer.active():
+            self._stall_timer.cancel()
         if not self._request._disconnected:
             self._request.unregisterProducer()
-            if not whole:
+            if not complete:
                 self._request.abort()
         if not self.done.called:
-            self.done.callback(whole)
+            self.done.callback(complete)
 
 
 def check_request_id(
     response: Response, request_id: str, *, codec: HeaderCodec, peer: str
 ) -> None:
-    """Raise ``PeerMismatchError`` if the answer names another request.
+    """Raise ``PeerMismatchError`` if the response carries another request's id.
 
-    An answer that arrives crossed would hand one caller's data to another.
+    Forwarding it would send one caller's data to another.
     """
     echoed = codec.echoed_request_id(response.headers)
     if echoed is not None and echoed != request_id.encode("latin-1"):
@@ -108,31 +110,32 @@
         )
 
 
-def has_provable_end(connection: HTTP11ClientProtocol, response: Response) -> bool:
-    """Say whether the end of the answer's body can be told from a break.
+def has_detectable_end(connection: HTTP11ClientProtocol, response: Response) -> bool:
+    """Return whether the response carries a length or is chunked.
 
-    A body that ends with the connection looks whole wherever it is cut.
+    A body that ends with the connection looks complete wherever it is truncated.
     """
     if response.length is not UNKNOWN_LENGTH:
         return True
     parser = connection._parser
     if parser is None:
-        # Parsed to its end already, so it had one.
+        # The parser has reached the end of the body.
         return True
     return bool(parser.connHeaders.hasHeader(b"transfer-encoding"))
 
 
-def write_head(
+def write_response_head(
     request: CallerRequest, response: Response, *, request_id: str, codec: HeaderCodec
 ) -> None:
-    """Write the answer's status and headers to the caller."""
+    """Write the status and headers of the response to the caller."""
     request.setResponseCode(response.code, response.phrase)
-    fields = answered_with(response.headers, codec.is_forwarded)
+    fields = response_headers(response.headers, codec.is_forwarded)
     fields[codec.request_id_header] = [request_id.encode("latin-1")]
     if response.length is not UNKNOWN_LENGTH and not _has_no_body(request, response):
         fields[CONTENT_LENGTH] = [str(response.length).encode()]
     if DATE not in fields:
-        # RFC 9110, section 6.6.1: who hands on an answer without one dates it.
+        # RFC 9110, section 6.6.1: a recipient that forwards a response without a Date
+        # header adds one.
         fields[DATE] = [datetimeToString()]
     set_fields(request.responseHeaders, fields)
 
--- a/src/gentianwharf/relay/_transport.py
+++ b/src/gentianwharf/relay/_transport.py
@@ -1,16 +1,16 @@
-"""Writes that leave at once."""
+"""Writes to a transport without waiting for the event loop."""
 
 from collections.abc import Iterable
 from typing import Any, final
 
 
 def send_now(transport: Any) -> None:
-    """Hand what was written to the kernel now instead of in the loop's next turn.
+    """Pass buffered data to the kernel now instead of in the next loop iteration.
 
-    A turn costs about 0.1 ms, and a request that is alone would wait for two of them.
-    What the kernel does not take stays with the loop, which also finds a broken
-    connection by itself. A transport that is about to close is left alone: it closes
-    when the loop has seen its buffer empty.
+    An iteration takes about 0.1 ms, and a single request would wait for two of them.
+    Data that the kernel does not accept is left to the loop, which also detects broken
+    connections. A transport that is closing is skipped, since it closes only once the
+    loop finds its buffer empty.
     """
     write = getattr(transport, "doWrite", None)
     if write is not None and not transport.disconnecting and transport.connected:
@@ -19,11 +19,11 @@
 
 @final
 class JoinedLines:
-    """Writes a head in one piece: the transport looks at each piece it is given."""
+    """Joins the lines of a head, since each write to the transport has a cost."""
 
     def __init__(self, *, transport: Any) -> None:
         self._transport = transport
 
     def writeSequence(self, lines: Iterable[bytes]) -> None:  # noqa: N802
-        """Write the lines of a head."""
+        """Write the lines in one piece."""
         self._transport.write(b"".join(lines))
