--- a/bench/metrics.py
+++ b/bench/metrics.py
@@ -7,7 +7,7 @@
 
 from gentianwharf.entryhost._metrics import HostMetrics
 from gentianwharf.metrics import Answer, Recorder, Run
-from gentianwharf.relay import ResponseRecord, Ticket
+from gentianwharf.relay import AccessRecord, Ticket
 
 from ._figure import Figure
 from ._timing import time_us
@@ -103,7 +103,7 @@
             repeatable=True,
         )
         metrics.answered(
-            ResponseRecord(
+            AccessRecord(
                 ticket=ticket,
                 rule=1,
                 server="server",
--- a/src/gentianwharf/daemon/_observer.py
+++ b/src/gentianwharf/daemon/_observer.py
@@ -4,7 +4,7 @@
 
 from gentianwharf.logs import log
 from gentianwharf.metrics import Answer, Decision, Recorder, Run
-from gentianwharf.relay import Problem, ResponseRecord
+from gentianwharf.relay import AccessRecord, Problem
 
 
 class RecordingObserver:
@@ -17,7 +17,7 @@
         self._domain = domain
         self._now_s = now_s
 
-    def record_response(self, answered: ResponseRecord) -> None:
+    def record_response(self, answered: AccessRecord) -> None:
         """Record an answer."""
         ticket = answered.ticket
         refused = answered.reason if answered.run is Run.NOT_RUN else None
@@ -68,13 +68,13 @@
             )
         )
 
-    def _sample(self, answered: ResponseRecord) -> None:
+    def _sample(self, answered: AccessRecord) -> None:
         # Building a decision costs as much as counting the answer: draw first.
         ring = self._recorder.decisions
         if ring.wants_ordinary():
             ring.add_sampled(self._decision(answered, None))
 
-    def _decision(self, answered: ResponseRecord, refused: str | None) -> Decision:
+    def _decision(self, answered: AccessRecord, refused: str | None) -> Decision:
         ticket = answered.ticket
         return Decision(
             request_id=ticket.request_id,
--- a/src/gentianwharf/entryhost/_metrics.py
+++ b/src/gentianwharf/entryhost/_metrics.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gentianwharf.relay import ResponseRecord
+from gentianwharf.relay import AccessRecord
 
 from ._page_site import PageResponse, PageSite
 
@@ -46,7 +46,7 @@
         """Serve what ``gauge`` returns when the page is asked for."""
         self._gauges[PREFIX + name] = (help_text, gauge)
 
-    def answered(self, answered: ResponseRecord) -> None:
+    def answered(self, answered: AccessRecord) -> None:
         """Count one answer and note how long it took."""
         ticket = answered.ticket
         kind = (ticket.service, ticket.request_class)
--- a/src/gentianwharf/entryhost/_observer.py
+++ b/src/gentianwharf/entryhost/_observer.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from gentianwharf.logs import log
-from gentianwharf.relay import Problem, ResponseRecord, Run
+from gentianwharf.relay import AccessRecord, Problem, Run
 
 from ._metrics import HostMetrics
 
@@ -35,7 +35,7 @@
         self._rules_version = rules_version
         self._view_age_s = view_age_s
 
-    def record_response(self, answered: ResponseRecord) -> None:
+    def record_response(self, answered: AccessRecord) -> None:
         """Note what a caller received."""
         self._metrics.answered(answered)
         is_success = answered.run is Run.RUN and answered.status < 500
--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -10,13 +10,13 @@
 from ._deadline import RemainingTime
 from ._header_codec import DefaultHeaderCodec, HeaderCodec, ServerRefusal
 from ._ports import (
+    AccessRecord,
     Admission,
     HedgeCallback,
     Observer,
     Outcome,
     Owner,
     Ownership,
-    ResponseRecord,
     Rules,
     ServerLoad,
     Ticket,
@@ -25,6 +25,7 @@
 
 __all__ = [
     "SLOW_HEAD_CHECK_INTERVAL_S",
+    "AccessRecord",
     "Admission",
     "CallerRequest",
     "CallerSite",
@@ -39,7 +40,6 @@
     "Problem",
     "RelayApp",
     "RemainingTime",
-    "ResponseRecord",
     "Rules",
     "Run",
     "ServerConnectionPool",
--- a/src/gentianwharf/relay/_exchange.py
+++ b/src/gentianwharf/relay/_exchange.py
@@ -17,15 +17,7 @@
 from ._header_codec import HeaderCodec
 from ._headers import response_headers
 from ._idempotency import IdempotencyKey, IdempotentRequests, StoredResponse
-from ._ports import (
-    Admission,
-    Observer,
-    Outcome,
-    Owner,
-    Ownership,
-    ResponseRecord,
-    Ticket,
-)
+from ._ports import AccessRecord, Admission, Observer, Outcome, Owner, Ownership, Ticket
 from ._problem import Problem, write_problem
 from ._race import Race
 from ._response import ResponseBody, write_response_head
@@ -374,7 +366,7 @@
         self, *, status: int, run: Run, reason: str = "", step: str = "", peer: str = ""
     ) -> None:
         self._observer.record_response(
-            ResponseRecord(
+            AccessRecord(
                 ticket=self.ticket,
                 rule=self.match.number,
                 server=self._server.id if self._server else "",
--- a/src/gentianwharf/relay/_ports.py
+++ b/src/gentianwharf/relay/_ports.py
@@ -153,7 +153,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ResponseRecord:
+class AccessRecord:
     """What a caller received, for metrics and the decisions' record."""
 
     ticket: Ticket
@@ -173,7 +173,7 @@
 class Observer(Protocol):
     """Told of every answer."""
 
-    def record_response(self, record: ResponseRecord) -> None:
+    def record_response(self, record: AccessRecord) -> None:
         """Record an answer."""
 
     def record_refusal(self, request_id: str, problem: Problem) -> None:
--- a/tests/builders_relay.py
+++ b/tests/builders_relay.py
@@ -18,6 +18,7 @@
 from twisted.internet.threads import blockingCallFromThread
 
 from gentianwharf.relay import (
+    AccessRecord,
     CallerSite,
     ConnectionLimits,
     HedgeCallback,
@@ -25,7 +26,6 @@
     Owner,
     Problem,
     RelayApp,
-    ResponseRecord,
     Run,
     ServerConnectionPool,
     ServerLoad,
@@ -207,10 +207,10 @@
 class Records:
     """Keeps every answer that was recorded, and every refusal before a rule."""
 
-    answers: list[ResponseRecord] = field(default_factory=list)
+    answers: list[AccessRecord] = field(default_factory=list)
     refusals: list[tuple[str, Problem]] = field(default_factory=list)
 
-    def record_response(self, record: ResponseRecord) -> None:
+    def record_response(self, record: AccessRecord) -> None:
         """Keep it."""
         self.answers.append(record)
 
--- a/tests/test_entryhost_metrics.py
+++ b/tests/test_entryhost_metrics.py
@@ -1,10 +1,10 @@
 """What on-call engineers read of a host: bounded, whatever callers and rules bring."""
 
 from gentianwharf.entryhost._metrics import MOST_SERIES, HostMetrics
-from gentianwharf.relay import ResponseRecord, Run, Ticket
+from gentianwharf.relay import AccessRecord, Run, Ticket
 
 
-def answered(*, request_class: str = "safe", status: int = 200) -> ResponseRecord:
+def answered(*, request_class: str = "safe", status: int = 200) -> AccessRecord:
     ticket = Ticket(
         request_id="1",
         service="roster",
@@ -15,7 +15,7 @@
         deadline_s=1.0,
         repeatable=True,
     )
-    return ResponseRecord(
+    return AccessRecord(
         ticket=ticket,
         rule=1,
         server="s1",
