--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -1,4 +1,4 @@
-"""From a caller's request to a backend server's answer."""
+"""Forwards callers' requests to backend servers and returns the responses."""
 
 from gentianwharf.runs import Run
 
--- a/src/gentianwharf/relay/_caller_body.py
+++ b/src/gentianwharf/relay/_caller_body.py
@@ -1,4 +1,4 @@
-"""A request's body on its way from the caller to a backend server."""
+"""Streams a request's body from the caller to a backend server."""
 
 from collections import deque
 from typing import Any, Protocol
@@ -10,23 +10,23 @@
 
 from gentianwharf.errors import OutcomeUnknownError
 
-# Bodies up to this size can be sent again to another server after a refusal that
-# proves "not run": reservations and postings are a few hundred bytes. With 1,000
-# requests in flight this is 16 MiB at most.
-MOST_REPLAY_BYTES = 16_384
+# Bodies up to this size can be sent to another server after a refusal that proves "not
+# run". Reservations and postings have a few hundred bytes. With 1,000 requests in
+# flight, the copies take at most 16 MiB.
+MAX_REPLAY_BYTES = 16_384
 
 
 class BodySource(Protocol):
-    """The caller's connection, as its request's body sees it."""
+    """The interface of the caller's connection to a request's body."""
 
     def pause_reading(self) -> None:
         """Stop reading from the caller."""
 
     def resume_reading(self) -> None:
-        """Read from the caller again."""
+        """Resume reading from the caller."""
 
     def send_continue(self) -> None:
-        """Ask the caller to send the body that it announced."""
+        """Send ``100 Continue``, so that the caller sends the body."""
 
     def getPeer(self) -> Any:  # noqa: N802
         """Return the caller's address."""
@@ -34,11 +34,11 @@
 
 @implementer(IBodyProducer)
 class CallerBody:
-    """A request's body on its way from the caller to a backend server.
+    """Produces the body of a caller's request for the connection to a server.
 
-    Nothing is read ahead: until a server takes the body, and whenever that server
-    is slower than the caller, reading from the caller's connection stops. At most
-    one read of the transport (64 KiB) waits here.
+    The body is not read ahead. Reading from the caller's connection is paused until a
+    server consumes the body, and while that server is slower than the caller. At most
+    one read of the transport (64 KiB) is buffered.
     """
 
     def __init__(self, *, length: int | None, channel: BodySource) -> None:
@@ -47,33 +47,33 @@
         self.started = False
         self.received_bytes = 0
         self._channel = channel
-        self._waiting: deque[bytes] = deque()
+        self._pending: deque[bytes] = deque()
         self._consumer: IConsumer | None = None
         self._done: Deferred[None] | None = None
         self._paused = True
-        self._continue_due = False
+        self._continue_pending = False
         self._replay: list[bytes] | None = []
         self._replay_bytes = 0
 
     def expect_continue(self) -> None:
-        """Note that the caller waits for ``100 Continue`` before it sends."""
-        self._continue_due = True
+        """Record that the caller waits for ``100 Continue`` before sending the body."""
+        self._continue_pending = True
 
     @property
     def can_restart(self) -> bool:
-        """Whether the body can be handed out from its beginning."""
+        """Whether the body can be produced from its beginning."""
         return not self.started or self._replay is not None
 
     def startProducing(self, consumer: IConsumer) -> Deferred[None]:  # noqa: N802
-        """Begin to hand the body to ``consumer``, from its beginning."""
+        """Start to write the body to ``consumer``, from its beginning."""
         if self.started:
-            self._waiting = deque(self._replay or ())
+            self._pending = deque(self._replay or ())
         self.started = True
         self._consumer = consumer
         self._done = Deferred()
         done = self._done
-        if self._continue_due:
-            self._continue_due = False
+        if self._continue_pending:
+            self._continue_pending = False
             self._channel.send_continue()
         self.resumeProducing()
         return done
@@ -84,50 +84,50 @@
         self._channel.pause_reading()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on reading from the caller."""
+        """Write pending data and resume reading from the caller."""
         self._paused = False
-        while self._waiting and not self._paused and self._consumer is not None:
-            self._consumer.write(self._waiting.popleft())
+        while self._pending and not self._paused and self._consumer is not None:
+            self._consumer.write(self._pending.popleft())
         if self._paused:
             return
         self._channel.resume_reading()
-        if self.complete and not self._waiting:
+        if self.complete and not self._pending:
             self._finish()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Hand no more to this consumer: its server is gone or has answered."""
+        """Stop writing to this consumer; its server is down or has responded."""
         self._consumer = None
         self._done = None
         self.pauseProducing()
 
     def received(self, data: bytes) -> int:
-        """Take a piece of the body from the caller; return how many bytes came yet."""
+        """Add data received from the caller; return the bytes received so far."""
         self.received_bytes += len(data)
-        self._keep(data)
+        self._store_for_replay(data)
         if self._paused or self._consumer is None:
-            self._waiting.append(data)
+            self._pending.append(data)
             self._channel.pause_reading()
         else:
             self._consumer.write(data)
         return self.received_bytes
 
-    def _keep(self, data: bytes) -> None:
+    def _store_for_replay(self, data: bytes) -> None:
         if self._replay is None:
             return
         self._replay_bytes += len(data)
-        if self._replay_bytes > MOST_REPLAY_BYTES:
+        if self._replay_bytes > MAX_REPLAY_BYTES:
             self._replay = None
             return
         self._replay.append(data)
 
     def end(self) -> None:
-        """Note that the caller has sent the whole body."""
+        """Record that the caller has sent the complete body."""
         self.complete = True
-        if not self._waiting and not self._paused:
+        if not self._pending and not self._paused:
             self._finish()
 
     def lost(self) -> None:
-        """Note that the caller went away in the middle of the body."""
+        """Fail the body, since the caller disconnected before its end."""
         done, self._done = self._done, None
         self._consumer = None
         if done is not None:
--- a/src/gentianwharf/relay/_caller_limits.py
+++ b/src/gentianwharf/relay/_caller_limits.py
@@ -1,25 +1,25 @@
-"""What one caller's connection may take."""
+"""Limits on one caller's connection."""
 
 from dataclasses import dataclass
 from typing import final
 
 SLOW_HEAD_CHECK_INTERVAL_S = 0.5
-"""How often slow heads are looked for. One timer for all connections, since a timer of
-its own for each request would cost more than most requests' heads."""
+"""Interval at which slow heads are checked for. All connections share one timer, since
+a timer for each request would cost more than parsing most heads."""
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ConnectionLimits:
-    """What one caller's connection may take.
+    """Limits on one caller's connection.
 
-    A browser or balancer that keeps a connection idle for a minute has most likely
-    forgotten it; a middlebox drops idle state about then. A caller or server that
-    moves no byte for ``stall_timeout_s`` is taken for gone: browsers give up on a
-    stalled page far earlier, and each stalled answer holds a slot. A head that is not
-    whole after ``head_timeout_s`` is a fault of its caller's, or holds a descriptor on
-    purpose; heads of browsers come in one packet. ``most_body_bytes`` is None where
-    bodies of any length may pass.
+    A browser or load balancer that leaves a connection idle for a minute is unlikely to
+    use it again, and middleboxes drop idle state after about that time. A caller or
+    server that transfers no byte for ``stall_timeout_s`` is assumed to be gone:
+    browsers time out a stalled page far earlier, and each stalled response occupies a
+    slot. A head that is incomplete after ``head_timeout_s`` comes from a faulty caller
+    or one that holds a file descriptor on purpose; browsers send a head in one packet.
+    ``most_body_bytes`` is None if bodies of any length are allowed.
     """
 
     most_head_bytes: int = 16_384
--- a/src/gentianwharf/relay/_caller_request.py
+++ b/src/gentianwharf/relay/_caller_request.py
@@ -1,8 +1,8 @@
 """A caller's request, processed before its body has arrived.
 
-``twisted.web`` gathers a whole body in memory or in a temporary file before anybody
-sees the request. Entry hosts are small and have no disks, so the request class here
-begins processing at the end of the head and passes the body on as it comes.
+``twisted.web`` stores the complete body in memory or in a temporary file before it
+processes the request. Entry hosts are small and have no disks, so this request class
+starts processing at the end of the head and streams the body.
 """
 
 from math import inf
@@ -14,35 +14,35 @@
 from gentianwharf.logs import log
 
 from ._caller_body import BodySource, CallerBody
-from ._pipeline import HeldAnswer
+from ._pipeline import BufferedResponse
 
 
 class RequestChannel(BodySource, Protocol):
-    """The caller's connection, as its request sees it."""
+    """The interface of the caller's connection to a request."""
 
     def head(self) -> tuple[bytes, bytes, bytes]:
         """Return method, target and version of the request being received."""
 
     def send_now(self) -> None:
-        """Send what was written without waiting for the loop's next turn."""
+        """Send written data without waiting for the next loop iteration."""
 
     def disable_keep_alive(self) -> None:
-        """Close once the answer is written; go on reading until then."""
+        """Close once the response is written; continue reading until then."""
 
     def close_after_answer(self) -> None:
-        """Close once the answer is written; read nothing more."""
+        """Close once the response is written, without reading further."""
 
     def abort(self) -> None:
-        """Close at once, whatever is still unsent."""
+        """Close immediately and discard unsent data."""
 
 
 class CatchAllResource(Resource):
-    """A resource that serves each request, whatever its path and method."""
+    """A resource that serves every request, whatever its path and method."""
 
     isLeaf = True  # noqa: N815
 
     def serve(self, request: "CallerRequest") -> None:
-        """Begin to serve ``request``; nothing may be raised."""
+        """Start serving ``request``; must not raise."""
         raise NotImplementedError
 
 
@@ -53,31 +53,31 @@
     answered_early = False
     site: Any = None
 
-    def take_turn(self) -> None:
-        """Answer on the connection itself: all earlier answers are written."""
-        if not isinstance(self.channel, HeldAnswer):
+    def flush_response(self) -> None:
+        """Write the buffered response, since all earlier responses are written."""
+        if not isinstance(self.channel, BufferedResponse):
             return
-        held, self.channel = self.channel, self.channel._channel
+        buffered, self.channel = self.channel, self.channel._channel
         self.queued = False
-        held.hand_over()
+        buffered.flush()
         if self.finished:
             self._cleanup()
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Begin processing now when a body is to follow."""
+        """Start processing now if a body follows."""
         if length == 0:
             super().gotLength(0)
             return
         channel = cast(RequestChannel, self.channel)
         self.body = CallerBody(length=length, channel=channel)
         if self.requestHeaders.hasHeader(b"expect"):
-            self._take_expectation()
+            self._consume_expectation()
         self._take_head(channel)
         self.process()
 
-    def _take_expectation(self) -> None:
-        # Removed, so that the channel does not ask for the body by itself: a
-        # request that is refused must not be uploaded first.
+    def _consume_expectation(self) -> None:
+        # Removed so that the channel does not send ``100 Continue`` itself: the body of
+        # a request that is refused must not be uploaded.
         values = self.requestHeaders.getRawHeaders(b"expect") or []
         self.requestHeaders.removeHeader(b"expect")
         if values[0].lower() == b"100-continue" and self.body is not None:
@@ -87,57 +87,59 @@
         self.set_head(*channel.head())
 
     def set_head(self, method: bytes, uri: bytes, version: bytes) -> None:
-        """Take method, target and version."""
+        """Set method, target and version."""
         self.method, self.uri, self.clientproto = method, uri, version
-        # The target is not taken apart here: octets that are no UTF-8, which would be
-        # refused then, are the server's business.
+        # The target is not parsed here, since that would refuse octets that are not
+        # valid UTF-8. Interpreting them is left to the server.
         self.path = b"/"
         self.args = {}
 
     def parseCookies(self) -> None:  # noqa: N802
-        """Leave cookies alone: they belong to the caller and its server."""
+        """Do nothing: cookies are forwarded unparsed."""
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Pass a piece of the body on."""
+        """Forward a chunk of the body."""
         if self.body is None:
             return
         most_bytes = cast(Any, self.channel).site.limits.most_body_bytes
         if self.body.received(data) > (most_bytes or inf):
-            # In chunks, so that its head did not tell. The server sees a break.
+            # A chunked body, whose head states no length. The server gets an
+            # incomplete request.
             log.info(
-                "request cut: its body is too large", extra={"most_bytes": most_bytes}
+                "request aborted: body too large", extra={"most_bytes": most_bytes}
             )
             self.abort()
 
     def process(self) -> None:
-        """Pass the request to the site's resource without routing by path."""
+        """Pass the request to the site's resource, without routing by path."""
         self.site = cast(Any, self.channel).site
         self.site.resource.serve(self)
 
     def requestReceived(  # noqa: N802
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
-        """Note the body's end; begin processing when there is no body."""
+        """Finish the body; start processing if there is none."""
         if self.body is not None:
             self.body.end()
             return
         self.set_head(command, path, version)
         if self.queued:
-            # Earlier requests of this connection are still being served.
-            self.channel = cast(Any, HeldAnswer(channel=self.channel))
+            # Earlier requests on this connection are still being served.
+            self.channel = cast(Any, BufferedResponse(channel=self.channel))
         self.process()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Tell the body's consumer that no more will come."""
+        """Fail the body if it is incomplete."""
         if self.body is not None and not self.body.complete:
             self.body.lost()
         super().connectionLost(reason)
 
     def write(self, data: bytes) -> None:
-        """Write a piece of the answer; its head goes first.
+        """Write data of the response, after its head.
 
-        An answer that begins before the body is read ends with its connection, and
-        has to say so: the caller's next request on it would be closed unanswered.
+        A response that starts before the body is read must have ``Connection: close``,
+        since the connection is closed after it. Otherwise the caller would send its
+        next request there and get no response.
         """
         if not self.startedWriting and self._is_body_unread():
             self.responseHeaders.setRawHeaders(b"Connection", [b"close"])
@@ -148,10 +150,9 @@
         return self.body is not None and not self.body.complete
 
     def finish(self) -> None:
-        """End the answer; close the connection if the body is not all read.
+        """Finish the response; close the connection if the body is not read completely.
 
-        What is left of an unread body would otherwise be parsed as the caller's
-        next request.
+        The rest of the body would otherwise be parsed as the caller's next request.
         """
         if self._is_body_unread():
             self.answered_early = True
@@ -159,11 +160,11 @@
         super().finish()
 
     def send_now(self) -> None:
-        """Send what was written of the answer at once."""
+        """Send the written part of the response immediately."""
         if self.channel is not None:
             cast(RequestChannel, self.channel).send_now()
 
     def abort(self) -> None:
-        """Break the connection, so that the caller sees that the answer is cut."""
+        """Abort the connection, so that the caller detects the truncated response."""
         if self.channel is not None:
             cast(RequestChannel, self.channel).abort()
--- a/src/gentianwharf/relay/_caller_site.py
+++ b/src/gentianwharf/relay/_caller_site.py
@@ -1,4 +1,4 @@
-"""The callers' port: HTTP/1.1 connections, their limits and their end."""
+"""The callers' port: HTTP/1.1 connections, their limits and their shutdown."""
 
 import json
 from typing import Any, cast
@@ -12,7 +12,7 @@
 from ._caller_limits import ConnectionLimits
 from ._caller_request import CallerRequest, CatchAllResource
 from ._headers import connection_options
-from ._pipeline import MOST_AHEAD, whole_safe_head
+from ._pipeline import MAX_PIPELINED, safe_head_length
 from ._transport import send_now
 
 
@@ -22,18 +22,18 @@
     requestFactory = CallerRequest  # noqa: N815
     site: "CallerSite"
     _closing = False
-    _last_words = b""
-    _head_since_s: float | None = None
+    _deferred_refusal = b""
+    _head_started_s: float | None = None
 
     def connectionLost(  # noqa: N802
         self, reason: Failure = connectionDone
     ) -> None:
-        """Forget the connection."""
+        """Remove the connection from the site."""
         self.site.channels.discard(self)
         super().connectionLost(reason)
 
     def apply_limits(self, limits: ConnectionLimits) -> None:
-        """Follow limits that have changed; what was begun under others goes on."""
+        """Apply changed limits to everything that starts from now on."""
         self.totalHeadersSize = limits.most_head_bytes
         self.MAX_LENGTH = limits.most_head_bytes
         self.maxHeaders = limits.most_headers
@@ -44,15 +44,15 @@
 
     def refuse_slow_head(self, now_s: float, timeout_s: float) -> None:
         """Refuse a request whose head takes longer than ``timeout_s`` to arrive."""
-        if self._closing or not self._reads_head():
-            self._head_since_s = None
-        elif self._head_since_s is None:
-            self._head_since_s = now_s
-        elif now_s - self._head_since_s > timeout_s:
+        if self._closing or not self._is_reading_head():
+            self._head_started_s = None
+        elif self._head_started_s is None:
+            self._head_started_s = now_s
+        elif now_s - self._head_started_s > timeout_s:
             self._refuse(_SLOW_HEAD)
 
-    def _reads_head(self) -> bool:
-        # The parser knows a command from a request's first line to its end.
+    def _is_reading_head(self) -> bool:
+        # The parser has a command from a request's first line until its end.
         is_begun = "_command" in self.__dict__
         return is_begun and bool(self.requests) and self.requests[-1].body is None
 
@@ -67,7 +67,7 @@
         return self._command, self._path, self._version
 
     def send_continue(self) -> None:
-        """Ask the caller to send the body that it announced."""
+        """Send ``100 Continue``, so that the caller sends the body."""
         self._send100Continue()
 
     def pause_reading(self) -> None:
@@ -75,18 +75,18 @@
         self._networkProducer.pauseProducing()
 
     def resume_reading(self) -> None:
-        """Read from the caller again."""
+        """Resume reading from the caller."""
         if not self._closing:
             self._networkProducer.resumeProducing()
 
     def send_now(self) -> None:
-        """Send what was written without waiting for the loop's next turn."""
+        """Send written data without waiting for the next loop iteration."""
         send_now(self.transport)
 
     def writeHeaders(  # noqa: N802
         self, version: bytes, code: bytes, reason: bytes, headers: Headers
     ) -> None:
-        """Write an answer's head in one piece."""
+        """Write the head of a response in one call."""
         lines = [version, b" ", code, b" ", reason, b"\r\n"]
         for name, values in headers.getAllRawHeaders():
             for value in values:
@@ -95,71 +95,71 @@
         self.write(b"".join(lines))
 
     def disable_keep_alive(self) -> None:
-        """Close once the answer is written; go on reading until then."""
+        """Close once the response is written; continue reading until then."""
         self.persistent = 0
 
     def close_after_answer(self) -> None:
-        """Close once the answer is written; read nothing more."""
+        """Close once the response is written, without reading further."""
         self._closing = True
         self.disable_keep_alive()
 
     def abort(self) -> None:
-        """Close at once, whatever is still unsent."""
+        """Close immediately and discard unsent data."""
         self._closing = True
         if self.transport is not None:
             cast(ITCPTransport, self.transport).abortConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take data, unless the connection is about to be closed."""
+        """Process data, unless the connection is closing."""
         if not self._closing:
             super().dataReceived(data)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take a piece of a body, unless the connection is about to be closed."""
+        """Process a part of a body, unless the connection is closing."""
         if not self._closing:
             super().rawDataReceived(data)
-            self._begin_next()
+            self._parse_next()
 
     def allContentReceived(self) -> None:  # noqa: N802
-        """End a body, unless its request was answered before."""
+        """Finish a body, unless the response has been sent already."""
         if not self._closing:
             super().allContentReceived()
-            self._begin_next()
+            self._parse_next()
 
     def requestDone(self, request: Any) -> None:  # noqa: N802
-        """Let the next answer have its turn, or go on reading."""
+        """Write the next buffered response, or continue reading."""
         if len(self.requests) == 1 or request is not self.requests[0]:
-            if self._last_words and self.transport is not None:
-                self.transport.write(self._last_words)
+            if self._deferred_refusal and self.transport is not None:
+                self.transport.write(self._deferred_refusal)
             super().requestDone(request)
             return
         del self.requests[0]
-        cast(CallerRequest, self.requests[0]).take_turn()
-        self._begin_next()
+        cast(CallerRequest, self.requests[0]).flush_response()
+        self._parse_next()
 
-    def _begin_next(self) -> None:
-        """Begin with a request that was sent behind others, if it may pass.
+    def _parse_next(self) -> None:
+        """Parse the next pipelined request if it may be served concurrently.
 
-        While ``_handlingRequest`` is set the parser only keeps what comes.
+        While ``_handlingRequest`` is set, the parser only buffers data.
         """
-        may_pass = self._handlingRequest and self.persistent and not self._closing
-        if not may_pass or not self._dataBuffer or len(self.requests) >= MOST_AHEAD:
+        may_parse = self._handlingRequest and self.persistent and not self._closing
+        if not may_parse or not self._dataBuffer or len(self.requests) >= MAX_PIPELINED:
             return
         if self.requests and self.requests[-1].body is not None:
             return
-        kept = b"".join(self._dataBuffer)
-        length = whole_safe_head(kept)
-        self._dataBuffer = [kept]
+        buffered = b"".join(self._dataBuffer)
+        length = safe_head_length(buffered)
+        self._dataBuffer = [buffered]
         if length:
-            self._dataBuffer = [kept[length:]] if len(kept) > length else []
+            self._dataBuffer = [buffered[length:]] if len(buffered) > length else []
             self._handlingRequest = False
-            self.setLineMode(kept[:length])
+            self.setLineMode(buffered[:length])
 
     def checkPersistence(self, request: Any, version: bytes) -> bool:  # noqa: N802
-        """Say whether the connection stays open, by every Connection header.
+        """Return whether the connection stays open, by all Connection headers.
 
-        Twisted reads the first header line only and splits it at spaces, so that a
-        caller that asks for ``X-Mine, close`` would wait for a close in vain.
+        Twisted reads only the first header line and splits it at spaces, so that it
+        would not close the connection for ``X-Mine, close``.
         """
         if version != b"HTTP/1.1":
             return False
@@ -186,9 +186,9 @@
     def _refuse(self, refusal: bytes) -> None:
         self._closing = True
         if len(self.requests) > 1:
-            # Written now, it would be taken for the answer to an earlier request.
+            # Written now, it would be read as the response to an earlier request.
             self.requests.pop()
-            self._last_words = refusal
+            self._deferred_refusal = refusal
             self.disable_keep_alive()
         elif self.transport is not None:
             self.transport.write(refusal)
@@ -243,7 +243,7 @@
         self.stopping = False
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """Make a caller's connection, and remember it."""
+        """Create a caller's connection and register it."""
         channel = cast(Any, super().buildProtocol(addr))
         channel.requestFactory = self.requestFactory
         channel.site = self
@@ -252,7 +252,7 @@
         return channel
 
     def apply_limits(self, limits: ConnectionLimits) -> None:
-        """Follow limits that have changed, also for open connections."""
+        """Apply changed limits, also to open connections."""
         if limits == self.limits:
             return
         self.limits = limits
@@ -270,13 +270,13 @@
             channel.refuse_slow_head(now_s, self.limits.head_timeout_s)
 
     def disable_keep_alive(self) -> None:
-        """Ask for the close of every connection with its next answer."""
+        """Close every connection with its next response."""
         self.stopping = True
 
     def close_idle_connections(self) -> None:
-        """Close the connections on which no request is being served."""
+        """Close the connections that are not serving a request."""
         for channel in list(self.channels):
             channel.close_if_idle()
 
     def log(self, request: Any) -> None:
-        """Write no access log here: every answer is recorded by the relay."""
+        """Write no access log: the relay records every response."""
--- a/src/gentianwharf/relay/_pipeline.py
+++ b/src/gentianwharf/relay/_pipeline.py
@@ -1,37 +1,38 @@
-"""Requests that a caller sends before the answer to an earlier one.
+"""HTTP pipelining: requests sent before the response to an earlier one.
 
-Load pattern: archivists' browsers send several reads of half a second to two seconds
-on one connection. One at a time, the third is late before anybody has begun with it.
-They are served side by side; each answer is held until those before it are written.
+Archivists' browsers send several reads of 0.5 s to 2 s each on one connection. Served
+one after another, the third would be late before it starts. They are served
+concurrently; each response is buffered until the earlier ones are written.
 """
 
 from typing import Any, final
 
-MOST_AHEAD = 8
-"""Requests of one connection that are served at a time: browsers that pipeline send up
-to about six. More wait unread, so that one caller can't fill a host with them."""
+MAX_PIPELINED = 8
+"""Requests of one connection that are served concurrently. Browsers pipeline about six
+requests at most. Others stay unread, so that one caller can't overload a host."""
 
-MOST_HELD_BYTES = 64 * 1024
-"""Of an answer that waits for its turn; its server is paused beyond that. With eight on
-each of a hundred connections it is 50 MiB at the very most."""
+MAX_BUFFERED_BYTES = 64 * 1024
+"""Limit per buffered response, beyond which the server's connection is paused. Eight
+responses on each of 100 connections take at most 50 MiB."""
 
 _SAFE_METHODS = (b"GET ", b"HEAD ")
 _BODY_FIELDS = (b"content-length:", b"transfer-encoding:", b"expect:", b"upgrade:")
 
 
-def whole_safe_head(data: bytes) -> int:
-    r"""Return how long the head is that begins ``data``, 0 if it has to wait.
+def safe_head_length(data: bytes) -> int:
+    r"""Return the length of the request head at the start of ``data``.
 
-    Only a whole head of a safe request without a body may pass: with half a head or a
-    body in the parser, the end of an earlier request would set it back.
+    Returns 0 unless it is the complete head of a safe request without a body. Otherwise
+    the parser would hold a partial head or a body when an earlier request ends, and be
+    reset.
 
-    >>> whole_safe_head(b"GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /")
+    >>> safe_head_length(b"GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /")
     27
-    >>> whole_safe_head(b"GET / HTTP/1.1\r\nHost: a\r\n")
+    >>> safe_head_length(b"GET / HTTP/1.1\r\nHost: a\r\n")
     0
-    >>> whole_safe_head(b"POST / HTTP/1.1\r\nHost: a\r\n\r\n")
+    >>> safe_head_length(b"POST / HTTP/1.1\r\nHost: a\r\n\r\n")
     0
-    >>> whole_safe_head(b"GET / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc")
+    >>> safe_head_length(b"GET / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc")
     0
     """
     if not data.startswith(_SAFE_METHODS):
@@ -46,67 +47,70 @@
 
 
 @final
-class HeldAnswer:
-    """Stands in for the caller's connection until it is an answer's turn."""
+class BufferedResponse:
+    """Buffers a response until the earlier responses on its connection are written.
+
+    Replaces the channel of the request.
+    """
 
     def __init__(self, *, channel: Any) -> None:
         self._channel = channel
-        self._pieces: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._bytes = 0
         self._head: tuple[Any, ...] | None = None
         self._producer: Any = None
         self._streaming = True
         self._paused = False
-        self._broken = False
+        self._aborted = False
 
     def __getattr__(self, name: str) -> Any:
-        """Return what the connection itself knows or does."""
+        """Delegate to the channel."""
         return getattr(self._channel, name)
 
     def writeHeaders(self, *head: Any) -> None:  # noqa: N802
-        """Hold the answer's head."""
+        """Buffer the head of the response."""
         self._head = head
 
     def write(self, data: bytes) -> None:
-        """Hold a piece of the answer."""
-        self._pieces.append(data)
+        """Buffer a chunk of the body."""
+        self._chunks.append(data)
         self._bytes += len(data)
-        if self._bytes > MOST_HELD_BYTES and self._producer and not self._paused:
+        if self._bytes > MAX_BUFFERED_BYTES and self._producer and not self._paused:
             self._paused = True
             self._producer.pauseProducing()
 
-    def writeSequence(self, pieces: Any) -> None:  # noqa: N802
-        """Hold several pieces of the answer."""
-        self.write(b"".join(pieces))
+    def writeSequence(self, chunks: Any) -> None:  # noqa: N802
+        """Buffer several chunks of the body."""
+        self.write(b"".join(chunks))
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:  # noqa: N802
-        """Remember what the answer's pieces come from."""
+        """Store the producer of the body."""
         self._producer, self._streaming = producer, streaming
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Forget what the answer's pieces came from."""
+        """Remove the producer of the body."""
         self._producer = None
 
     def send_now(self) -> None:
-        """Send nothing: it is not this answer's turn."""
+        """Do nothing: earlier responses have not been written."""
 
     def abort(self) -> None:
-        """End the connection behind this answer when it is its turn.
+        """Close the connection after this response is flushed.
 
-        The answers before it are whole, and their caller gets them.
+        The earlier responses are complete and must still be delivered.
         """
-        self._broken = True
+        self._aborted = True
 
-    def hand_over(self) -> None:
-        """Write to the connection all that was held."""
+    def flush(self) -> None:
+        """Write the buffered response to the channel."""
         channel = self._channel
         if self._head is not None:
             channel.writeHeaders(*self._head)
-        if self._pieces:
-            channel.write(b"".join(self._pieces))
-        if self._broken:
-            # Not aborted: answers before it that are still unsent would go as well.
-            # What it lacks of its length, or its last chunk, shows that it is cut.
+        if self._chunks:
+            channel.write(b"".join(self._chunks))
+        if self._aborted:
+            # Aborting would also discard unsent data of earlier responses. The missing
+            # bytes or the missing last chunk show that this response is truncated.
             channel.loseConnection()
             return
         if self._producer is not None:
--- a/src/gentianwharf/relay/_ports.py
+++ b/src/gentianwharf/relay/_ports.py
@@ -1,4 +1,4 @@
-"""What the relay asks of the parts that decide."""
+"""The interfaces through which the relay uses rules, ownership and admission."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ticket:
-    """A request as the deciding parts see it; ``deadline_s`` is on the loop's clock."""
+    """The request data that decisions use; ``deadline_s`` is on the loop's clock."""
 
     request_id: str
     service: str
@@ -29,11 +29,11 @@
 
     @property
     def id(self) -> str:
-        """What tells the request from every other one on this host.
+        """An identifier of the request that is unique on this host.
 
-        Callers may name their requests themselves, and send one again under its name
-        while the first is still being served: without a number of this host's own, the
-        end of one would be taken for the other's.
+        Callers may choose request ids and may reuse one while the first request is
+        still being served. The serial number distinguishes the two, so that the end of
+        one is not counted as the end of the other.
         """
         return f"{self.request_id}/{self.serial}" if self.serial else self.request_id
 
@@ -41,12 +41,13 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Owner:
-    """The server that owns a shard, under which token, and until when to send.
+    """The server that owns a shard, with its token and a deadline for sending.
 
-    ``shard`` is the number of the key's own entry where it has one.
+    ``shard`` is the number of the key's own entry if it has one.
 
-    ``deadline_s`` caps the request's own deadline: a server that freezes with the
-    request in its buffers must find it lapsed once the shard may be somebody else's.
+    ``deadline_s`` caps the deadline of the request. If a server freezes with the
+    request in its buffers, the request must have expired by the time that the shard may
+    have another owner.
     """
 
     server: BackendServer
@@ -58,7 +59,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerLoad:
-    """What a server said of its load with an answer."""
+    """The load that a server reported with a response."""
 
     running: int
     waiting: int
@@ -81,35 +82,36 @@
     """The rules in force."""
 
     def match(self, facts: RequestFacts) -> RuleMatch | None:
-        """Return what the first matching rule says."""
+        """Return the match of the first matching rule, None if there is none."""
 
     def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
-        """Return ``match`` with another service of its rule's split."""
+        """Return ``match`` with another service of the traffic split of its rule."""
 
 
 class Ownership(Protocol):
-    """Who owns which shard; both calls raise ``Problem`` when nobody may serve."""
+    """The owners of shards; both methods raise ``Problem`` if no server may serve."""
 
     async def owner(self, ticket: Ticket) -> Owner:
-        """Return the owner of the ticket's shard, waiting a bounded time for one."""
+        """Return the owner of the ticket's shard, waiting a limited time for one."""
 
     def report_not_owner(self, ticket: Ticket, owner: Owner) -> None:
-        """Note that a server refused the shard under this token."""
+        """Record that a server refused the shard under this token."""
 
 
 HedgeCallback = Callable[[BackendServer], None]
 
 
 class Admission(Protocol):
-    """Who is served now, by which server."""
+    """Decides when a request is sent, and to which server."""
 
     async def admit(
         self, ticket: Ticket, owner: BackendServer | None, hedge: HedgeCallback
     ) -> BackendServer:
-        """Return the server to send to, after waiting if need be.
+        """Return the server to send to, after queueing if necessary.
 
-        ``owner`` is set for a keyed service; ``hedge`` may be called later, once, to
-        send a late request to another server as well. Raises ``Problem`` when refused.
+        ``owner`` is set for a keyed service. ``hedge`` may be called later, once, to
+        send a late request to another server as well. Raises ``Problem`` if the request
+        is refused.
         """
 
     async def admit_retry(
@@ -121,10 +123,10 @@
         after: Outcome,
         avoid: BackendServer,
     ) -> BackendServer:
-        """Return the server for another try, if the retry budget allows one."""
+        """Return the server for a retry, if the retry budget allows one."""
 
     def server_for_key(self, service: str, key: str) -> BackendServer | None:
-        """Return the server that every daemon sends an idempotency key to."""
+        """Return the server that every daemon selects for an idempotency key."""
 
     def finished(
         self,
@@ -134,27 +136,27 @@
         elapsed_s: float,
         retry_after_s: float | None = None,
     ) -> None:
-        """Note how the attempt ended, so that others can go.
+        """Record the outcome of an attempt, and admit waiting requests.
 
-        ``retry_after_s`` is for how long a server that sheds wants no work.
+        ``retry_after_s`` is the delay that a server that shed the request asked for.
         """
 
     def note_load(
         self, server: BackendServer, load: ServerLoad, elapsed_s: float | None
     ) -> None:
-        """Note what a server said of its load with an answer.
+        """Record the load that a server reported with a response.
 
-        ``elapsed_s`` is how long the answer took, None for a refusal.
+        ``elapsed_s`` is the response time, None for a refusal.
         """
 
     def discard(self, ticket: Ticket) -> None:
-        """Forget a request that has had its final answer."""
+        """Discard the state of a request after its final response."""
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AccessRecord:
-    """What a caller received, for metrics and the decisions' record."""
+    """What was sent to a caller, for metrics and the record of decisions."""
 
     ticket: Ticket
     rule: int
@@ -171,10 +173,10 @@
 
 
 class Observer(Protocol):
-    """Told of every answer."""
+    """Records every response."""
 
     def record_response(self, record: AccessRecord) -> None:
-        """Record an answer."""
+        """Record a response."""
 
     def record_refusal(self, request_id: str, problem: Problem) -> None:
-        """Record a request that was refused before a rule decided on it."""
+        """Record a request that was refused before a rule matched."""
--- a/tests/test_relay_pipelining.py
+++ b/tests/test_relay_pipelining.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gentianwharf.relay._pipeline import HeldAnswer
+from gentianwharf.relay._pipeline import BufferedResponse
 from tests.builders_relay import answer, request, running_relay
 
 LATE_S = 0.2
@@ -196,12 +196,12 @@
 
 def test_held_answer_that_broke_is_handed_over_before_the_connection_ends() -> None:
     channel = Channel()
-    held = HeldAnswer(channel=channel)
-    held.writeHeaders(b"HTTP/1.1", b"200", b"OK", {})
-    held.write(b"begun")
-    held.abort()
+    buffered = BufferedResponse(channel=channel)
+    buffered.writeHeaders(b"HTTP/1.1", b"200", b"OK", {})
+    buffered.write(b"begun")
+    buffered.abort()
     assert channel.done == [], "it is not its turn"
-    held.hand_over()
+    buffered.flush()
     assert channel.done == ["head", "begun", "close"]
 
 
