--- a/src/gentianwharf/lifecycle/__init__.py
+++ b/src/gentianwharf/lifecycle/__init__.py
@@ -1,4 +1,4 @@
-"""What a process runs on: its clock, its ticks and its graceful shutdown."""
+"""The clock, the periodic calls and the graceful shutdown of a process."""
 
 from ._clock import use_monotonic_time
 from ._periodic import PeriodicCall, PeriodicCalls
--- a/src/gentianwharf/lifecycle/_clock.py
+++ b/src/gentianwharf/lifecycle/_clock.py
@@ -1,17 +1,18 @@
-"""The loop's clock."""
+"""The clock of the event loop."""
 
 import time
 from typing import Any
 
 
 def use_monotonic_time(reactor: Any) -> None:
-    """Let ``reactor`` count time that nobody can set; call it before all else.
+    """Make ``reactor`` use a clock that can't be set; call it before anything else.
 
-    Twisted's reactor reads the wall clock. When that is stepped back, as a time daemon
-    does on a host that was off, a right to send that has ended would hold again, and
-    a lease would seem held by two hosts; stepped forward, every timeout is over. The
-    monotonic clock stands still while the machine is suspended, and a lease that ended
-    meanwhile would seem to hold; the one since the boot counts that time.
+    Twisted's reactor reads the wall clock. If a time daemon sets that back, as on a
+    host that was off, a right to send that has expired would be valid again, and two
+    hosts would appear to hold the same lease. If it is set forward, every timeout
+    expires. The monotonic clock stops while the machine is suspended, so that a lease
+    that expired meanwhile would appear valid. The clock that counts from boot includes
+    that time.
     """
     reactor.seconds = _seconds
 
--- a/src/gentianwharf/lifecycle/_periodic.py
+++ b/src/gentianwharf/lifecycle/_periodic.py
@@ -1,4 +1,4 @@
-"""Calls that come again and again, and survive a fault of one of them."""
+"""Periodic calls that continue after one of them raises."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any, final
@@ -11,10 +11,10 @@
 
 @final
 class PeriodicCall:
-    """One call at its interval, which it is asked for anew each time.
+    """Calls a function periodically, at an interval that is computed before each call.
 
-    A plain timer: ``LoopingCall`` builds and fires a ``Deferred`` each time, which
-    costs more than most ticks of an idle daemon do.
+    Uses a plain timer, since ``LoopingCall`` creates and fires a ``Deferred`` for each
+    call, which costs more than most calls in an idle daemon.
     """
 
     def __init__(
@@ -27,12 +27,12 @@
         self._timer: Any = None
 
     def start(self) -> None:
-        """Call now, and at each interval."""
+        """Call immediately, then periodically."""
         self._due_s = self._reactor.seconds()
         self._run()
 
     def reschedule(self) -> None:
-        """Let the next call come within the interval as it is asked for now."""
+        """Bring the next call forward if the interval is shorter by now."""
         if self._timer is None or not self._timer.active():
             return
         due_s = self._reactor.seconds() + self._interval_s()
@@ -41,73 +41,74 @@
             self._timer.reset(self._interval_s())
 
     def stop(self) -> None:
-        """Call no more."""
+        """Stop calling."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
 
     def _run(self) -> None:
-        # First the next timer, so that the call itself may stop all.
+        # The timer is set before the call, so that the call may stop it.
         now_s = self._reactor.seconds()
         interval_s = self._interval_s()
-        # From when this one was due, so that systems in step stay so and wake the
-        # loop once; calls that a busy loop has missed are left out.
+        # Counted from the time at which this call was due. Functions with the same
+        # interval then stay synchronized and wake the loop once. Calls that a busy loop
+        # has missed are skipped.
         self._due_s += interval_s
         if self._due_s <= now_s:
             self._due_s = now_s + interval_s
         self._timer = self._reactor.callLater(self._due_s - now_s, self._run)
-        # A fault in one tick must not end the loop that renews every grant.
+        # An error in one call must not stop the timer, on which grant renewals depend.
         try:
             self._call()
         except Exception:
-            log.exception("tick failed")
+            log.exception("periodic call failed")
 
 
 @final
 class PeriodicCalls:
-    """Runs systems at their intervals on one loop."""
+    """Runs functions periodically on one event loop."""
 
     def __init__(self, *, reactor: Any) -> None:
         self._reactor = reactor
-        self._loops: list[LoopingCall] = []
-        self._periodic: list[PeriodicCall] = []
+        self._looping_calls: list[LoopingCall] = []
+        self._calls: list[PeriodicCall] = []
 
-    def every(self, interval_s: float, system: Callable[[], None]) -> None:
-        """Call ``system`` now and at each interval."""
-        self.every_dynamic(lambda: interval_s, system)
+    def every(self, interval_s: float, function: Callable[[], None]) -> None:
+        """Call ``function`` immediately, then every ``interval_s``."""
+        self.every_dynamic(lambda: interval_s, function)
 
     def every_dynamic(
-        self, interval_s: Callable[[], float], system: Callable[[], None]
+        self, interval_s: Callable[[], float], function: Callable[[], None]
     ) -> PeriodicCall:
-        """Call ``system`` now and at the interval that ``interval_s`` returns."""
-        periodic = PeriodicCall(
-            reactor=self._reactor, interval_s=interval_s, call=system
-        )
-        self._periodic.append(periodic)
-        periodic.start()
-        return periodic
+        """Call ``function`` immediately, then at the intervals from ``interval_s``."""
+        call = PeriodicCall(reactor=self._reactor, interval_s=interval_s, call=function)
+        self._calls.append(call)
+        call.start()
+        return call
 
     def every_async(
         self, interval_s: float, call: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
-        """Run ``call`` now and at each interval, never twice at a time."""
+        """Run ``call`` immediately, then every ``interval_s``, without overlap."""
 
         def run() -> Deferred[None]:
             done = Deferred.fromCoroutine(call())
             done.addErrback(
-                lambda failure: log.error("call failed: {}", failure.getErrorMessage())
+                lambda failure: log.error(
+                    "periodic call failed: {}", failure.getErrorMessage()
+                )
             )
             return done
 
-        loop = LoopingCall(run)
-        loop.clock = self._reactor
-        loop.start(interval_s)
-        self._loops.append(loop)
+        looping_call = LoopingCall(run)
+        looping_call.clock = self._reactor
+        looping_call.start(interval_s)
+        self._looping_calls.append(looping_call)
 
     def stop(self) -> None:
-        """Call nothing any more."""
-        for periodic in self._periodic:
-            periodic.stop()
-        for loop in self._loops:
-            if loop.running:
-                loop.stop()
+        """Stop all periodic calls."""
+        for call in self._calls:
+            call.stop()
+        for looping_call in self._looping_calls:
+            if looping_call.running:
+                looping_call.stop()
--- a/src/gentianwharf/lifecycle/_shutdown.py
+++ b/src/gentianwharf/lifecycle/_shutdown.py
@@ -1,10 +1,10 @@
 """The graceful shutdown of a daemon.
 
-A planned stop cuts no request off. Readiness turns false at once; for the balancer's
-notice time requests are still served, since it goes on sending until it has noticed;
-then nothing new is accepted, and what is in flight gets its whole answer. Requests that
-are still in flight shortly before the time limit get a final answer that says whether
-they may have run.
+A planned stop interrupts no request. Readiness turns false immediately. During the
+notice time requests are still served, since the load balancer continues to send until
+its next readiness check. Then no new connection is accepted, and the requests in flight
+are completed. Shortly before the time limit, the remaining requests get a final
+response that states whether they may have run.
 """
 
 from collections.abc import Callable
@@ -16,14 +16,15 @@
 
 from gentianwharf.logs import log
 
-# Connections without a request are closed at this pace until none is left.
-CLOSE_EVERY_S = 0.1
-# Lead time before the limit, so that final answers are sent before the process ends.
-FINAL_ANSWERS_LEAD_S = 0.2
+# Interval at which idle connections are closed until none is left.
+CLOSE_INTERVAL_S = 0.1
+# Final responses are sent this long before the limit, so that they are delivered before
+# the process ends.
+FINAL_RESPONSES_LEAD_S = 0.2
 
 
 class Phase(StrEnum):
-    """How far the shutdown is."""
+    """The phase of a shutdown."""
 
     SERVING = "serving"
     NOTICE = "notice"
@@ -33,10 +34,10 @@
 
 
 class ShutdownTarget(Protocol):
-    """What is shut down."""
+    """The process that is shut down."""
 
     def mark_unready(self) -> None:
-        """Say to the balancer that no new requests are wanted."""
+        """Report to the load balancer that this process accepts no new requests."""
 
     def stop_accepting(self) -> None:
         """Close the listening port and idle connections."""
@@ -45,42 +46,42 @@
         """Return the ids of the requests that are being served."""
 
     def open_connections(self) -> int:
-        """Return how many callers' connections are open."""
+        """Return the number of open callers' connections."""
 
     def answer_in_flight(self) -> None:
-        """Send a final answer to each request in flight, and refuse new ones."""
+        """Send a final response to each request in flight, and refuse new ones."""
 
     def hand_over(self, done: Callable[[], None]) -> None:
-        """Give up what other hosts should take, then call ``done``."""
+        """Hand work over to other hosts, then call ``done``."""
 
     def end(self) -> None:
-        """Leave the process."""
+        """End the process."""
 
 
 class _Machine(Protocol):
-    def asked(self) -> None:
-        """Begin the stop."""
+    def stop_requested(self) -> None:
+        """Start the shutdown."""
 
-    def noticed(self) -> None:
-        """End the balancer's time."""
+    def notice_over(self) -> None:
+        """End the notice time of the load balancer."""
 
     def limit_approaching(self) -> None:
-        """Send final answers: the limit is ``FINAL_ANSWERS_LEAD_S`` away."""
+        """Send final responses, ``FINAL_RESPONSES_LEAD_S`` before the limit."""
 
-    def emptied(self) -> None:
-        """End: nothing is in flight and everything is handed over."""
+    def drained(self) -> None:
+        """End, since nothing is in flight and everything is handed over."""
 
-    def cut(self) -> None:
-        """End at once: the limit has come, or the stop was asked for again."""
+    def stop_now(self) -> None:
+        """End immediately: the limit has passed or a stop was requested again."""
 
 
 @final
 class Shutdown:
-    """Runs a shutdown on the loop's clock.
+    """Runs a shutdown on the clock of the event loop.
 
-    ``notice_s`` is how long the balancer may go on sending after readiness turned
-    false, ``limit_s`` how long the whole may take; the log names each request that
-    is still in flight when final answers are sent.
+    ``notice_s`` is the time for which the load balancer may continue to send after
+    readiness turned false, ``limit_s`` the limit for the whole shutdown. Each request
+    that is still in flight when final responses are sent is logged.
     """
 
     def __init__(
@@ -96,35 +97,35 @@
         self._machine = _build(self)
 
     def request_stop(self) -> None:
-        """Begin the shutdown; a second call ends it at once."""
+        """Start the shutdown; a second call ends it immediately."""
         if self.phase is Phase.SERVING:
-            self._machine.asked()
+            self._machine.stop_requested()
         else:
-            self._machine.cut()
+            self._machine.stop_now()
 
     def begin(self) -> None:
-        """Turn unready and give the balancer its time."""
+        """Turn unready and start the notice time of the load balancer."""
         self.phase = Phase.NOTICE
         log.info("shutdown: notice", extra={"notice_s": self._notice_s})
         self._target.mark_unready()
-        self._later(self._notice_s, self._machine.noticed)
-        final_answers_s = self._limit_s - FINAL_ANSWERS_LEAD_S
-        self._later(final_answers_s, self._machine.limit_approaching)
-        self._later(self._limit_s, self._machine.cut)
+        self._call_later(self._notice_s, self._machine.notice_over)
+        final_responses_s = self._limit_s - FINAL_RESPONSES_LEAD_S
+        self._call_later(final_responses_s, self._machine.limit_approaching)
+        self._call_later(self._limit_s, self._machine.stop_now)
 
     def drain(self) -> None:
-        """Accept nothing more, hand over, and wait for what is in flight."""
+        """Stop accepting, hand over, and wait for the requests in flight."""
         self.phase = Phase.DRAINING
         log.info("shutdown: draining", extra={"in_flight": len(self._in_flight())})
         self._hand_over_and_wait()
 
     def finish(self) -> None:
-        """Leave: nothing is in flight."""
+        """End after the last request in flight."""
         log.info("shutdown: done")
         self._end()
 
     def answer(self) -> None:
-        """Answer the requests in flight, and wait until the answers are sent."""
+        """Send final responses, and wait until they are delivered."""
         was_draining = self.phase is Phase.DRAINING
         self.phase = Phase.ANSWERING
         self._answer_in_flight()
@@ -132,16 +133,16 @@
             self._hand_over_and_wait()
 
     def abandon(self) -> None:
-        """End at once; final answers may not be delivered."""
+        """End immediately; final responses may not be delivered."""
         self._answer_in_flight()
         self._end()
 
     def _hand_over_and_wait(self) -> None:
-        self._target.hand_over(self._note_handed_over)
-        self._look()
+        self._target.hand_over(self._set_handed_over)
+        self._check_drained()
 
     def _answer_in_flight(self) -> None:
-        """Log each request in flight as cut off, and send final answers."""
+        """Log each request in flight as cut off, and send final responses."""
         for request_id in self._in_flight():
             log.error(
                 "request cut off",
@@ -160,25 +161,25 @@
                 call.cancel()
         self._target.end()
 
-    def _look(self) -> None:
+    def _check_drained(self) -> None:
         if self.phase not in (Phase.DRAINING, Phase.ANSWERING):
             return
         self._target.stop_accepting()
-        # An answer that is finished may still wait in its connection's buffer: the
-        # process must not end before the connection has sent it and closed.
+        # A finished response may still be in the buffer of its connection. The process
+        # must not end before the connection has sent it and closed.
         busy = self._in_flight() or self._target.open_connections()
         if not busy and self._handed_over:
-            self._machine.emptied()
+            self._machine.drained()
             return
-        self._later(CLOSE_EVERY_S, self._look)
+        self._call_later(CLOSE_INTERVAL_S, self._check_drained)
 
-    def _note_handed_over(self) -> None:
+    def _set_handed_over(self) -> None:
         self._handed_over = True
 
     def _in_flight(self) -> list[str]:
         return self._target.in_flight()
 
-    def _later(self, delay_s: float, call: Callable[[], None]) -> None:
+    def _call_later(self, delay_s: float, call: Callable[[], None]) -> None:
         self._calls.append(self._clock.callLater(delay_s, call))
 
 
@@ -190,11 +191,11 @@
     answering = builder.state("answering")
     ended = builder.state("ended")
 
-    @pep614(serving.upon(_Machine.asked).to(notice))
+    @pep614(serving.upon(_Machine.stop_requested).to(notice))
     def begin(inputs: _Machine, core: Shutdown) -> None:
         core.begin()
 
-    @pep614(notice.upon(_Machine.noticed).to(draining))
+    @pep614(notice.upon(_Machine.notice_over).to(draining))
     def drain(inputs: _Machine, core: Shutdown) -> None:
         core.drain()
 
@@ -203,16 +204,16 @@
     def answer(inputs: _Machine, core: Shutdown) -> None:
         core.answer()
 
-    @pep614(draining.upon(_Machine.emptied).to(ended))
-    @pep614(answering.upon(_Machine.emptied).to(ended))
+    @pep614(draining.upon(_Machine.drained).to(ended))
+    @pep614(answering.upon(_Machine.drained).to(ended))
     def finish(inputs: _Machine, core: Shutdown) -> None:
         core.finish()
 
-    @pep614(notice.upon(_Machine.cut).to(ended))
-    @pep614(draining.upon(_Machine.cut).to(ended))
-    @pep614(answering.upon(_Machine.cut).to(ended))
+    @pep614(notice.upon(_Machine.stop_now).to(ended))
+    @pep614(draining.upon(_Machine.stop_now).to(ended))
+    @pep614(answering.upon(_Machine.stop_now).to(ended))
     def abandon(inputs: _Machine, core: Shutdown) -> None:
         core.abandon()
 
-    ended.upon(_Machine.cut).loop().returns(None)
+    ended.upon(_Machine.stop_now).loop().returns(None)
     return builder.build()(shutdown)
--- a/src/gentianwharf/links/__init__.py
+++ b/src/gentianwharf/links/__init__.py
@@ -1,4 +1,4 @@
-"""One-way links between hosts over pynng, inside the Twisted loop."""
+"""One-way links between hosts over pynng, in the Twisted event loop."""
 
 from ._nng import NngLink, NngListener, dial
 
--- a/src/gentianwharf/links/_nng.py
+++ b/src/gentianwharf/links/_nng.py
@@ -1,9 +1,10 @@
-"""pynng sockets inside the Twisted loop, without a thread of ours.
+"""pynng sockets in the Twisted event loop, without additional threads.
 
-Push and Pull, one Push socket for each peer: each peer gets a queue of its own, whose
-end is seen (``TryAgain``), and a link that went silent is closed without touching the
-others. Pair1 in its polyamorous mode would need one socket for all, but keeps two
-messages a peer and drops the rest without a sign.
+Uses Push and Pull, with one Push socket for each peer. Each peer then has its own
+queue, which reports when it is full (``TryAgain``), and a link that stopped responding
+can be closed without affecting the others. A single Pair1 socket in polyamorous mode
+would serve all peers, but it queues only two messages per peer and drops the rest
+silently.
 """
 
 from collections.abc import Callable
@@ -17,37 +18,37 @@
 from gentianwharf.errors import InputError
 from gentianwharf.logs import log
 
-SEND_QUEUE = 64
-"""Frames queued for a peer that is slow or away; later ones are dropped, since every
-message is either sent again by its system or soon stale."""
+SEND_QUEUE_FRAMES = 64
+"""Frames queued for a slow or unreachable peer. Further frames are dropped, since every
+message is either sent again by its sender or soon outdated."""
 
-RECEIVE_QUEUE = 64
+RECEIVE_QUEUE_FRAMES = 64
 
-RECEIVED_A_TURN = 64
-"""Frames handled before the loop gets its turn back: callers' requests share it."""
+MAX_FRAMES_PER_ITERATION = 64
+"""Frames handled per loop iteration, since callers' requests run on the same loop."""
 
-MOST_TURN_S = 0.02
-"""No further frame is handled in a turn that has lasted so long. Ten with a long list
-of rules each, queued for a busy host, held it for 3 s in one turn."""
+MAX_ITERATION_S = 0.02
+"""Time in one loop iteration after which no further frame is handled. Ten queued frames
+with a long list of rules each blocked a busy host for 3 s in one iteration."""
 
-RECONNECT_FIRST_MS = 100
-RECONNECT_LONGEST_MS = 1_000
+RECONNECT_MIN_MS = 100
+RECONNECT_MAX_MS = 1_000
 
 
 @final
 class NngLink:
-    """A ``Link`` over one Push socket; nng dials again when it is closed."""
+    """A ``Link`` over one Push socket; nng reconnects if the connection is closed."""
 
     def __init__(self, *, address: str) -> None:
         self._socket = pynng.Push0(
-            send_buffer_size=SEND_QUEUE,
-            reconnect_time_min=RECONNECT_FIRST_MS,
-            reconnect_time_max=RECONNECT_LONGEST_MS,
+            send_buffer_size=SEND_QUEUE_FRAMES,
+            reconnect_time_min=RECONNECT_MIN_MS,
+            reconnect_time_max=RECONNECT_MAX_MS,
         )
         self._socket.dial(f"tcp://{address}", block=False)
 
     def send(self, data: bytes) -> bool:
-        """Queue a frame; False when the queue is full."""
+        """Queue a frame; returns False if the queue is full."""
         try:
             self._socket.send(data, block=False)
         except pynng.TryAgain:
@@ -55,19 +56,19 @@
         return True
 
     def close(self) -> None:
-        """Close at once and drop what is queued."""
+        """Close immediately and drop queued frames."""
         self._socket.close()
 
 
 def dial(address: str) -> NngLink:
-    """Open a link to ``ip:port`` without waiting for it."""
+    """Open a link to ``ip:port`` without waiting for the connection."""
     return NngLink(address=address)
 
 
 @final
 @implementer(IReadDescriptor)
 class NngListener:
-    """A Pull socket whose frames are handed on as the reactor finds them."""
+    """A Pull socket that passes received frames to ``on_data`` on the reactor."""
 
     def __init__(
         self,
@@ -80,7 +81,7 @@
         self._reactor = reactor
         self._on_data = on_data
         self._socket = pynng.Pull0(
-            recv_max_size=max_bytes, recv_buffer_size=RECEIVE_QUEUE
+            recv_max_size=max_bytes, recv_buffer_size=RECEIVE_QUEUE_FRAMES
         )
         self._socket.tcp_keepalive = True
         try:
@@ -98,35 +99,37 @@
         reactor.addReader(self)
 
     def fileno(self) -> int:
-        """Return the descriptor that is readable while a frame waits."""
+        """Return the file descriptor that is readable while frames are queued."""
         return self._fileno
 
     def doRead(self) -> None:  # noqa: N802
-        """Hand on what came; what is left keeps the descriptor readable."""
-        end_s = self._reactor.seconds() + MOST_TURN_S
-        for _ in range(RECEIVED_A_TURN):
+        """Handle queued frames; the descriptor stays readable if some remain."""
+        end_s = self._reactor.seconds() + MAX_ITERATION_S
+        for _ in range(MAX_FRAMES_PER_ITERATION):
             if self._closed or self._reactor.seconds() >= end_s:
                 return
             try:
                 data = self._socket.recv(block=False)
             except pynng.TryAgain:
                 return
-            self._hand_on(data)
+            self._handle(data)
 
-    def _hand_on(self, data: bytes) -> None:
+    def _handle(self, data: bytes) -> None:
         try:
             self._on_data(data)
         except Exception:
-            # The reactor drops a reader that raises: one message that can't be handled
-            # would keep this host from hearing any other one.
-            log.exception("a message could not be used", extra={"bytes": len(data)})
+            # The reactor removes a reader that raises, so one message that can't be
+            # handled would prevent this host from receiving any other.
+            log.exception(
+                "message from a peer could not be handled", extra={"bytes": len(data)}
+            )
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Close when the reactor drops its readers."""
+        """Close when the reactor removes its readers."""
         self.close()
 
     def logPrefix(self) -> str:  # noqa: N802
-        """Name this reader in logs."""
+        """Return the name of this reader in logs."""
         return "peers"
 
     def close(self) -> None:
@@ -134,6 +137,7 @@
         if self._closed:
             return
         self._closed = True
-        # The reactor first: nng closes the descriptor, and its number may come again.
+        # Removed from the reactor first, since nng closes the descriptor and its number
+        # may be reused.
         self._reactor.removeReader(self)
         self._socket.close()
