--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -11,7 +11,14 @@
 
 import msgspec
 
-from gentianwharf.keyspace import Former, GrantTiming, Holder, Holds, Keeper, Leadership
+from gentianwharf.keyspace import (
+    GrantManager,
+    GrantTiming,
+    Holder,
+    Leadership,
+    PreviousLeader,
+    RemainingGrants,
+)
 from gentianwharf.links import NngLink, dial
 from gentianwharf.logs import log
 
@@ -39,7 +46,7 @@
         self,
         *,
         name: LeaderItem,
-        keeper: Keeper,
+        keeper: GrantManager,
         leadership: Leadership,
         timing: GrantTiming,
         reactor: Any,
@@ -61,14 +68,14 @@
             one.link.close()
         self._links.clear()
 
-    def ask(self, former: Former) -> None:
+    def ask(self, former: PreviousLeader) -> None:
         """Begin to ask the leader before this one."""
         try:
             self._asked = msgspec.json.decode(former.value, type=LeaderItem)
         except msgspec.DecodeError as error:
             log.warning("the former leader's name can't be read: {}", error)
             return
-        self._is_settled = former.is_settled
+        self._is_settled = former.earlier_grants_expired
         self._due_s = self._reactor.seconds()
         self.tick()
 
@@ -78,7 +85,7 @@
         if self._asked is None:
             return
         term = self._leadership.term
-        if term is None or self._keeper.lives.is_settled():
+        if term is None or self._keeper.holders.earlier_grants_expired():
             self._asked = None
             return
         now_s = self._reactor.seconds()
@@ -100,12 +107,12 @@
         if term is not None and term.revision > question.revision:
             # Late: this host has taken the lead from the one that asked.
             return
-        self._leadership.give_way()
+        self._leadership.step_down()
         self._keeper.stop()
-        holds = self._keeper.lives.holds()
+        holds = self._keeper.holders.remaining_grants()
         held = [
             HeldFor(one.server_id, one.born_ms, one.address, held_s)
-            for one, held_s in holds.of_s.items()
+            for one, held_s in holds.by_holder_s.items()
         ]
         self._send(
             question.address,
@@ -127,11 +134,14 @@
             return
         log.info(
             "former leader has answered",
-            extra={"held_s": round(holds.others_s, 3), "servers": len(holds.of_s)},
+            extra={
+                "held_s": round(holds.others_s, 3),
+                "servers": len(holds.by_holder_s),
+            },
         )
-        self._keeper.lives.note_holds(holds)
+        self._keeper.holders.note_remaining_grants(holds)
 
-    def _holds(self, answer: ToldHolds) -> Holds | None:
+    def _holds(self, answer: ToldHolds) -> RemainingGrants | None:
         if answer.ended_s is None:
             held = {
                 Holder(
@@ -139,12 +149,12 @@
                 ): one.held_s
                 for one in answer.held
             }
-            return Holds(others_s=answer.others_s, of_s=held)
+            return RemainingGrants(others_s=answer.others_s, by_holder_s=held)
         if not self._is_settled:
             # What it knew of the leaders before it is lost with it.
             return None
         left_s = self._timing.ended_until_s(ended_s=0.0) - answer.ended_s
-        return Holds(others_s=max(0.0, left_s))
+        return RemainingGrants(others_s=max(0.0, left_s))
 
     def _send(self, address: str, message: AskedHolds | ToldHolds) -> None:
         now_s = float(self._reactor.seconds())
--- a/src/gentianwharf/keyspace/_keeper.py
+++ b/src/gentianwharf/keyspace/_grant_manager.py
@@ -19,10 +19,10 @@
 )
 from gentianwharf.logs import log
 
-from ._lives import Lives
+from ._holder_states import HolderStates
 from ._moves import SpanKey, key_of
 from ._orders import Grant, HolderEndedError, Orders, Release
-from ._rows import Life, Row
+from ._states import HolderState, Row
 from ._table import Holder, KeyTable, Span
 from ._timing import LEADER_LEASE_S, PROBE_EVERY_S, GrantTiming
 
@@ -45,7 +45,7 @@
 
 
 @final
-class Keeper:
+class GrantManager:
     """Grants and renews what the tables say, from taking over until it is stopped."""
 
     def __init__(self, *, orders: Orders, timing: GrantTiming, now_s: Clock) -> None:
@@ -53,27 +53,28 @@
         self._timing = timing
         self._now_s = now_s
         self._rows: dict[SpanKey, Row] = {}
-        self.lives = Lives(timing=timing, now_s=now_s)
-        self._heard_s = 0.0
+        self.holders = HolderStates(timing=timing, now_s=now_s)
+        self._store_contact_s = 0.0
         self._grants_sent = 0
         self._on_their_way = 0
         self._leading = False
         self._listed: frozenset[Holder] = frozenset()
         self.on_granted: Callable[[str, Span], None] = lambda service, span: None
 
-    def take_over(self, heard_s: float, *, held_s: float | None = None) -> None:
-        """Begin to lead; earlier leaders may have granted anything until now.
+    def take_over(self, store_contact_s: float, *, held_s: float | None = None) -> None:
+        """Begin to lead; earlier leaders may have issued grants until now.
 
-        ``heard_s`` is when the store was last heard of. A leader that resigned has
-        told for how long its grants hold, ``held_s``; nothing is known of a lost one.
+        ``store_contact_s`` is the time of the last contact with the store. ``held_s``
+        is for how long the grants of a leader that resigned remain valid; None after
+        the loss of a leader, whose grants are unknown.
         """
         self._leading = True
-        self._heard_s = heard_s
+        self._store_contact_s = store_contact_s
         if held_s is None:
-            unknown_until_s = self._timing.unknown_until_s(took_over_s=heard_s)
+            unknown_until_s = self._timing.unknown_until_s(took_over_s=store_contact_s)
         else:
             unknown_until_s = self._now_s() + held_s
-        self.lives.begin(unknown_until_s=unknown_until_s)
+        self.holders.reset(unknown_until_s=unknown_until_s)
 
     def stop(self) -> None:
         """Give no more orders."""
@@ -81,15 +82,15 @@
         for row in self._rows.values():
             row.gone = True
         self._rows.clear()
-        for life in self.lives:
+        for state in self.holders:
             # What is cancelled may have left already.
-            life.held_until_s = life.surely_until_s()
-            for order in list(life.orders):
+            state.held_until_s = state.surely_until_s()
+            for order in list(state.orders):
                 order.cancel()
 
-    def note_heard(self, heard_s: float) -> None:
+    def note_store_contact(self, store_contact_s: float) -> None:
         """Note that the store was heard of, so that this host still leads."""
-        self._heard_s = max(self._heard_s, heard_s)
+        self._store_contact_s = max(self._store_contact_s, store_contact_s)
 
     def follow(self, table: KeyTable) -> None:
         """Carry out a table that stands in the store."""
@@ -130,11 +131,11 @@
         if not self._leading:
             return
         now_s = self._now_s()
-        if now_s > self._heard_s + self._timing.leader_alone_s:
+        if now_s > self._store_contact_s + self._timing.leader_alone_s:
             # Another host may lead by now and wait for these grants to run out.
             return
         self._on_their_way = sum(
-            len(one.orders) for one in self.lives if one.failing_since_s is None
+            len(one.orders) for one in self.holders if one.failing_since_s is None
         )
         due = [
             row
@@ -143,40 +144,42 @@
         ]
         for row in sorted(due, key=lambda one: one.due_s):
             self._advance(row, now_s)
-        for holder in self.lives.unreachable():
-            self._probe(holder, self.lives.of(holder), now_s)
+        for holder in self.holders.unreachable():
+            self._probe(holder, self.holders.state_of(holder), now_s)
 
-    def _probe(self, holder: Holder, life: Life, now_s: float) -> None:
+    def _probe(self, holder: Holder, state: HolderState, now_s: float) -> None:
         """Ask a holder that lost its shards for a sign of life.
 
         Without one it would be passed over for ever: nothing else is ordered of it.
         """
-        is_due = now_s >= life.probe_due_s and not life.orders
-        if life.probe is None or holder not in self._listed or not is_due:
+        is_due = now_s >= state.probe_due_s and not state.orders
+        if state.probe is None or holder not in self._listed or not is_due:
             return
-        life.probe_due_s = now_s + PROBE_EVERY_S
-        order = Deferred.fromCoroutine(self._send_probe(holder, life, life.probe))
-        self._track(life, order)
+        state.probe_due_s = now_s + PROBE_EVERY_S
+        order = Deferred.fromCoroutine(self._send_probe(holder, state, state.probe))
+        self._track(state, order)
 
-    async def _send_probe(self, holder: Holder, life: Life, release: Release) -> None:
+    async def _send_probe(
+        self, holder: Holder, state: HolderState, release: Release
+    ) -> None:
         try:
             await self._orders.release(holder, release, timeout_s=GRANT_TIMEOUT_S)
         except RefusedError:
             pass
         except HolderEndedError as error:
-            self.lives.note_ended(holder, error)
+            self.holders.note_ended(holder, error)
             return
         except GentianwharfError as error:
             log.debug("no sign of life: {}", error)
             return
         # Also of one that had ended: it was born again under its id.
-        life.failing_since_s = None
-        life.has_ended = False
+        state.failing_since_s = None
+        state.has_ended = False
         log.info("server reached again", extra={"server": holder.server_id})
 
     def _advance(self, row: Row, now_s: float) -> None:
         for one in list(row.former):
-            if now_s >= self.lives.held_until_s(one):
+            if now_s >= self.holders.held_until_s(one):
                 self._leave_out(row, one)
         if row.former:
             holder = row.former[0]
@@ -193,18 +196,18 @@
         server pays for handshakes, and has fewer connections left for requests.
         """
         holder = row.span.holder
-        life = self.lives.of(holder)
-        if life.granting:
+        state = self.holders.state_of(holder)
+        if state.granting:
             row.waiting = True
-            life.waiting.append(row)
+            state.waiting.append(row)
         elif self._may_order(holder):
-            life.granting = True
+            state.granting = True
             self._start(row, holder, self._grant(row))
 
-    def _grant_next(self, life: Life) -> None:
-        life.granting = False
-        while life.waiting and not life.granting:
-            row = life.waiting.popleft()
+    def _grant_next(self, state: HolderState) -> None:
+        state.granting = False
+        while state.waiting and not state.granting:
+            row = state.waiting.popleft()
             row.waiting = False
             if self._leading and not row.gone and not row.ordering:
                 self._grant_in_turn(row)
@@ -213,35 +216,35 @@
         """Wait no more for a former holder; what it is asked first is to release."""
         row.former.remove(holder)
         span = row.span
-        self.lives.of(holder).probe = Release(
+        self.holders.state_of(holder).probe = Release(
             first=span.first, last=span.last, token=span.token
         )
 
     def _may_order(self, holder: Holder) -> bool:
-        life = self.lives.of(holder)
-        if life.failing_since_s is not None:
+        state = self.holders.state_of(holder)
+        if state.failing_since_s is not None:
             # One at a time shows as well whether it answers again. A host that may lead
             # no more asks it nothing: who answers then may be the server's next life,
             # born again under its id, which has seen no tokens. It would take a
             # renewal of keys that the next leader has given to another server.
-            return not life.orders and not self._is_replaced()
+            return not state.orders and not self._is_replaced()
         self._on_their_way += 1
         return self._on_their_way <= MOST_ORDERS
 
     def _is_replaced(self) -> bool:
         """Whether another host may lead by now."""
-        return self._now_s() >= self._heard_s + LEADER_LEASE_S
+        return self._now_s() >= self._store_contact_s + LEADER_LEASE_S
 
     def _start(self, row: Row, holder: Holder, order: Deferred[None]) -> None:
         row.ordering = True
-        self._track(self.lives.of(holder), order)
+        self._track(self.holders.state_of(holder), order)
         order.addBoth(lambda _: setattr(row, "ordering", False))
 
-    def _track(self, life: Life, order: "Deferred[None]") -> None:
-        life.orders.add(order)
+    def _track(self, state: HolderState, order: "Deferred[None]") -> None:
+        state.orders.add(order)
 
         def ended(result: object) -> None:
-            life.orders.discard(order)
+            state.orders.discard(order)
             if isinstance(result, Failure) and not result.check(CancelledError):
                 log.error("an order failed: {}", result.getTraceback())
 
@@ -257,7 +260,7 @@
             MOST_RELEASE_TIMEOUT_S,
             FIRST_RELEASE_TIMEOUT_S * (1 + row.release_tries),
             # Once its grant has run out there is nothing to wait for.
-            self.lives.held_until_s(holder) - self._now_s(),
+            self.holders.held_until_s(holder) - self._now_s(),
         )
         row.release_tries += 1
         sent_s = self._now_s()
@@ -265,19 +268,19 @@
             handover = await self._orders.release(holder, release, timeout_s=timeout_s)
         except HolderEndedError as error:
             # Another one answers there: this one is no more, nor are its grants.
-            self.lives.note_ended(holder, error)
+            self.holders.note_ended(holder, error)
             if holder in row.former:
                 self._leave_out(row, holder)
             self._go_on(row)
             return
         except GentianwharfError as error:
             row.due_s = self._now_s() + self._timing.retry_every_s
-            self.lives.note_unanswered(holder, sent_s)
+            self.holders.note_unanswered(holder, sent_s)
             if row.release_tries == 1:
                 # Said again with each try it would drown what it means.
                 self._log(row, holder, "release failed", error=str(error))
             return
-        self.lives.of(holder).failing_since_s = None
+        self.holders.state_of(holder).failing_since_s = None
         row.handover = handover or row.handover
         if holder in row.former:
             row.former.remove(holder)
@@ -298,7 +301,7 @@
         sent_s = self._now_s()
         spans = len(self._rows)
         duration_s = self._timing.duration_s(
-            store_silent_s=sent_s - self._heard_s, spans=spans
+            store_silent_s=sent_s - self._store_contact_s, spans=spans
         )
         grant = Grant(
             first=span.first,
@@ -308,42 +311,46 @@
             handover=row.handover,
         )
         row.due_s = float("inf")
-        life = self.lives.of(holder)
+        state = self.holders.state_of(holder)
         self._grants_sent += 1
         number = self._grants_sent
         # Until the call has ended, the grant may arrive at any time.
-        life.on_their_way_until_s[number] = self._timing.held_until_s(
+        state.on_their_way_until_s[number] = self._timing.held_until_s(
             ended_s=sent_s + GRANT_TIMEOUT_S, duration_s=duration_s
         )
         try:
             await self._orders.grant(holder, grant, timeout_s=GRANT_TIMEOUT_S)
         except HolderEndedError as error:
             row.due_s = self._now_s() + self._timing.retry_every_s
-            self.lives.note_ended(holder, error)
+            self.holders.note_ended(holder, error)
         except PeerUnavailableError as error:
             # It never left: a server that can't be reached runs out of its grants
             # although it is asked again and again.
             row.due_s = self._now_s() + self._timing.retry_every_s
-            self.lives.note_unanswered(holder, sent_s)
+            self.holders.note_unanswered(holder, sent_s)
             self._note_failed(row, error)
         except RefusedError as error:
-            life.failing_since_s = None
+            state.failing_since_s = None
             row.due_s = self._now_s() + self._timing.retry_every_s
             self._note_refused(row, error)
         except GentianwharfError as error:
             row.due_s = self._now_s() + self._timing.retry_every_s
-            self.lives.note_unanswered(holder, sent_s)
+            self.holders.note_unanswered(holder, sent_s)
             self._note_failed(row, error)
-            self.lives.note_held(holder, ended_s=self._now_s(), duration_s=duration_s)
+            self.holders.note_grant(
+                holder, ended_s=self._now_s(), duration_s=duration_s
+            )
         else:
-            life.failing_since_s = None
+            state.failing_since_s = None
             row.failing = False
             row.due_s = sent_s + self._timing.renew_after_s(spans)
-            self.lives.note_held(holder, ended_s=self._now_s(), duration_s=duration_s)
+            self.holders.note_grant(
+                holder, ended_s=self._now_s(), duration_s=duration_s
+            )
             self._note_granted(row)
         finally:
-            life.on_their_way_until_s.pop(number, None)
-            self._grant_next(life)
+            state.on_their_way_until_s.pop(number, None)
+            self._grant_next(state)
 
     def _note_refused(self, row: Row, error: GentianwharfError) -> None:
         # A renewal that crosses the release of a part of its span is refused, and the
--- a/src/gentianwharf/load/__init__.py
+++ b/src/gentianwharf/load/__init__.py
@@ -1,11 +1,11 @@
 """Decisions under load; nothing here knows of a network.
 
 ``Gate`` decides whom to serve, who waits, who is refused and where work goes;
-``IdempotencyMemory`` joins repeated requests. See ``docs/design/load.md``.
+``IdempotencyCache`` joins repeated requests. See ``docs/design/load.md``.
 """
 
 from ._gate import Gate
-from ._idempotency import Claim, Claimed, IdempotencyMemory
+from ._idempotency import Claim, ClaimResult, IdempotencyCache
 from ._requests import (
     PROVES_NOT_RUN,
     Decision,
@@ -19,19 +19,20 @@
     Ticket,
     Wait,
 )
-from ._server_state import Standing
+from ._server_state import HealthStatus
 from ._snapshot import ClassSnapshot, GateSnapshot, PoolSnapshot, ServerSnapshot
 
 __all__ = [
     "PROVES_NOT_RUN",
     "Claim",
-    "Claimed",
+    "ClaimResult",
     "ClassSnapshot",
     "Decision",
     "Discipline",
     "Gate",
     "GateSnapshot",
-    "IdempotencyMemory",
+    "HealthStatus",
+    "IdempotencyCache",
     "Outcome",
     "OutcomeKind",
     "PoolSnapshot",
@@ -39,7 +40,6 @@
     "RefuseReason",
     "RequestClass",
     "ServerSnapshot",
-    "Standing",
     "Start",
     "Ticket",
     "Wait",
--- a/src/gentianwharf/relay/_exchange.py
+++ b/src/gentianwharf/relay/_exchange.py
@@ -170,13 +170,13 @@
             if problem.run is Run.NOT_RUN and not self._may_have_run:
                 self._idempotent_requests.mark_not_run(key)
             else:
-                self._idempotent_requests.settle(key, None)
+                self._idempotent_requests.complete(key, None)
             raise
         except BaseException:
             # The caller disconnected, or an internal error: the outcome is unknown.
-            self._idempotent_requests.settle(key, None)
+            self._idempotent_requests.complete(key, None)
             raise
-        self._idempotent_requests.settle(key, self._stored)
+        self._idempotent_requests.complete(key, self._stored)
 
     def _replay(self, stored: StoredResponse) -> None:
         request = self.request
--- a/src/gentianwharf/relay/_idempotency.py
+++ b/src/gentianwharf/relay/_idempotency.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
-from gentianwharf.load import Claim, IdempotencyMemory
+from gentianwharf.load import Claim, IdempotencyCache
 from gentianwharf.runs import Run
 
 from ._problem import Problem
@@ -82,7 +82,7 @@
 
     def __init__(self, *, now_s: Callable[[], float]) -> None:
         self._now_s = now_s
-        self._memory: IdempotencyMemory[StoredResponse] = IdempotencyMemory()
+        self._cache: IdempotencyCache[StoredResponse] = IdempotencyCache()
         self._waiting: dict[tuple[str, str], list[Deferred[None]]] = {}
 
     async def claim(
@@ -93,7 +93,7 @@
         Waits for the first request while that is in flight. Raises ``Problem``.
         """
         while True:
-            result = self._memory.claim(
+            result = self._cache.claim(
                 scope=key.scope,
                 key=key.key,
                 request_id=request_id,
@@ -109,9 +109,9 @@
                 continue
             raise replace(_PROBLEMS[result.claim])
 
-    def settle(self, key: IdempotencyKey, response: StoredResponse | None) -> None:
+    def complete(self, key: IdempotencyKey, response: StoredResponse | None) -> None:
         """Store the response; None if the outcome of the request is unknown."""
-        self._memory.settle(
+        self._cache.complete(
             scope=key.scope,
             key=key.key,
             now_s=self._now_s(),
@@ -122,7 +122,7 @@
 
     def mark_not_run(self, key: IdempotencyKey) -> None:
         """Allow the request to be sent again, since it provably did not run."""
-        self._memory.forget(scope=key.scope, key=key.key)
+        self._cache.discard(scope=key.scope, key=key.key)
         self._resume_waiting(key, _NOT_RUN)
 
     def _wait(self, key: IdempotencyKey) -> Deferred[None]:
--- a/tests/test_keyspace_interleavings.py
+++ b/tests/test_keyspace_interleavings.py
@@ -102,8 +102,8 @@
     def _resign(self) -> None:
         host = self.rng.choice(self.hosts)
         if self.paused.get(host.name, 0.0) <= self.clock.seconds():
-            held_s = host.keeper.lives.held_s()
-            Deferred.fromCoroutine(host.leadership.resign(held_s, stand_back_s=2.0))
+            held_s = host.manager.holders.held_s()
+            Deferred.fromCoroutine(host.leadership.resign(held_s, campaign_pause_s=2.0))
 
     def _change_server(self) -> None:
         server: GrantingServer = self.servers[self.rng.choice(SERVERS)]
