--- a/tests/builders_answers.py
+++ b/tests/builders_answers.py
@@ -1,4 +1,4 @@
-"""What a backend server does on one connection, right or wrong, for tests."""
+"""Scripts of correct and faulty backend servers, for tests."""
 
 import socket
 import struct
@@ -7,31 +7,31 @@
 
 
 def ok(connection: socket.socket, head: bytes) -> None:
-    """Answer whole."""
+    """Send a complete response."""
     connection.sendall(answer(extra=echo_id(head)))
 
 
 def one_byte_pieces(connection: socket.socket, head: bytes) -> None:
-    """Answer whole, a byte at a time."""
+    """Send a complete response one byte at a time."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for byte in answer(b"in pieces", extra=echo_id(head)):
         connection.sendall(bytes([byte]))
 
 
 def chunked(connection: socket.socket, head: bytes) -> None:
-    """Answer whole, in chunks."""
+    """Send a complete chunked response."""
     connection.sendall(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
     )
 
 
-def short(connection: socket.socket, head: bytes) -> None:
-    """Close before the stated end."""
+def truncated(connection: socket.socket, head: bytes) -> None:
+    """Close before the end given by the length."""
     connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc")
     connection.shutdown(socket.SHUT_RDWR)
 
 
-def short_chunked(connection: socket.socket, head: bytes) -> None:
+def truncated_chunked(connection: socket.socket, head: bytes) -> None:
     """Close before the last chunk."""
     connection.sendall(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
@@ -39,41 +39,41 @@
     connection.shutdown(socket.SHUT_RDWR)
 
 
-def endless(connection: socket.socket, head: bytes) -> None:
-    """Answer without an end that can be told from a break."""
+def unterminated(connection: socket.socket, head: bytes) -> None:
+    """Send a response with neither length nor chunks."""
     connection.sendall(b"HTTP/1.1 200 OK\r\n\r\nabc")
     connection.shutdown(socket.SHUT_RDWR)
 
 
-def crossed(connection: socket.socket, head: bytes) -> None:
-    """Answer under another request's id."""
+def wrong_request_id(connection: socket.socket, head: bytes) -> None:
+    """Send a response with another request's id."""
     connection.sendall(answer(b"else's", extra="Gentianwharf-Request-Id: other\r\n"))
 
 
 def closing(connection: socket.socket, head: bytes) -> None:
-    """Close without an answer."""
+    """Close without a response."""
     connection.shutdown(socket.SHUT_RDWR)
 
 
 def resetting(connection: socket.socket, head: bytes) -> None:
-    """Reset the connection without an answer."""
+    """Reset the connection without a response."""
     linger = struct.pack("ii", 1, 0)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     connection.close()
 
 
-def silent(connection: socket.socket, head: bytes) -> None:
-    """Never answer."""
+def hanging(connection: socket.socket, head: bytes) -> None:
+    """Never respond."""
     read_head(connection)
 
 
 def shedding(connection: socket.socket, head: bytes) -> None:
-    """Refuse for want of room."""
+    """Refuse the request to shed load."""
     extra = "Gentianwharf-Run: not-run\r\nRetry-After: 3\r\n"
     connection.sendall(answer(b"", status="503 Shed", extra=extra))
 
 
 def not_owner(connection: socket.socket, head: bytes) -> None:
-    """Refuse as not the owner."""
+    """Refuse the request as not being the owner."""
     extra = "Gentianwharf-Run: not-run\r\n"
     connection.sendall(answer(b"no", status="421 Misdirected", extra=extra))
--- a/tests/builders_relay.py
+++ b/tests/builders_relay.py
@@ -1,8 +1,7 @@
 """A relay on real sockets with scripted servers, for tests.
 
-The reactor runs in one background thread of the test process; servers and callers
-are blocking sockets of the test. ``Script`` is what a server does with one
-connection.
+The reactor runs in a background thread of the test process. Servers and callers use
+blocking sockets. A ``Script`` handles one request on a server's connection.
 """
 
 import socket
@@ -42,7 +41,7 @@
 
 @cache
 def running_reactor() -> Any:
-    """Return the reactor, running in a thread of its own."""
+    """Return the reactor, which runs in a separate thread."""
     threading.Thread(
         target=REACTOR.run, kwargs={"installSignalHandlers": False}, daemon=True
     ).start()
@@ -50,12 +49,12 @@
 
 
 def in_reactor(function: Callable[[], Any]) -> Any:
-    """Call ``function`` in the reactor's thread and return what it returns."""
+    """Call ``function`` in the reactor's thread and return its result."""
     return blockingCallFromThread(running_reactor(), function)
 
 
 def read_head(connection: socket.socket) -> bytes:
-    """Read one request's or answer's head, and whatever came with it."""
+    """Read the head of a request or response, and data received with it."""
     data = b""
     while b"\r\n\r\n" not in data:
         piece = connection.recv(65_536)
@@ -66,7 +65,7 @@
 
 
 def answer(body: bytes = b"ok", *, status: str = "200 OK", extra: str = "") -> bytes:
-    """Return a whole answer with a length."""
+    """Return a complete response with a length."""
     return (
         f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode()
         + body
@@ -83,7 +82,7 @@
 
 @dataclass
 class ScriptedServer:
-    """A server that runs the n-th script for the n-th request; the last repeats."""
+    """A server that runs the n-th script for the n-th request, then the last one."""
 
     scripts: list[Script]
     heads: list[bytes] = field(default_factory=list)
@@ -96,7 +95,7 @@
         return int(self._listener.getsockname()[1])
 
     def stop(self) -> None:
-        """Refuse further connections."""
+        """Stop accepting connections."""
         with suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -122,8 +121,8 @@
                 script(connection, head)
 
 
-class FirstServer:
-    """Admission that sends everything to the first server, or the owner."""
+class FakeAdmission:
+    """Admits every request, to its owner or to the next server in turn."""
 
     def __init__(self, *, servers: list[BackendServer]) -> None:
         self.servers = servers
@@ -135,7 +134,7 @@
     async def admit(
         self, ticket: Ticket, owner: BackendServer | None, hedge: HedgeCallback
     ) -> BackendServer:
-        """Return the next server in turn."""
+        """Return the owner or the next server in turn."""
         if self.hedge_after_s is not None:
             REACTOR.callLater(self.hedge_after_s, hedge, self.servers[-1])
         return owner or self.servers[len(self.outcomes) % len(self.servers)]
@@ -149,7 +148,7 @@
         after: Outcome,
         avoid: BackendServer,
     ) -> BackendServer:
-        """Allow another try."""
+        """Admit every retry."""
         return owner or self.servers[len(self.outcomes) % len(self.servers)]
 
     def finished(
@@ -160,7 +159,7 @@
         elapsed_s: float,
         retry_after_s: float | None = None,
     ) -> None:
-        """Keep the outcome."""
+        """Record the outcome."""
         self.outcomes.append(outcome)
         if outcome in self.outcome_events:
             self.outcome_events[outcome].set()
@@ -168,20 +167,20 @@
             self.retry_after_s.append(retry_after_s)
 
     def server_for_key(self, service: str, key: str) -> BackendServer | None:
-        """Leave it to ``admit``."""
+        """Return None, so that ``admit`` selects the server."""
         return None
 
     def note_load(
         self, server: BackendServer, load: ServerLoad, elapsed_s: float | None
     ) -> None:
-        """Have no use for it."""
+        """Ignore the load."""
 
     def discard(self, ticket: Ticket) -> None:
-        """Have nothing to forget."""
+        """Do nothing, since no state is kept."""
 
 
-class FirstOwner:
-    """Ownership that gives every shard to the first server, or to nobody."""
+class FakeOwnership:
+    """Assigns every shard to the first server; without servers it has no owner."""
 
     def __init__(self, *, servers: list[BackendServer]) -> None:
         self.servers = servers
@@ -198,24 +197,24 @@
         )
 
     def report_not_owner(self, ticket: Ticket, owner: Owner) -> None:
-        """Give the shard to the next server."""
+        """Assign the shard to the next server."""
         self.refused += 1
         self.servers = self.servers[1:]
 
 
 @dataclass
-class Records:
-    """Keeps every answer that was recorded, and every refusal before a rule."""
+class FakeObserver:
+    """Stores the recorded responses and refusals."""
 
     answers: list[AccessRecord] = field(default_factory=list)
     refusals: list[tuple[str, Problem]] = field(default_factory=list)
 
     def record_response(self, record: AccessRecord) -> None:
-        """Keep it."""
+        """Store the record."""
         self.answers.append(record)
 
     def record_refusal(self, request_id: str, problem: Problem) -> None:
-        """Keep it."""
+        """Store the refusal."""
         self.refusals.append((request_id, problem))
 
 
@@ -227,12 +226,12 @@
     app: RelayApp
     site: CallerSite
     servers: list[ScriptedServer]
-    admission: FirstServer
-    ownership: FirstOwner
-    records: Records
+    admission: FakeAdmission
+    ownership: FakeOwnership
+    records: FakeObserver
 
-    def ask(self, request: bytes) -> bytes:
-        """Send ``request`` and return all bytes until the relay closes."""
+    def send(self, request: bytes) -> bytes:
+        """Send ``request`` and return all bytes received until the relay closes."""
         with self.connect() as connection:
             with suppress(OSError):
                 connection.sendall(request)
@@ -244,7 +243,7 @@
 
 
 def read_to_end(connection: socket.socket) -> bytes:
-    """Read until the other side closes or breaks the connection."""
+    """Read until the peer closes or resets the connection."""
     data = b""
     with suppress(OSError):
         while piece := connection.recv(65_536):
@@ -309,15 +308,15 @@
     limits: ConnectionLimits | None = None,
     deadline_ms: int = DEADLINE_MS,
 ) -> Iterator[Any]:
-    """Run a relay before one scripted server for each list of scripts."""
-    scripted = [ScriptedServer(scripts=list(one)) for one in scripts]
-    servers = [make_server(n, one.start()) for n, one in enumerate(scripted)]
+    """Run a relay with one scripted server for each list of scripts."""
+    scripted = [ScriptedServer(scripts=list(script)) for script in scripts]
+    servers = [make_server(n, server.start()) for n, server in enumerate(scripted)]
     if not servers_up:
-        for one in scripted:
-            one.stop()
-    admission = FirstServer(servers=servers)
-    ownership = FirstOwner(servers=list(servers))
-    records = Records()
+        for scripted_server in scripted:
+            scripted_server.stop()
+    admission = FakeAdmission(servers=servers)
+    ownership = FakeOwnership(servers=list(servers))
+    records = FakeObserver()
     reactor = running_reactor()
     app = RelayApp(
         rules=RuleSet(document=RULES, revision=1, shards={"keyed": 16}),
@@ -345,5 +344,5 @@
         records=records,
     )
     in_reactor(port.stopListening)
-    for one in scripted:
-        one.stop()
+    for scripted_server in scripted:
+        scripted_server.stop()
--- a/tests/builders_transport.py
+++ b/tests/builders_transport.py
@@ -1,4 +1,4 @@
-"""Transports without a socket."""
+"""Transports without sockets, for tests."""
 
 from typing import final
 
@@ -7,11 +7,11 @@
 
 @final
 class ProbedTransport(StringTransport):
-    """A transport whose socket takes every option."""
+    """A transport whose socket accepts every option."""
 
     def getHandle(self) -> "ProbedTransport":  # noqa: N802
-        """Return its socket."""
+        """Return the object that stands in for the socket."""
         return self
 
     def setsockopt(self, *option: int) -> None:
-        """Take an option."""
+        """Ignore an option."""
--- a/tests/test_entryhost_page_site.py
+++ b/tests/test_entryhost_page_site.py
@@ -95,7 +95,7 @@
     """An exception in rule matching must not leave the caller without a response."""
     with running_relay([], deadline_ms=5_000) as relay:
         relay.app.rules = None
-        received = relay.ask(request())
+        received = relay.send(request())
     assert received.startswith(b"HTTP/1.1 500")
     assert b"a fault of the router" in received
     assert relay.records.refusals
--- a/tests/test_relay_answers.py
+++ b/tests/test_relay_answers.py
@@ -11,16 +11,16 @@
 from tests.builders_answers import (
     chunked,
     closing,
-    crossed,
-    endless,
+    hanging,
     not_owner,
     ok,
     one_byte_pieces,
     resetting,
     shedding,
-    short,
-    short_chunked,
-    silent,
+    truncated,
+    truncated_chunked,
+    unterminated,
+    wrong_request_id,
 )
 from tests.builders_relay import (
     DEADLINE_MS,
@@ -47,14 +47,17 @@
 )
 def test_whole_answer_is_handed_on(script: Script, expected: bytes) -> None:
     with running_relay([script]) as relay:
-        received = relay.ask(request())
+        received = relay.send(request())
     assert received.startswith(b"HTTP/1.1 200 OK")
     assert received.endswith(expected)
 
 
 @pytest.mark.parametrize(
     "script",
-    [pytest.param(short, id="length"), pytest.param(short_chunked, id="chunked")],
+    [
+        pytest.param(truncated, id="length"),
+        pytest.param(truncated_chunked, id="chunked"),
+    ],
 )
 def test_short_answer_never_looks_whole(script: Script) -> None:
     """A family sees half a schedule as if it were all of it.
@@ -63,7 +66,7 @@
     answer in good order would hide it.
     """
     with running_relay([script]) as relay:
-        received = relay.ask(request())
+        received = relay.send(request())
     head, _, body = received.partition(b"\r\n\r\n")
     assert not received.endswith(b"0\r\n\r\n")
     assert b"Content-Length: 10" in head or b"chunked" in head or not received
@@ -80,7 +83,7 @@
         connection.sendall(answer(extra='ETag: "a"\r\nX-Two: 1\r\nX-Two: 2\r\n'))
 
     with running_relay([bare]) as relay:
-        lines = relay.ask(request()).partition(b"\r\n\r\n")[0].split(b"\r\n")
+        lines = relay.send(request()).partition(b"\r\n\r\n")[0].split(b"\r\n")
     names = sorted(line.partition(b":")[0] for line in lines[1:])
     assert names == [
         b"Connection",
@@ -99,7 +102,13 @@
     ("scripts", "method", "status", "run", "requests", "outcome"),
     [
         pytest.param(
-            [crossed], "POST", 502, "unknown", 1, Outcome.LOST, id="crossed-post"
+            [wrong_request_id],
+            "POST",
+            502,
+            "unknown",
+            1,
+            Outcome.LOST,
+            id="crossed-post",
         ),
         pytest.param(
             [closing], "POST", 502, "unknown", 1, Outcome.LOST, id="closed-post"
@@ -108,14 +117,14 @@
             [resetting], "POST", 502, "unknown", 1, Outcome.LOST, id="reset-post"
         ),
         pytest.param(
-            [silent], "POST", 504, "unknown", 1, Outcome.TIMED_OUT, id="silent-post"
+            [hanging], "POST", 504, "unknown", 1, Outcome.TIMED_OUT, id="silent-post"
         ),
         pytest.param(
-            [endless], "GET", 502, "run", 1, Outcome.LOST, id="no-provable-end"
+            [unterminated], "GET", 502, "run", 1, Outcome.LOST, id="no-provable-end"
         ),
         pytest.param([closing, ok], "GET", 200, None, 2, Outcome.LOST, id="closed-get"),
         pytest.param(
-            [crossed, ok], "GET", 200, None, 2, Outcome.LOST, id="crossed-get"
+            [wrong_request_id, ok], "GET", 200, None, 2, Outcome.LOST, id="crossed-get"
         ),
         pytest.param(
             [shedding, ok], "POST", 200, None, 2, Outcome.SHED, id="shed-post"
@@ -139,7 +148,7 @@
     what may repeat, or what the server says it did not run, is sent once more.
     """
     with running_relay(list(scripts)) as relay:
-        received = relay.ask(request(method, body=b"x" if method == "POST" else b""))
+        received = relay.send(request(method, body=b"x" if method == "POST" else b""))
         assert received.startswith(f"HTTP/1.1 {status} ".encode())
         if run is not None:
             assert body_of(received)["run"] == run
@@ -150,7 +159,7 @@
 
 def test_unreachable_server_is_said_not_to_have_run_anything() -> None:
     with running_relay([ok], servers_up=False) as relay:
-        received = relay.ask(request("POST", body=b"x"))
+        received = relay.send(request("POST", body=b"x"))
     assert received.startswith(b"HTTP/1.1 503 ")
     assert body_of(received)["run"] == "not-run"
     assert b"Retry-After: " in received
@@ -158,7 +167,7 @@
 
 def test_shed_answer_carries_the_server_s_retry_after() -> None:
     with running_relay([shedding]) as relay:
-        received = relay.ask(request())
+        received = relay.send(request())
         assert relay.admission.retry_after_s == [3.0] * 3
     assert b"Retry-After: 3\r\n" in received
 
@@ -169,7 +178,7 @@
     The old owner refuses the request without running it, so it may go elsewhere.
     """
     with running_relay([not_owner], [ok]) as relay:
-        received = relay.ask(request("POST", "/keyed/fst", body=b"x"))
+        received = relay.send(request("POST", "/keyed/fst", body=b"x"))
         assert received.startswith(b"HTTP/1.1 200 ")
         assert relay.ownership.refused == 1
 
@@ -187,9 +196,9 @@
         connection.sendall(answer(b"late"))
 
     with running_relay([late, ok]) as relay:
-        first = relay.ask(request("POST", body=b"x"))
+        first = relay.send(request("POST", body=b"x"))
         release.set()
-        second = relay.ask(request("POST", body=b"x"))
+        second = relay.send(request("POST", body=b"x"))
         assert first.startswith(b"HTTP/1.1 504 ")
         assert second.endswith(b"\r\n\r\nok")
         assert relay.servers[0].connections == 2
@@ -198,7 +207,7 @@
 def test_connection_is_kept_after_a_whole_answer() -> None:
     with running_relay([ok]) as relay:
         for _ in range(3):
-            assert relay.ask(request()).startswith(b"HTTP/1.1 200 ")
+            assert relay.send(request()).startswith(b"HTTP/1.1 200 ")
         assert relay.servers[0].connections == 1
 
 
@@ -229,7 +238,7 @@
 
     raw = request("POST", headers="Content-Length: 1000000\r\n")
     with running_relay([reset_later]) as relay:
-        received = relay.ask(raw + b"x" * 500_000)
+        received = relay.send(raw + b"x" * 500_000)
         assert len(relay.servers[0].heads) == 1
     if received:
         assert body_of(received)["run"] == "unknown"
@@ -249,7 +258,7 @@
         connection.sendall(f"HTTP/1.1 {status}\r\n{length}\r\n".encode())
 
     with running_relay([bodiless]) as relay:
-        received = relay.ask(request(method))
+        received = relay.send(request(method))
     assert received.startswith(f"HTTP/1.1 {status}".encode())
     assert received.endswith(b"\r\n\r\n")
     assert (b"Content-Length: 10" in received) is (method == "HEAD")
@@ -290,7 +299,7 @@
     for a promise that nothing ran.
     """
     with running_relay([closing, shedding, shedding]) as relay:
-        received = relay.ask(request())
+        received = relay.send(request())
     assert received.startswith(b"HTTP/1.1 502 ")
     assert body_of(received)["run"] == "unknown"
 
@@ -301,13 +310,13 @@
     A middlebox has lost track of the kept connections to a server: what is sent on
     them is never answered, while new connections work.
     """
-    with running_relay([ok, silent, ok]) as relay:
-        relay.ask(request())
+    with running_relay([ok, hanging, ok]) as relay:
+        relay.send(request())
         relay.admission.hedge_after_s = 0.02
-        assert relay.ask(request()).endswith(b"\r\n\r\nok")
+        assert relay.send(request()).endswith(b"\r\n\r\nok")
         assert relay.servers[0].connections == 2
         relay.admission.hedge_after_s = None
-        assert relay.ask(request()).endswith(b"\r\n\r\nok")
+        assert relay.send(request()).endswith(b"\r\n\r\nok")
         pools = relay.app.connections["s0"]
         assert len(pools) == 1
 
@@ -318,7 +327,7 @@
     """A family sees a page of HTML from the router's framework."""
     with running_relay([ok]) as relay:
         monkeypatch.setattr(relay.admission, "admit", None)
-        received = relay.ask(request())
+        received = relay.send(request())
     assert received.startswith(b"HTTP/1.1 500 ")
     assert body_of(received)["run"] == "unknown"
 
@@ -329,14 +338,14 @@
     """A caller waits for ever after a fault in the rules' matching."""
     with running_relay([ok]) as relay:
         monkeypatch.setattr(relay.app, "rules", None)
-        received = relay.ask(request())
+        received = relay.send(request())
         assert received.startswith(b"HTTP/1.1 500 ")
         assert relay.servers[0].connections == 0
 
 
 def test_idle_connection_is_probed() -> None:
     with running_relay([ok]) as relay:
-        relay.ask(request())
+        relay.send(request())
         (connection,) = relay.app.connections["s0"].idle()
         handle = connection.transport.getHandle()
         assert handle.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
--- a/tests/test_relay_edges.py
+++ b/tests/test_relay_edges.py
@@ -78,7 +78,7 @@
     no answer; each is read and kept until the deadline.
     """
     with patient_relay([script]) as relay:
-        received = relay.ask(request("POST", body=b"x"))
+        received = relay.send(request("POST", body=b"x"))
         assert received.startswith(b"HTTP/1.1 502 ")
         assert json.loads(received.split(b"\r\n\r\n", 1)[1])["run"] == "unknown"
         assert relay.admission.outcomes == [Outcome.LOST]
@@ -90,7 +90,7 @@
         ok(connection, head)
 
     with patient_relay([hints]) as relay:
-        received = relay.ask(request())
+        received = relay.send(request())
     assert received.startswith(b"HTTP/1.1 200 ")
     assert received.endswith(b"\r\n\r\nok")
 
@@ -106,7 +106,7 @@
 
     with patient_relay([trailing]) as relay:
         for _ in range(2):
-            assert relay.ask(request()).endswith(b"2\r\nok\r\n0\r\n\r\n")
+            assert relay.send(request()).endswith(b"2\r\nok\r\n0\r\n\r\n")
         assert relay.servers[0].connections == 1
 
 
@@ -122,7 +122,7 @@
 
     raw = request("POST", headers=CHUNKED)
     with patient_relay([reading]) as relay:
-        received = relay.ask(raw + b"2\r\nok\r\n0\r\nGentianwharf-Token: 9\r\n\r\n")
+        received = relay.send(raw + b"2\r\nok\r\n0\r\nGentianwharf-Token: 9\r\n\r\n")
     assert received.startswith(b"HTTP/1.1 200 ")
     assert b"Token: 9" not in b"".join(seen)
 
@@ -141,14 +141,14 @@
         connection.sendall(wrong)
 
     with patient_relay([ok, late, ok]) as relay:
-        relay.ask(request())
+        relay.send(request())
         with relay.connect() as gone:
             gone.sendall(request("POST", body=b"x"))
             wait_for_heads(relay, 2)
         while not relay.admission.outcomes[1:]:
             threading.Event().wait(0.005)
         go_on.set()
-        received = relay.ask(request("POST", body=b"x"))
+        received = relay.send(request("POST", body=b"x"))
         assert received.endswith(b"\r\n\r\nok")
         assert relay.servers[0].connections == 2
 
@@ -167,9 +167,9 @@
         connection.sendall(answer(b"another's"))
 
     with patient_relay([too_much, ok]) as relay:
-        assert relay.ask(request()).endswith(b"\r\n\r\nfirst")
+        assert relay.send(request()).endswith(b"\r\n\r\nfirst")
         threading.Timer(0.05, go_on.set).start()
-        assert relay.ask(request()).endswith(b"\r\n\r\nok")
+        assert relay.send(request()).endswith(b"\r\n\r\nok")
         assert relay.servers[0].connections == 2
 
 
@@ -182,11 +182,11 @@
         connection.sendall(answer(b"late", status="408 Request Timeout"))
 
     with patient_relay([unasked, ok]) as relay:
-        relay.ask(request())
+        relay.send(request())
         go_on.set()
         while relay.app.connections["s0"].idle():
             threading.Event().wait(0.005)
-        assert relay.ask(request()).endswith(b"\r\n\r\nok")
+        assert relay.send(request()).endswith(b"\r\n\r\nok")
         assert relay.servers[0].connections == 2
 
 
@@ -212,7 +212,7 @@
 
     with patient_relay([closing, closing, ok]) as relay:
         for _ in range(2):
-            received = relay.ask(request("POST", body=b"x"))
+            received = relay.send(request("POST", body=b"x"))
             assert received.startswith(b"HTTP/1.1 200 ")
         assert len(relay.servers[0].heads) == relay.servers[0].connections == 2
 
@@ -311,7 +311,7 @@
             first = read_to_end(connection)
             with suppress(OSError):
                 connection.sendall(b"x" * 990)
-        second = relay.ask(request("POST", body=b"y"))
+        second = relay.send(request("POST", body=b"y"))
         assert first.endswith(b"\r\n\r\nok")
         assert second.endswith(b"\r\n\r\nok")
         assert relay.servers[0].connections == 2
--- a/tests/test_relay_fuzz.py
+++ b/tests/test_relay_fuzz.py
@@ -171,7 +171,7 @@
         @given(raw=ANSWERS)
         def check(raw: bytes) -> None:
             bytes_of_server[0] = raw
-            received = relay.ask(request())
+            received = relay.send(request())
             if not received:
                 return
             assert WELL_FORMED.match(received), received
@@ -181,6 +181,6 @@
 
         check()
         bytes_of_server[0] = answer(b"well again")
-        assert relay.ask(request()).endswith(b"\r\n\r\nwell again")
+        assert relay.send(request()).endswith(b"\r\n\r\nwell again")
         while relay.app.in_flight or any(map(len, relay.app.connections.values())):
             threading.Event().wait(0.005)
--- a/tests/test_relay_hedging.py
+++ b/tests/test_relay_hedging.py
@@ -5,7 +5,7 @@
 import threading
 
 from gentianwharf.relay import Outcome
-from tests.builders_answers import ok, shedding, silent
+from tests.builders_answers import hanging, ok, shedding
 from tests.builders_relay import request, running_relay
 
 HANG_S = 5.0
@@ -31,15 +31,15 @@
     ) as relay:
         relay.admission.hedge_after_s = 0.02
         relay.admission.outcome_events = {Outcome.LOST: leg_lost}
-        received = relay.ask(request())
+        received = relay.send(request())
     assert received.startswith(b"HTTP/1.1 502 ")
     assert json.loads(received.split(b"\r\n\r\n", 1)[1])["run"] == "unknown"
 
 
 def test_late_answer_is_overtaken_by_a_second_server() -> None:
-    with running_relay([silent], [ok]) as relay:
+    with running_relay([hanging], [ok]) as relay:
         relay.admission.hedge_after_s = 0.02
-        received = relay.ask(request())
+        received = relay.send(request())
         assert received.endswith(b"\r\n\r\nok")
         assert sorted(relay.admission.outcomes) == ["answered", "cancelled"]
 
@@ -47,5 +47,5 @@
 def test_hedge_of_a_decided_request_counts_as_finished() -> None:
     with running_relay([ok], [ok]) as relay:
         relay.admission.hedge_after_s = 0.0
-        relay.ask(request())
+        relay.send(request())
         assert relay.admission.outcomes.count(Outcome.ANSWERED) == 1
--- a/tests/test_relay_limits.py
+++ b/tests/test_relay_limits.py
@@ -47,13 +47,13 @@
     """
     raw = request("GET", headers="a:\r\n" * headers)
     with running_relay([plain], limits=OPERATORS_LIMITS) as relay:
-        assert relay.ask(raw).startswith(b"HTTP/1.1 " + status)
+        assert relay.send(raw).startswith(b"HTTP/1.1 " + status)
 
 
 def test_body_that_says_it_is_too_large_is_refused_before_it_is_sent() -> None:
     raw = request("POST", headers="Content-Length: 1001\r\n")
     with running_relay([plain], limits=LIMITS) as relay:
-        received = relay.ask(raw + b"x" * 1001)
+        received = relay.send(raw + b"x" * 1001)
         assert received.startswith(b"HTTP/1.1 413")
         assert b"expected at most 1000 bytes, got 1001" in received
         assert relay.servers[0].heads == []
@@ -70,7 +70,7 @@
         ended.set()
 
     with running_relay([reading], limits=LIMITS, deadline_ms=3000) as relay:
-        received = relay.ask(raw + b"400\r\n" + b"x" * 1024 + b"\r\n0\r\n\r\n")
+        received = relay.send(raw + b"400\r\n" + b"x" * 1024 + b"\r\n0\r\n\r\n")
         assert b"200" not in received
         assert not relay.servers[0].heads or ended.wait(HANG_S)
     assert b"0\r\n\r\n" not in ends
@@ -86,7 +86,7 @@
 
     raw = request("POST", headers=f"Content-Length: {size}\r\n")
     with running_relay([reading], limits=LIMITS, deadline_ms=3000) as relay:
-        assert relay.ask(raw + b"x" * size).endswith(b"%d" % size)
+        assert relay.send(raw + b"x" * size).endswith(b"%d" % size)
 
 
 def test_head_that_comes_too_slowly_is_refused() -> None:
--- a/tests/test_relay_pipelining.py
+++ b/tests/test_relay_pipelining.py
@@ -51,7 +51,7 @@
         connection.sendall(answer(b"body of " + path_of(head)))
 
     with running_relay([server], deadline_ms=10_000) as relay:
-        received = relay.ask(
+        received = relay.send(
             request(path="/plain/a", close=False)
             + request(path="/plain/b", close=False)
             + request(path="/plain/c")
@@ -63,7 +63,7 @@
 def test_quick_answer_waits_for_the_slow_one_before_it() -> None:
     server = slow_until(b"/plain/quick", b"/plain/slow")
     with running_relay([server], deadline_ms=10_000) as relay:
-        received = relay.ask(
+        received = relay.send(
             request(path="/plain/slow", close=False) + request(path="/plain/quick")
         )
     assert received.count(b"HTTP/1.1 200") == 2
@@ -84,7 +84,7 @@
             connection.sendall(answer(large))
 
     with running_relay([server], deadline_ms=10_000) as relay:
-        received = relay.ask(
+        received = relay.send(
             request(path="/plain/slow", close=False) + request(path="/plain/large")
         )
     assert received.endswith(large)
@@ -107,7 +107,7 @@
         connection.sendall(answer(b"body of " + path_of(head)))
 
     with running_relay([server], deadline_ms=10_000) as relay:
-        received = relay.ask(
+        received = relay.send(
             request(path="/plain/slow", close=False)
             + request("POST", "/plain/charge", headers="Content-Length: 0\r\n")
         )
@@ -127,7 +127,7 @@
 
     upload = request("POST", "/plain/upload", headers="Content-Length: 5\r\n")
     with running_relay([server], deadline_ms=10_000) as relay:
-        received = relay.ask(
+        received = relay.send(
             request(path="/plain/slow", close=False) + upload + b"hello"
         )
     assert received.endswith(b"/plain/upload hello")
@@ -140,7 +140,7 @@
         connection.sendall(answer(b"body of /plain/slow"))
 
     with running_relay([server], deadline_ms=10_000) as relay:
-        received = relay.ask(
+        received = relay.send(
             request(path="/plain/slow", close=False)
             + b"GET /plain/bad HTTP/1.1\r\nHost: x\r\nno colon here\r\n\r\n"
         )
@@ -163,7 +163,7 @@
         cut.set()
 
     with running_relay([server], deadline_ms=10_000) as relay:
-        received = relay.ask(
+        received = relay.send(
             request(path="/plain/slow", close=False) + request(path="/plain/cut")
         )
     first, _, second = received.partition(b"body of /plain/slow")
@@ -211,6 +211,6 @@
     paths = [f"/plain/{number}" for number in range(count)]
     requests = [request(path=path, close=False) for path in paths[:-1]]
     with running_relay([server], deadline_ms=10_000) as relay:
-        received = relay.ask(b"".join(requests) + request(path=paths[-1]))
+        received = relay.send(b"".join(requests) + request(path=paths[-1]))
     assert received.count(b"HTTP/1.1 200") == count
     assert in_order(received, *(path.encode() for path in paths))
--- a/tests/test_relay_repeats.py
+++ b/tests/test_relay_repeats.py
@@ -39,7 +39,7 @@
     idempotency key; the server has no memory of keys.
     """
     with running_relay([numbered()]) as relay:
-        answers = [relay.ask(post()) for _ in range(3)]
+        answers = [relay.send(post()) for _ in range(3)]
         assert len(relay.servers[0].heads) == 1
     assert all(one.endswith(b"run 1") for one in answers)
 
@@ -54,7 +54,7 @@
     answers: list[bytes] = []
     with running_relay([slow]) as relay:
         callers = [
-            threading.Thread(target=lambda: answers.append(relay.ask(post())))
+            threading.Thread(target=lambda: answers.append(relay.send(post())))
             for _ in range(3)
         ]
         for caller in callers:
@@ -86,15 +86,15 @@
     first: bytes, second: bytes, status: int, requests: int
 ) -> None:
     with running_relay([numbered()]) as relay:
-        relay.ask(first)
-        assert relay.ask(second).startswith(b"HTTP/1.1 %d " % status)
+        relay.send(first)
+        assert relay.send(second).startswith(b"HTTP/1.1 %d " % status)
         assert len(relay.servers[0].heads) == requests
 
 
 def test_request_whose_outcome_is_unknown_is_not_sent_again() -> None:
     with running_relay([closing, numbered()]) as relay:
-        assert b'"unknown"' in relay.ask(post())
-        again = relay.ask(post())
+        assert b'"unknown"' in relay.send(post())
+        again = relay.send(post())
         assert len(relay.servers[0].heads) == 1
     assert again.startswith(b"HTTP/1.1 409 ")
     assert b'"unknown"' in again
@@ -102,5 +102,5 @@
 
 def test_request_that_was_not_run_may_be_sent_again() -> None:
     with running_relay([shedding, shedding, shedding, numbered()]) as relay:
-        assert b'"not-run"' in relay.ask(post())
-        assert relay.ask(post()).endswith(b"run 1")
+        assert b'"not-run"' in relay.send(post())
+        assert relay.send(post()).endswith(b"run 1")
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -112,7 +112,7 @@
     """
     raw = f"GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
     with running_relay([plain]) as relay:
-        received = relay.ask(raw.encode())
+        received = relay.send(raw.encode())
         ((request_id, problem),) = relay.records.refusals
     assert f"Gentianwharf-Request-Id: {request_id}".encode() in received
     assert (problem.title, problem.run) == (title, Run.NOT_RUN)
@@ -122,7 +122,7 @@
     """An operator looks for the rule that a 404 should have met, and has only an id."""
     raw = b"GET /nowhere/7?name=x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
     with running_relay([plain]) as relay:
-        relay.ask(raw)
+        relay.send(raw)
         ((_, problem),) = relay.records.refusals
     assert problem.step == "match"
     assert problem.detail.startswith("GET a/nowhere/7: ")
@@ -145,7 +145,7 @@
         b"3\r\nabc\r\nzz\r\n\r\n"
     )
     with running_relay([reading]) as relay:
-        received = relay.ask(raw)
+        received = relay.send(raw)
     assert not received or received.startswith(b"HTTP/1.1 400 ")
     assert b"0\r\n\r\n" not in b"".join(seen)
 
@@ -157,7 +157,7 @@
         "Idempotency-Key: k1\r\nCookie: a=b\r\n"
     )
     with running_relay([plain]) as relay:
-        relay.ask(request(path="/keyed/fst", headers=headers))
+        relay.send(request(path="/keyed/fst", headers=headers))
         head = relay.servers[0].heads[0].lower()
     for kept in (b"traceparent: 00-abc", b"tracestate: a=1", b"idempotency-key: k1"):
         assert kept in head
@@ -180,7 +180,7 @@
 )
 def test_target_passes_unchanged(path: str, target: bytes) -> None:
     with running_relay([plain]) as relay:
-        assert relay.ask(request(path=path)).startswith(b"HTTP/1.1 200")
+        assert relay.send(request(path=path)).startswith(b"HTTP/1.1 200")
         assert relay.servers[0].heads[0].startswith(target)
 
 
@@ -189,7 +189,7 @@
         connection.sendall(answer(head.split(b" ")[1]))
 
     with running_relay([numbered]) as relay:
-        received = relay.ask(
+        received = relay.send(
             request(path="/plain/a", close=False)
             + request(path="/plain/b", close=False)
             + request(path="/plain/c")
@@ -207,7 +207,7 @@
         headers="Expect: 100-continue\r\nContent-Length: 1000000\r\n",
     )
     with running_relay([plain]) as relay:
-        received = relay.ask(raw)
+        received = relay.send(raw)
     assert received.startswith(b"HTTP/1.1 404")
     assert b"100 Continue" not in received
 
@@ -240,7 +240,7 @@
 def test_connection_is_closed_when_the_caller_asks_for_it(headers: str) -> None:
     # Deadlines are not what this is about; on a busy machine 400 ms are over at once.
     with running_relay([plain], deadline_ms=5000) as relay:
-        received = relay.ask(request(headers=headers, close=False))
+        received = relay.send(request(headers=headers, close=False))
     assert received.endswith(b"\r\n\r\nok")
 
 
@@ -257,7 +257,7 @@
     with running_relay([plain]) as relay:
         relay.ownership.owner = _noting_shards(relay.ownership.owner, shards)
         for one in written:
-            assert relay.ask(one).startswith(b"HTTP/1.1 200")
+            assert relay.send(one).startswith(b"HTTP/1.1 200")
         keys = [
             line
             for head in relay.servers[0].heads
--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -162,7 +162,7 @@
     """Guards against starting a request in a process that is about to end."""
     with running_relay([], deadline_ms=DEADLINE_MS) as relay:
         in_reactor(relay.app.answer_in_flight)
-        received = relay.ask(request())
+        received = relay.send(request())
     assert received.startswith(b"HTTP/1.1 503")
     assert b'"run": "not-run"' in received
     assert relay.records.refusals
