--- a/tests/test_daemon_clock.py
+++ b/tests/test_daemon_clock.py
@@ -1,4 +1,4 @@
-"""A step of the wall clock moves nothing."""
+"""Steps of the wall clock don't affect the event loop."""
 
 import time
 
@@ -10,13 +10,13 @@
 
 
 @pytest.mark.parametrize("step_s", [-3600.0, 3600.0], ids=["back", "forward"])
-def test_step_of_the_wall_clock_does_not_move_the_loop(
+def test_wall_clock_step_does_not_affect_the_reactor(
     monkeypatch: pytest.MonkeyPatch, step_s: float
 ) -> None:
-    """Two servers run one key's requests after a time daemon set a host's clock back.
+    """Guards against two servers that run requests of the same key.
 
-    The host's right to send had ended and a new owner had been granted the shard;
-    with the clock an hour earlier, the right seemed to hold again.
+    The host's right to send had expired and a new owner had been granted the shard. A
+    time daemon set the clock back by an hour, and the right appeared to be valid again.
     """
     reactor = SelectReactor()
     use_monotonic_time(reactor)
--- a/tests/test_links_listener.py
+++ b/tests/test_links_listener.py
@@ -1,4 +1,4 @@
-"""What a host receives from others over a real link."""
+"""Messages that a host receives over a real link."""
 
 from select import select
 from typing import final
@@ -8,14 +8,14 @@
 from gentianwharf.links import NngListener, dial
 from tests.builders_relay import in_reactor, running_reactor
 
-MOST_WAIT_S = 5.0
+TIMEOUT_S = 5.0
 
 
-def test_message_that_can_t_be_handled_costs_that_message_alone() -> None:
-    """A host hears no other host any more: no news, no moves, no reports.
+def test_error_in_one_message_does_not_stop_the_listener() -> None:
+    """Guards against a host that stops receiving messages from all peers.
 
-    One message makes its reader raise. The event loop drops a reader that raises, so
-    that the host's ear to all others is closed until it is started again.
+    One message makes the handler raise. The reactor removes a reader that raises, so
+    that the host received nothing until it was restarted.
     """
     got: list[bytes] = []
     last: Deferred[None] = Deferred()
@@ -37,7 +37,7 @@
     for data in (b"first", b"odd", b"last"):
         link.send(data)
     try:
-        in_reactor(lambda: last.addTimeout(MOST_WAIT_S, reactor))
+        in_reactor(lambda: last.addTimeout(TIMEOUT_S, reactor))
     finally:
         link.close()
         in_reactor(listener.close)
@@ -45,8 +45,8 @@
 
 
 @final
-class TimedReactor:
-    """Calls nobody; its time goes on as a test says."""
+class FakeReactor:
+    """A reactor that calls no readers, with a clock that the test sets."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -56,18 +56,19 @@
         return self.now_s
 
     def addReader(self, reader: object) -> None:  # noqa: N802
-        """Let the test call the reader."""
+        """Do nothing: the test calls the reader."""
 
     removeReader = addReader  # noqa: N815
 
 
-def test_messages_that_take_long_are_handled_in_turns_of_their_own() -> None:
-    """A host's callers wait for 3 s, and its lease runs out.
+def test_slow_messages_are_handled_in_separate_iterations() -> None:
+    """Guards against blocking the event loop of a host.
 
-    Its leader's news queued while it was busy. Each brings a long list of rules, which
-    takes tenths of a second, and all of them were handled in one turn.
+    Messages from the leader queued while the host was busy. Each contains a long list
+    of rules that takes tenths of a second. All were handled in one loop iteration, so
+    that callers waited for 3 s and the host's lease expired.
     """
-    reactor = TimedReactor()
+    reactor = FakeReactor()
     got: list[bytes] = []
 
     def read(data: bytes) -> None:
@@ -84,7 +85,7 @@
     turns = []
     try:
         while len(got) < len(sent):
-            assert select([listener], [], [], MOST_WAIT_S)[0], "nothing came"
+            assert select([listener], [], [], TIMEOUT_S)[0], "no message arrived"
             before = len(got)
             listener.doRead()
             turns.append(len(got) - before)
--- a/tests/test_relay_answers.py
+++ b/tests/test_relay_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request, or sees that it is broken."""
+"""A caller gets the complete response to its request, or can detect the failure."""
 
 import json
 import socket
@@ -40,12 +40,12 @@
 @pytest.mark.parametrize(
     ("script", "expected"),
     [
-        pytest.param(ok, b"\r\n\r\nok", id="whole"),
+        pytest.param(ok, b"\r\n\r\nok", id="complete"),
         pytest.param(one_byte_pieces, b"\r\n\r\nin pieces", id="one-byte-pieces"),
         pytest.param(chunked, b"0\r\n\r\n", id="chunked"),
     ],
 )
-def test_whole_answer_is_handed_on(script: Script, expected: bytes) -> None:
+def test_complete_response_is_forwarded(script: Script, expected: bytes) -> None:
     with running_relay([script]) as relay:
         received = relay.send(request())
     assert received.startswith(b"HTTP/1.1 200 OK")
@@ -59,11 +59,11 @@
         pytest.param(truncated_chunked, id="chunked"),
     ],
 )
-def test_short_answer_never_looks_whole(script: Script) -> None:
-    """A family sees half a schedule as if it were all of it.
+def test_truncated_response_does_not_look_complete(script: Script) -> None:
+    """Guards against a truncated response that looks complete.
 
-    The server breaks off in the middle of an answer; a router that ended its own
-    answer in good order would hide it.
+    The server closes in the middle of a response. If the router finished its own
+    response properly, the caller could not detect the missing part.
     """
     with running_relay([script]) as relay:
         received = relay.send(request())
@@ -73,10 +73,11 @@
     assert len(body) < 10
 
 
-def test_answer_s_headers_are_the_server_s() -> None:
-    """A rosters' file without a type is shown as a page, by a type the router made up.
+def test_response_has_only_the_servers_headers() -> None:
+    """Guards against headers that the server did not send.
 
-    Twisted's server names its own type and product where an answer has none.
+    Twisted's server adds its own Content-Type and Server if a response has none, so
+    that browsers would display a file as a page.
     """
 
     def bare(connection: socket.socket, head: bytes) -> None:
@@ -96,8 +97,8 @@
     ]
 
 
-# Each row: what the server does, the method, the status and ``run`` that the caller
-# gets, how many requests servers saw, and the first attempt's outcome.
+# Columns: the server's scripts, the method, the status and ``run`` that the caller
+# receives, the number of requests sent to servers, the outcome of the first attempt.
 @pytest.mark.parametrize(
     ("scripts", "method", "status", "run", "requests", "outcome"),
     [
@@ -134,7 +135,7 @@
         ),
     ],
 )
-def test_failed_attempt_is_answered_by_what_is_known(
+def test_failed_attempt_is_reported_with_its_outcome(
     scripts: list[Script],
     method: str,
     status: int,
@@ -142,10 +143,11 @@
     requests: int,
     outcome: Outcome,
 ) -> None:
-    """A dues posting is sent again although the first one may have run.
+    """Guards against a retry of a request that may have run.
 
-    The server took the request, then its answer was lost, late or another's. Only
-    what may repeat, or what the server says it did not run, is sent once more.
+    The server received the request, but its response was lost, late or that of another
+    request. Only repeatable requests, and requests that the server reports as not run,
+    may be retried.
     """
     with running_relay(list(scripts)) as relay:
         received = relay.send(request(method, body=b"x" if method == "POST" else b""))
@@ -157,7 +159,7 @@
         assert relay.records.answers[-1].status == status
 
 
-def test_unreachable_server_is_said_not_to_have_run_anything() -> None:
+def test_unreachable_server_is_reported_as_not_run() -> None:
     with running_relay([ok], servers_up=False) as relay:
         received = relay.send(request("POST", body=b"x"))
     assert received.startswith(b"HTTP/1.1 503 ")
@@ -165,17 +167,18 @@
     assert b"Retry-After: " in received
 
 
-def test_shed_answer_carries_the_server_s_retry_after() -> None:
+def test_shed_request_gets_the_servers_retry_after() -> None:
     with running_relay([shedding]) as relay:
         received = relay.send(request())
         assert relay.admission.retry_after_s == [3.0] * 3
     assert b"Retry-After: 3\r\n" in received
 
 
-def test_refusal_by_a_former_owner_goes_to_the_next() -> None:
-    """A key has just moved and this host has not heard.
+def test_request_refused_by_a_former_owner_is_sent_to_the_next() -> None:
+    """Guards against failing a request after its key moved.
 
-    The old owner refuses the request without running it, so it may go elsewhere.
+    This host still sends to the former owner, which refuses the request without running
+    it. The request may then be sent to another server.
     """
     with running_relay([not_owner], [ok]) as relay:
         received = relay.send(request("POST", "/keyed/fst", body=b"x"))
@@ -183,11 +186,11 @@
         assert relay.ownership.refused == 1
 
 
-def test_late_answer_is_never_taken_for_another_request_s() -> None:
-    """A caller gets the page of the caller before.
+def test_late_response_is_not_sent_to_another_caller() -> None:
+    """Guards against a response that is sent to the wrong caller.
 
-    The first request times out; its answer arrives on the kept connection after
-    the second request was sent on it. Connections that timed out are not reused.
+    The first request times out. Its response would arrive on the persistent connection
+    after the second request was sent, so such a connection must not be reused.
     """
     release = threading.Event()
 
@@ -204,17 +207,17 @@
         assert relay.servers[0].connections == 2
 
 
-def test_connection_is_kept_after_a_whole_answer() -> None:
+def test_connection_is_reused_after_a_complete_response() -> None:
     with running_relay([ok]) as relay:
         for _ in range(3):
             assert relay.send(request()).startswith(b"HTTP/1.1 200 ")
         assert relay.servers[0].connections == 1
 
 
-def test_answer_before_the_end_of_the_upload_is_handed_on() -> None:
-    """An editor uploads for minutes what the server refused at once.
+def test_response_before_the_end_of_the_upload_is_forwarded() -> None:
+    """Guards against an upload that continues after the server has refused it.
 
-    The server answers 413 after the head and never reads the body.
+    The server responds with 413 after the head and never reads the body.
     """
 
     def early(connection: socket.socket, head: bytes) -> None:
@@ -231,7 +234,7 @@
     assert received.endswith(b"too big")
 
 
-def test_reset_during_the_upload_is_unknown() -> None:
+def test_reset_during_the_upload_has_an_unknown_outcome() -> None:
     def reset_later(connection: socket.socket, head: bytes) -> None:
         connection.recv(1000)
         resetting(connection, head)
@@ -252,7 +255,7 @@
         pytest.param("GET", "304 Not Modified", id="not-modified"),
     ],
 )
-def test_answer_without_a_body_ends_with_its_head(method: str, status: str) -> None:
+def test_response_without_a_body_ends_with_its_head(method: str, status: str) -> None:
     def bodiless(connection: socket.socket, head: bytes) -> None:
         length = "Content-Length: 10\r\n" if method == "HEAD" else ""
         connection.sendall(f"HTTP/1.1 {status}\r\n{length}\r\n".encode())
@@ -264,11 +267,11 @@
     assert (b"Content-Length: 10" in received) is (method == "HEAD")
 
 
-def test_caller_that_stops_reading_stops_the_server_s_sending() -> None:
-    """One caller that stops reading fills a host's memory.
+def test_caller_that_stops_reading_pauses_the_server() -> None:
+    """Guards against exhausting a host's memory.
 
-    The server sends faster than the caller reads; without back-pressure the rest
-    of the answer would wait in the router.
+    The server sends faster than the caller reads. Without back-pressure the router
+    would buffer the rest of the response.
     """
     total = 64 * 1024 * 1024
     sent: list[int] = []
@@ -292,11 +295,11 @@
     assert sum(sent) < total / 2
 
 
-def test_refusal_after_a_lost_try_is_not_called_not_run() -> None:
-    """A consultation's first try is lost and its second one is shed.
+def test_refusal_after_a_lost_attempt_is_not_reported_as_not_run() -> None:
+    """Guards against reporting a request as not run after an earlier attempt was lost.
 
-    The last word was "not run", but the first try may have run. A 503 would be taken
-    for a promise that nothing ran.
+    The first attempt is lost and may have run; the second one is shed. Callers rely on
+    a 503 to mean that nothing ran.
     """
     with running_relay([closing, shedding, shedding]) as relay:
         received = relay.send(request())
@@ -304,11 +307,11 @@
     assert body_of(received)["run"] == "unknown"
 
 
-def test_silent_connection_is_overtaken_on_a_new_one_and_all_old_ones_dropped() -> None:
-    """A family's page hangs on every tenth request, until the daemon restarts.
+def test_hanging_connection_is_hedged_and_all_older_ones_are_closed() -> None:
+    """Guards against reusing persistent connections that no longer work.
 
-    A middlebox has lost track of the kept connections to a server: what is sent on
-    them is never answered, while new connections work.
+    A middlebox dropped their state: requests sent on them get no response, while new
+    connections to the same server work.
     """
     with running_relay([ok, hanging, ok]) as relay:
         relay.send(request())
@@ -321,10 +324,10 @@
         assert len(pools) == 1
 
 
-def test_fault_of_the_router_is_a_problem_document_of_unknown_outcome(
+def test_internal_error_gives_a_problem_document_with_unknown_outcome(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A family sees a page of HTML from the router's framework."""
+    """Guards against an HTML error page from Twisted."""
     with running_relay([ok]) as relay:
         monkeypatch.setattr(relay.admission, "admit", None)
         received = relay.send(request())
@@ -332,10 +335,10 @@
     assert body_of(received)["run"] == "unknown"
 
 
-def test_fault_before_a_request_is_decided_is_answered(
+def test_internal_error_before_a_match_gets_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A caller waits for ever after a fault in the rules' matching."""
+    """Guards against a request without a response after an error in rule matching."""
     with running_relay([ok]) as relay:
         monkeypatch.setattr(relay.app, "rules", None)
         received = relay.send(request())
@@ -352,11 +355,11 @@
         assert handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == 4
 
 
-def test_answer_that_came_while_the_host_stood_still_is_handed_on() -> None:
-    """A treasurer is told that a posting's outcome is unknown, though it was answered.
+def test_response_that_arrived_during_a_pause_is_forwarded() -> None:
+    """Guards against discarding a response that arrived in time.
 
-    The host is paused; the answer arrives in its socket meanwhile. When the host goes
-    on, the deadline has passed, and it is looked at before the socket is read.
+    The response arrives in the socket while the host is paused. When the host resumes,
+    the deadline has passed and its timer fires before the socket is read.
     """
     paused, answered = threading.Event(), threading.Event()
 
--- a/tests/test_relay_deadline.py
+++ b/tests/test_relay_deadline.py
@@ -1,4 +1,4 @@
-"""The deadline that a server is told."""
+"""The deadline that is sent to a server."""
 
 from gentianwharf.relay._deadline import remaining_time
 
@@ -6,7 +6,7 @@
 
 
 class PausingHost:
-    """A host that stands still for a second at each look at a clock."""
+    """Clocks of a host that pauses for a second at each reading."""
 
     def __init__(self) -> None:
         self._now_s = 0.0
@@ -21,12 +21,13 @@
         return UNIX_AT_0_S + self.now_s()
 
 
-def test_pause_between_two_clocks_never_makes_a_deadline_later() -> None:
-    """A host is paused while it works out the deadline of a request.
+def test_pause_between_two_clock_readings_does_not_delay_the_deadline() -> None:
+    """Guards against a server that runs a request after its shard has a new owner.
 
-    Its server was told a deadline later by the pause, for which nobody waits when the
-    server freezes: it thaws and runs the request beside the shard's new owner.
+    The host is paused between reading two clocks while it computes the deadline. The
+    deadline sent to the server was later by the duration of the pause, so that a server
+    that froze and resumed still ran the request.
     """
     host = PausingHost()
-    left = remaining_time(10.0, now_s=host.now_s, unix_s=host.unix_s)
-    assert left.deadline_unix_s <= UNIX_AT_0_S + 10.0
+    remaining = remaining_time(10.0, now_s=host.now_s, unix_s=host.unix_s)
+    assert remaining.deadline_unix_s <= UNIX_AT_0_S + 10.0
--- a/tests/test_relay_fuzz.py
+++ b/tests/test_relay_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever bytes a caller or a server sends, the other side sees HTTP only."""
+"""Arbitrary bytes from a caller or a server reach the other side as valid HTTP only."""
 
 import re
 import socket
@@ -46,8 +46,8 @@
     ]
 )
 REQUESTS = st.lists(st.one_of(PIECES, st.binary(max_size=8)), max_size=14).map(b"".join)
-# What is incomplete is given up on soon: most examples are.
-QUICK = ConnectionLimits(idle_timeout_s=0.03)
+# A short timeout, since most examples are incomplete requests.
+SHORT_TIMEOUTS = ConnectionLimits(idle_timeout_s=0.03)
 TARGET = re.compile(rb"(GET|POST) /(plain/1|keyed/a) HTTP/1\.1\r\n")
 
 
@@ -62,13 +62,14 @@
         return read_to_end(connection)
 
 
-def test_any_bytes_get_an_answer_or_a_close_and_servers_only_whole_heads() -> None:
-    """A server takes a caller's bytes for the next caller's request.
+def test_arbitrary_request_bytes_reach_servers_as_valid_requests_only() -> None:
+    """Guards against request smuggling.
 
-    Two readers disagree about where a request ends. Here one reader decides, and
-    writes each request anew.
+    Two parsers may disagree on where a request ends, so that a server reads a caller's
+    bytes as another caller's request. The router parses each request and serializes it
+    again.
     """
-    with running_relay([ok], limits=QUICK) as relay:
+    with running_relay([ok], limits=SHORT_TIMEOUTS) as relay:
 
         @settings(
             max_examples=150,
@@ -131,13 +132,13 @@
 ANSWERS = st.lists(st.one_of(ANSWER_PIECES, st.binary(max_size=8)), max_size=10).map(
     b"".join
 )
-WELL_FORMED = re.compile(
+RESPONSE_HEAD = re.compile(
     rb"HTTP/1\.1 [0-9]{3} [^\r\n]*\r\n(?:[!#-'*+.0-9A-Z^-z|~-]+: [^\r\n\0]*\r\n)*\r\n"
 )
 
 
-def is_whole(received: bytes) -> bool:
-    """Say whether an answer to GET ends where its own head says."""
+def is_complete(received: bytes) -> bool:
+    """Return whether a response to GET has the length that its head states."""
     head, _, body = received.partition(b"\r\n\r\n")
     length = re.search(rb"(?i)\r\ncontent-length: ([0-9]+)", head)
     if length is not None:
@@ -147,16 +148,16 @@
     return not body
 
 
-def test_any_bytes_of_a_server_reach_callers_as_one_answer_or_a_break() -> None:
-    """One server out of step breaks the pages of all who share the balancer.
+def test_arbitrary_response_bytes_reach_callers_as_one_response_or_an_abort() -> None:
+    """Guards against malformed responses that affect other callers.
 
-    Its bytes were handed on as they came, a second answer behind the first or half a
-    head, and the balancer took them for the next caller's answer.
+    A server's bytes were forwarded unchanged, such as a second response after the first
+    or half a head, and the load balancer read them as the response to the next caller.
     """
-    bytes_of_server = [b""]
+    response_bytes = [b""]
 
     def send_and_close(connection: socket.socket, head: bytes) -> None:
-        connection.sendall(bytes_of_server[0])
+        connection.sendall(response_bytes[0])
         connection.shutdown(socket.SHUT_WR)
 
     with running_relay([send_and_close]) as relay:
@@ -170,17 +171,17 @@
         )
         @given(raw=ANSWERS)
         def check(raw: bytes) -> None:
-            bytes_of_server[0] = raw
+            response_bytes[0] = raw
             received = relay.send(request())
             if not received:
                 return
-            assert WELL_FORMED.match(received), received
-            if not is_whole(received):
-                # Cut where the server broke off: fewer bytes than it names.
+            assert RESPONSE_HEAD.match(received), received
+            if not is_complete(received):
+                # Truncated like the server's response: fewer bytes than its length.
                 assert not received.endswith(b"0\r\n\r\n")
 
         check()
-        bytes_of_server[0] = answer(b"well again")
+        response_bytes[0] = answer(b"well again")
         assert relay.send(request()).endswith(b"\r\n\r\nwell again")
         while relay.app.in_flight or any(map(len, relay.app.connections.values())):
             threading.Event().wait(0.005)
--- a/tests/test_relay_hedging.py
+++ b/tests/test_relay_hedging.py
@@ -1,4 +1,4 @@
-"""Requests that are sent to two servers side by side."""
+"""Requests that are sent to two servers concurrently."""
 
 import json
 import socket
@@ -11,8 +11,8 @@
 HANG_S = 5.0
 
 
-def test_refusal_after_a_lost_hedged_leg_is_not_called_not_run() -> None:
-    """Guards against ignoring a lost leg when the other leg is shed later."""
+def test_refusal_after_a_lost_hedged_attempt_is_not_reported_as_not_run() -> None:
+    """Guards against ignoring a lost attempt when the other one is shed later."""
     hedge_received, leg_lost = threading.Event(), threading.Event()
 
     def closing_after_hedge(connection, head):  # type: ignore[no-untyped-def]
@@ -36,7 +36,7 @@
     assert json.loads(received.split(b"\r\n\r\n", 1)[1])["run"] == "unknown"
 
 
-def test_late_answer_is_overtaken_by_a_second_server() -> None:
+def test_late_response_is_replaced_by_that_of_a_hedge() -> None:
     with running_relay([hanging], [ok]) as relay:
         relay.admission.hedge_after_s = 0.02
         received = relay.send(request())
--- a/tests/test_relay_limits.py
+++ b/tests/test_relay_limits.py
@@ -1,4 +1,4 @@
-"""What one caller's connection may take, and what it is told beyond that."""
+"""Limits on a caller's connection, and the responses beyond them."""
 
 import threading
 import time
@@ -39,18 +39,18 @@
 def test_head_of_many_short_headers_is_measured_in_bytes(
     headers: int, status: bytes
 ) -> None:
-    """A caller's proper request is told for good that it is wrong.
+    """Guards against refusing valid requests with many short headers.
 
-    Operators bound a head in bytes, and a head of 101 short headers is well within. The
-    router had a bound of its own on their number and answered 431, which no caller
-    tries again.
+    Operators limit a head in bytes, and 101 short headers are well below that limit.
+    The router also limited their number and responded with 431, which callers don't
+    retry.
     """
     raw = request("GET", headers="a:\r\n" * headers)
     with running_relay([plain], limits=OPERATORS_LIMITS) as relay:
         assert relay.send(raw).startswith(b"HTTP/1.1 " + status)
 
 
-def test_body_that_says_it_is_too_large_is_refused_before_it_is_sent() -> None:
+def test_body_with_a_length_over_the_limit_is_refused_before_it_is_sent() -> None:
     raw = request("POST", headers="Content-Length: 1001\r\n")
     with running_relay([plain], limits=LIMITS) as relay:
         received = relay.send(raw + b"x" * 1001)
@@ -59,8 +59,8 @@
         assert relay.servers[0].heads == []
 
 
-def test_body_in_chunks_that_is_too_large_never_ends_at_the_server() -> None:
-    """An upload without a length goes on for ever, and fills a server's disk."""
+def test_chunked_body_over_the_limit_is_never_complete_at_the_server() -> None:
+    """Guards against an endless upload without a length that fills a server's disk."""
     raw = request("POST", headers="Transfer-Encoding: chunked\r\n")
     ends: list[bytes] = []
     ended = threading.Event()
@@ -89,8 +89,8 @@
         assert relay.send(raw + b"x" * size).endswith(b"%d" % size)
 
 
-def test_head_that_comes_too_slowly_is_refused() -> None:
-    """Somebody opens connections and sends a byte now and then, to hold them all."""
+def test_slow_head_is_refused() -> None:
+    """Guards against callers that occupy connections by sending heads slowly."""
     limits = ConnectionLimits(head_timeout_s=0.2)
     with running_relay([plain], limits=limits) as relay, relay.connect() as connection:
         connection.sendall(b"GET /plain/1 HTTP/1.1\r\nHost: x\r\n")
@@ -103,7 +103,7 @@
     assert b'"run": "not-run"' in received
 
 
-def test_slow_body_is_no_slow_head() -> None:
+def test_slow_body_is_not_refused_as_a_slow_head() -> None:
     limits = ConnectionLimits(head_timeout_s=0.1)
 
     def reading(connection, head):  # type: ignore[no-untyped-def]
@@ -124,8 +124,8 @@
         assert read_to_end(connection).endswith(b"abcd")
 
 
-def test_new_limits_hold_for_open_connections() -> None:
-    """Operators shorten the idle time, and old connections stay open for a minute."""
+def test_new_limits_apply_to_open_connections() -> None:
+    """Guards against a shorter idle timeout that is ignored by open connections."""
     with running_relay([plain]) as relay, relay.connect() as connection:
         connection.sendall(request(close=False))
         assert connection.recv(1000).startswith(b"HTTP/1.1 200")
--- a/tests/test_relay_pipelining.py
+++ b/tests/test_relay_pipelining.py
@@ -1,4 +1,4 @@
-"""Several requests on one connection, sent before the first is answered."""
+"""Pipelining: several requests on a connection before the first response."""
 
 import threading
 from dataclasses import dataclass, field
@@ -8,29 +8,29 @@
 from gentianwharf.relay._pipeline import BufferedResponse
 from tests.builders_relay import answer, request, running_relay
 
-LATE_S = 0.2
-"""For what must not come: how long it is waited for."""
+ABSENCE_S = 0.2
+"""Time to wait for an event that must not occur."""
 
-MEETING_S = 5.0
-"""For hangs only: how long requests wait for each other in a server."""
+HANG_S = 5.0
+"""Timeout for requests that wait for each other in a server; reached only by a hang."""
 
 
 def path_of(head: bytes) -> bytes:
     return head.split(b" ")[1]
 
 
-def in_order(received: bytes, *paths: bytes) -> bool:
+def are_in_order(received: bytes, *paths: bytes) -> bool:
     places = [received.index(b"body of " + path) for path in paths]
     return places == sorted(places)
 
 
 def slow_until(path: bytes, *slow: bytes):  # type: ignore[no-untyped-def]
-    """Return a server that answers the slow paths once it has answered ``path``."""
+    """Return a script that responds to the slow paths only after ``path``."""
     answered = threading.Event()
 
     def serve(connection, head):  # type: ignore[no-untyped-def]
         if path_of(head) in slow:
-            assert answered.wait(MEETING_S), f"{path!r} waits for {path_of(head)!r}"
+            assert answered.wait(HANG_S), f"{path!r} waits for {path_of(head)!r}"
         connection.sendall(answer(b"body of " + path_of(head)))
         if path_of(head) == path:
             answered.set()
@@ -38,13 +38,14 @@
     return serve
 
 
-def test_later_requests_do_not_wait_for_the_first() -> None:
-    """An archivist's page sends three reads at once, each of which takes a while.
+def test_pipelined_requests_are_served_concurrently() -> None:
+    """Guards against serving pipelined requests one after another.
 
-    Served one after another, the third is late before a server has seen it.
+    A page sends three slow reads at once. Served in sequence, the third would be late
+    before it is sent to a server.
     """
-    # Each waits until all three are there: one after another they would wait in vain.
-    together = threading.Barrier(3, timeout=MEETING_S)
+    # Each waits until all three have arrived; in sequence the barrier would time out.
+    together = threading.Barrier(3, timeout=HANG_S)
 
     def server(connection, head):  # type: ignore[no-untyped-def]
         together.wait()
@@ -57,44 +58,46 @@
             + request(path="/plain/c")
         )
     assert received.count(b"HTTP/1.1 200") == 3
-    assert in_order(received, b"/plain/a", b"/plain/b", b"/plain/c")
+    assert are_in_order(received, b"/plain/a", b"/plain/b", b"/plain/c")
 
 
-def test_quick_answer_waits_for_the_slow_one_before_it() -> None:
+def test_fast_response_waits_for_the_slow_one_before_it() -> None:
     server = slow_until(b"/plain/quick", b"/plain/slow")
     with running_relay([server], deadline_ms=10_000) as relay:
         received = relay.send(
             request(path="/plain/slow", close=False) + request(path="/plain/quick")
         )
     assert received.count(b"HTTP/1.1 200") == 2
-    assert in_order(received, b"/plain/slow", b"/plain/quick")
+    assert are_in_order(received, b"/plain/slow", b"/plain/quick")
 
 
-def test_large_answer_that_waits_is_whole() -> None:
-    large = b"x" * 500_000
+def test_large_buffered_response_is_complete() -> None:
+    large_body = b"x" * 500_000
     begun = threading.Event()
 
     def server(connection, head):  # type: ignore[no-untyped-def]
         if path_of(head) == b"/plain/slow":
-            assert begun.wait(MEETING_S)
+            assert begun.wait(HANG_S)
             connection.sendall(answer(b"body of /plain/slow"))
         else:
-            # More than may be held: the rest is sent when it is its turn.
+            # More than is buffered; the rest is sent after the earlier response.
             begun.set()
-            connection.sendall(answer(large))
+            connection.sendall(answer(large_body))
 
     with running_relay([server], deadline_ms=10_000) as relay:
         received = relay.send(
             request(path="/plain/slow", close=False) + request(path="/plain/large")
         )
-    assert received.endswith(large)
+    assert received.endswith(large_body)
     assert received.index(b"body of /plain/slow") < received.index(b"xxx")
 
 
-def test_what_must_not_repeat_is_not_begun_early() -> None:
-    """A charge is sent behind a read; the connection breaks before it is answered.
+def test_unsafe_request_is_not_started_early() -> None:
+    """Guards against running a charge twice.
 
-    Whoever sent it takes it for unread and sends it again: begun early, it runs twice.
+    A charge is pipelined after a read, and the connection is closed before the response
+    to the read. The caller assumes that the charge was not processed and sends it
+    again, so that it would run twice if it had been started early.
     """
     charged = threading.Event()
     first_done = threading.Event()
@@ -102,7 +105,7 @@
     def server(connection, head):  # type: ignore[no-untyped-def]
         if path_of(head) == b"/plain/charge":
             charged.set()
-        elif not charged.wait(LATE_S):
+        elif not charged.wait(ABSENCE_S):
             first_done.set()
         connection.sendall(answer(b"body of " + path_of(head)))
 
@@ -112,10 +115,10 @@
             + request("POST", "/plain/charge", headers="Content-Length: 0\r\n")
         )
     assert first_done.is_set()
-    assert in_order(received, b"/plain/slow", b"/plain/charge")
+    assert are_in_order(received, b"/plain/slow", b"/plain/charge")
 
 
-def test_upload_behind_a_read_keeps_its_body() -> None:
+def test_upload_after_a_read_keeps_its_body() -> None:
     def server(connection, head):  # type: ignore[no-untyped-def]
         if path_of(head) == b"/plain/slow":
             connection.sendall(answer(b"body of /plain/slow"))
@@ -133,8 +136,8 @@
     assert received.endswith(b"/plain/upload hello")
 
 
-def test_malformed_request_behind_another_is_refused_in_its_turn() -> None:
-    """A refusal written at once would be taken for the answer to the first request."""
+def test_malformed_request_after_another_is_refused_in_order() -> None:
+    """Guards against a refusal that is read as the response to an earlier request."""
 
     def server(connection, head):  # type: ignore[no-untyped-def]
         connection.sendall(answer(b"body of /plain/slow"))
@@ -149,13 +152,13 @@
     assert b"HTTP/1.1 400" in received
 
 
-def test_broken_answer_costs_the_one_before_it_nothing() -> None:
-    """The second answer is cut short; the first, which is whole, has to arrive."""
+def test_truncated_response_does_not_affect_the_one_before_it() -> None:
+    """Guards against losing a complete response before a truncated one."""
     cut = threading.Event()
 
     def server(connection, head):  # type: ignore[no-untyped-def]
         if path_of(head) == b"/plain/slow":
-            assert cut.wait(MEETING_S)
+            assert cut.wait(HANG_S)
             connection.sendall(answer(b"body of /plain/slow"))
             return
         connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nbegun")
@@ -172,45 +175,45 @@
 
 
 @dataclass
-class Channel:
-    """A caller's connection that notes what is done to it."""
+class RecordingChannel:
+    """A caller's connection that records the calls on it."""
 
     done: list[str] = field(default_factory=list)
 
     def writeHeaders(self, *head: object) -> None:  # noqa: N802
-        """Note a head."""
+        """Record a head."""
         self.done.append("head")
 
     def write(self, data: bytes) -> None:
-        """Note a piece."""
+        """Record a chunk."""
         self.done.append(data.decode())
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Note a close that lets everything out first."""
+        """Record a close after buffered data is sent."""
         self.done.append("close")
 
     def abort(self) -> None:
-        """Note a close that throws away what is unsent."""
+        """Record a close that discards unsent data."""
         self.done.append("abort")
 
 
-def test_held_answer_that_broke_is_handed_over_before_the_connection_ends() -> None:
-    channel = Channel()
+def test_aborted_buffered_response_is_flushed_before_the_close() -> None:
+    channel = RecordingChannel()
     buffered = BufferedResponse(channel=channel)
     buffered.writeHeaders(b"HTTP/1.1", b"200", b"OK", {})
     buffered.write(b"begun")
     buffered.abort()
-    assert channel.done == [], "it is not its turn"
+    assert channel.done == [], "the earlier responses have not been written"
     buffered.flush()
     assert channel.done == ["head", "begun", "close"]
 
 
 @pytest.mark.parametrize("count", [3, 20])
-def test_many_requests_are_all_answered_in_order(count: int) -> None:
+def test_many_requests_get_their_responses_in_order(count: int) -> None:
     server = slow_until(b"/plain/1", b"/plain/0", b"/plain/2")
     paths = [f"/plain/{number}" for number in range(count)]
     requests = [request(path=path, close=False) for path in paths[:-1]]
     with running_relay([server], deadline_ms=10_000) as relay:
         received = relay.send(b"".join(requests) + request(path=paths[-1]))
     assert received.count(b"HTTP/1.1 200") == count
-    assert in_order(received, *(path.encode() for path in paths))
+    assert are_in_order(received, *(path.encode() for path in paths))
--- a/tests/test_relay_problem.py
+++ b/tests/test_relay_problem.py
@@ -1,4 +1,4 @@
-"""Refusals that many requests share."""
+"""Problems that are shared by many requests."""
 
 import ast
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 
 def frames_kept(rules: Rules) -> int:
-    """Return how many frames a refusal's traceback keeps alive."""
+    """Return the number of frames that a refusal's traceback keeps in memory."""
     with pytest.raises(Problem) as caught:
         rules.match(FACTS)
     return sum(1 for _ in walk_tb(caught.value.__traceback__))
@@ -32,12 +32,12 @@
     ],
     ids=["entry-host", "daemon"],
 )
-def test_refusals_leave_nothing_behind(rules: Rules) -> None:
-    """A host without rules refuses requests until it is ended for its memory.
+def test_refusals_keep_no_frames_in_memory(rules: Rules) -> None:
+    """Guards against a memory leak in a host without rules.
 
-    The refusal is one object for all requests. Each raise adds to its traceback, whose
-    frames keep the request: hosts grew by 16 kB a refusal, from 64 to 88 MB within
-    20 s of refusing everything.
+    The refusal was one object for all requests. Each raise extended its traceback,
+    whose frames keep the request in memory: hosts grew by 16 kB per refusal, from 64 to
+    88 MB within 20 s of refusing everything.
     """
     first = frames_kept(rules)
     for _ in range(5):
@@ -46,7 +46,7 @@
 
 
 def raised_constants() -> Iterator[str]:
-    """Yield each place that raises an object that a module keeps."""
+    """Yield each statement that raises a module-level constant."""
     for path in SOURCES:
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Raise):
@@ -56,6 +56,6 @@
                 yield f"{path.name}:{node.lineno}: {raised.id}"
 
 
-def test_no_module_raises_an_object_that_it_keeps() -> None:
-    """The same growth, wherever a refusal is a constant or stands in a table."""
+def test_no_module_raises_a_module_level_constant() -> None:
+    """Guards against the same leak wherever a refusal is a constant or in a table."""
     assert list(raised_constants()) == []
--- a/tests/test_relay_repeats.py
+++ b/tests/test_relay_repeats.py
@@ -32,19 +32,19 @@
     return request("POST", path, headers=headers, body=b"5 USD")
 
 
-def test_repeated_request_gets_the_first_one_s_answer() -> None:
-    """A widow is charged twice.
+def test_repeated_request_gets_the_response_to_the_first() -> None:
+    """Guards against charging twice.
 
-    A treasurer's client lost the answer to a posting and posts again with the same
-    idempotency key; the server has no memory of keys.
+    A client lost the response to a posting and sends it again with the same idempotency
+    key. The server does not store keys.
     """
     with running_relay([numbered()]) as relay:
         answers = [relay.send(post()) for _ in range(3)]
         assert len(relay.servers[0].heads) == 1
-    assert all(one.endswith(b"run 1") for one in answers)
+    assert all(response.endswith(b"run 1") for response in answers)
 
 
-def test_repeated_request_joins_the_one_in_flight() -> None:
+def test_repeated_request_waits_for_the_one_in_flight() -> None:
     release = threading.Event()
 
     def slow(connection: socket.socket, head: bytes) -> None:
@@ -63,7 +63,7 @@
         for caller in callers:
             caller.join()
         assert len(relay.servers[0].heads) == 1
-    assert [one.endswith(b"once") for one in answers] == [True] * 3
+    assert [response.endswith(b"once") for response in answers] == [True] * 3
 
 
 @pytest.mark.parametrize(
@@ -82,7 +82,7 @@
         ),
     ],
 )
-def test_another_request_is_not_taken_for_a_repeated_one(
+def test_different_request_is_not_treated_as_repeated(
     first: bytes, second: bytes, status: int, requests: int
 ) -> None:
     with running_relay([numbered()]) as relay:
@@ -91,7 +91,7 @@
         assert len(relay.servers[0].heads) == requests
 
 
-def test_request_whose_outcome_is_unknown_is_not_sent_again() -> None:
+def test_request_with_an_unknown_outcome_is_not_sent_again() -> None:
     with running_relay([closing, numbered()]) as relay:
         assert b'"unknown"' in relay.send(post())
         again = relay.send(post())
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -1,4 +1,4 @@
-"""Which requests reach a server, and with what."""
+"""Which requests are forwarded to a server, and with which headers."""
 
 import json
 
@@ -82,11 +82,12 @@
         ),
     ],
 )
-def test_refused_request_never_reaches_a_server(raw: bytes, status: int) -> None:
-    """A request that two readers could take apart differently is refused.
+def test_refused_request_is_not_sent_to_a_server(raw: bytes, status: int) -> None:
+    """Guards against request smuggling.
 
-    A caller smuggles a second request past the router; a server runs it as if
-    another caller had sent it. Cause: two lengths, or a length read two ways.
+    If two parsers can read a request differently, because of two lengths or an
+    ambiguous one, a caller can hide a second request that a server runs as another
+    caller's.
     """
     with running_relay([plain]) as relay:
         with relay.connect() as connection:
@@ -103,12 +104,11 @@
     [("/nowhere", "no rule matches"), ("/keyed/", "bad request")],
     ids=["no-rule", "no-key"],
 )
-def test_request_that_no_rule_decides_on_can_be_asked_for(
-    path: str, title: str
-) -> None:
-    """A caller complains of a 404 and gives its request id; the operator asks for it.
+def test_request_without_a_rule_is_recorded(path: str, title: str) -> None:
+    """Guards against requests without a record.
 
-    Only requests with a rule were recorded, so nothing was known of the others.
+    A caller reports a 404 with its request id, and the operator looks it up. Only
+    requests that matched a rule were recorded.
     """
     raw = f"GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
     with running_relay([plain]) as relay:
@@ -118,8 +118,8 @@
     assert (problem.title, problem.run) == (title, Run.NOT_RUN)
 
 
-def test_request_that_no_rule_matches_is_shown_without_its_query() -> None:
-    """An operator looks for the rule that a 404 should have met, and has only an id."""
+def test_request_without_a_rule_is_recorded_without_its_query() -> None:
+    """Guards against records of a 404 without the target, or with a caller's data."""
     raw = b"GET /nowhere/7?name=x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
     with running_relay([plain]) as relay:
         relay.send(raw)
@@ -128,10 +128,10 @@
     assert problem.detail.startswith("GET a/nowhere/7: ")
 
 
-def test_bad_chunk_size_is_answered_and_never_completes_at_a_server() -> None:
-    """A chunk size that is no number ends the request with 400 or a break.
+def test_invalid_chunk_size_never_completes_at_a_server() -> None:
+    """An invalid chunk size ends the request with 400 or an abort.
 
-    The head was passed on already; the server must not see a whole request.
+    The head has been forwarded already. The server must not receive a complete request.
     """
     seen = []
 
@@ -150,7 +150,7 @@
     assert b"0\r\n\r\n" not in b"".join(seen)
 
 
-def test_only_end_to_end_headers_pass() -> None:
+def test_only_end_to_end_headers_are_forwarded() -> None:
     headers = (
         "Traceparent: 00-abc-def-01\r\nTracestate: a=1\r\nX-Hop: secret\r\n"
         "Connection: X-Hop\r\nTE: trailers\r\nGentianwharf-Token: 99\r\n"
@@ -178,13 +178,13 @@
         ),
     ],
 )
-def test_target_passes_unchanged(path: str, target: bytes) -> None:
+def test_target_is_forwarded_unchanged(path: str, target: bytes) -> None:
     with running_relay([plain]) as relay:
         assert relay.send(request(path=path)).startswith(b"HTTP/1.1 200")
         assert relay.servers[0].heads[0].startswith(target)
 
 
-def test_pipelined_requests_get_their_answers_in_order() -> None:
+def test_pipelined_requests_get_their_responses_in_order() -> None:
     def numbered(connection, head):  # type: ignore[no-untyped-def]
         connection.sendall(answer(head.split(b" ")[1]))
 
@@ -199,8 +199,8 @@
     )
 
 
-def test_refused_upload_is_not_asked_for() -> None:
-    """A caller that waits for ``100 Continue`` is refused before it uploads."""
+def test_refused_upload_gets_no_100_continue() -> None:
+    """Guards against an upload for a request that is refused."""
     raw = request(
         "POST",
         "/nowhere",
@@ -212,7 +212,7 @@
     assert b"100 Continue" not in received
 
 
-def test_accepted_upload_is_asked_for() -> None:
+def test_accepted_upload_gets_100_continue() -> None:
     def reading(connection, head):  # type: ignore[no-untyped-def]
         body = head.split(b"\r\n\r\n", 1)[1]
         while len(body) < 5:
@@ -238,26 +238,26 @@
     ],
 )
 def test_connection_is_closed_when_the_caller_asks_for_it(headers: str) -> None:
-    # Deadlines are not what this is about; on a busy machine 400 ms are over at once.
+    # A long deadline: on a busy machine the default of 400 ms may pass.
     with running_relay([plain], deadline_ms=5000) as relay:
         received = relay.send(request(headers=headers, close=False))
     assert received.endswith(b"\r\n\r\nok")
 
 
-def test_one_key_has_one_shard_however_it_is_written() -> None:
-    """A faculty with an accent has two owners, one for its path and one for its header.
+def test_key_has_one_shard_in_path_and_header() -> None:
+    """Guards against a key with two shards, depending on how a request contains it.
 
-    Percent-encoded octets were read as UTF-8, those of a header as Latin-1.
+    Percent-encoded octets were decoded as UTF-8, those of a header as Latin-1.
     """
-    written = [
+    requests = [
         request(path="/keyed/%C3%A9cole"),
         request(path="/keyed/", headers="Gentianwharf-Key: école\r\n"),
     ]
     shards: list[int] = []
     with running_relay([plain]) as relay:
-        relay.ownership.owner = _noting_shards(relay.ownership.owner, shards)
-        for one in written:
-            assert relay.send(one).startswith(b"HTTP/1.1 200")
+        relay.ownership.owner = _recording_shards(relay.ownership.owner, shards)
+        for raw in requests:
+            assert relay.send(raw).startswith(b"HTTP/1.1 200")
         keys = [
             line
             for head in relay.servers[0].heads
@@ -268,12 +268,12 @@
     assert keys == ["Gentianwharf-Key: école".encode()] * 2
 
 
-def _noting_shards(owner, shards):  # type: ignore[no-untyped-def]
-    async def note(ticket):  # type: ignore[no-untyped-def]
+def _recording_shards(owner, shards):  # type: ignore[no-untyped-def]
+    async def record(ticket):  # type: ignore[no-untyped-def]
         shards.append(ticket.shard)
         return await owner(ticket)
 
-    return note
+    return record
 
 
 @pytest.mark.parametrize(
@@ -283,11 +283,11 @@
         pytest.param(b"PUT /keyed/ HTTP/1.1\r\n", id="no-key"),
     ],
 )
-def test_answer_before_the_body_says_that_the_connection_ends(head: bytes) -> None:
-    """An upload is refused before its body is read, and its connection must end.
+def test_response_before_the_body_announces_the_close(head: bytes) -> None:
+    """Guards against a close that is not announced to the caller.
 
-    Nothing in the answer said so: the caller sent its next request on the same
-    connection, which was closed without an answer.
+    An upload is refused before its body is read, and the connection is closed. Without
+    ``Connection: close`` the caller sent its next request there and got no response.
     """
     with running_relay([plain]) as relay, relay.connect() as connection:
         connection.sendall(
--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -1,4 +1,4 @@
-"""What callers receive when a planned stop reaches its time limit."""
+"""The responses to callers when a planned stop reaches its time limit."""
 
 import threading
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 DEADLINE_MS = 10_000
 
 
-class DrainedRelay:
+class RelayTarget:
     """Implements ``ShutdownTarget`` for a relay and its callers' site."""
 
     def __init__(self, relay: RunningRelay) -> None:
@@ -56,7 +56,7 @@
 
 def begin_shutdown(relay: RunningRelay) -> Shutdown:
     shutdown = Shutdown(
-        target=DrainedRelay(relay), clock=REACTOR, notice_s=0.1, limit_s=LIMIT_S
+        target=RelayTarget(relay), clock=REACTOR, notice_s=0.1, limit_s=LIMIT_S
     )
     in_reactor(shutdown.request_stop)
     return shutdown
@@ -66,8 +66,8 @@
     return head.split(b" ")[1]
 
 
-def test_ready_answers_behind_an_unanswered_request_are_delivered() -> None:
-    """Guards against the loss of ready answers queued behind a missing one."""
+def test_complete_responses_after_a_missing_one_are_delivered() -> None:
+    """Guards against losing complete responses behind one that is missing."""
     release = threading.Event()
     served = threading.Semaphore(0)
 
@@ -138,8 +138,8 @@
     assert b'"run": "not-run"' in received
 
 
-def test_partial_answer_is_not_followed_by_a_problem_document() -> None:
-    """Guards against a problem document that is read as the rest of an answer."""
+def test_partial_response_is_not_followed_by_a_problem_document() -> None:
+    """Guards against a problem document that is read as the rest of a response."""
     release, begun = threading.Event(), threading.Event()
 
     def server(connection, head):  # type: ignore[no-untyped-def]
@@ -158,7 +158,7 @@
     assert b"problem" not in received
 
 
-def test_request_after_the_final_answers_is_refused() -> None:
+def test_request_after_the_final_responses_is_refused() -> None:
     """Guards against starting a request in a process that is about to end."""
     with running_relay([], deadline_ms=DEADLINE_MS) as relay:
         in_reactor(relay.app.answer_in_flight)
@@ -168,8 +168,8 @@
     assert relay.records.refusals
 
 
-def test_request_that_joins_another_is_not_reported_as_not_run() -> None:
-    """The first request with its idempotency key may have run."""
+def test_duplicate_request_is_not_reported_as_not_run() -> None:
+    """Guards against a wrong claim about the first request, which may have run."""
     release, begun = threading.Event(), threading.Event()
 
     def server(connection, head):  # type: ignore[no-untyped-def]
@@ -190,8 +190,8 @@
     assert b'"run": "unknown"' in received
 
 
-def test_request_that_waits_for_another_try_may_have_run() -> None:
-    """A lost try counts as a possible run while the next server is chosen."""
+def test_request_that_waits_for_a_retry_may_have_run() -> None:
+    """Guards against ignoring a lost attempt while the next server is selected."""
     waiting = threading.Event()
 
     def server(connection, head):  # type: ignore[no-untyped-def]
