--- a/src/gentianwharf/relay/_caller_request.py
+++ b/src/gentianwharf/relay/_caller_request.py
@@ -29,7 +29,7 @@
     def disable_keep_alive(self) -> None:
         """Close once the response is written; continue reading until then."""
 
-    def close_after_answer(self) -> None:
+    def close_after_response(self) -> None:
         """Close once the response is written, without reading further."""
 
     def abort(self) -> None:
@@ -50,7 +50,7 @@
     """A caller's request, processed as soon as its head is complete."""
 
     body: CallerBody | None = None
-    answered_early = False
+    responded_early = False
     site: Any = None
 
     def flush_response(self) -> None:
@@ -155,8 +155,8 @@
         The rest of the body would otherwise be parsed as the caller's next request.
         """
         if self._is_body_unread():
-            self.answered_early = True
-            cast(RequestChannel, self.channel).close_after_answer()
+            self.responded_early = True
+            cast(RequestChannel, self.channel).close_after_response()
         super().finish()
 
     def send_now(self) -> None:
--- a/src/gentianwharf/relay/_caller_site.py
+++ b/src/gentianwharf/relay/_caller_site.py
@@ -98,7 +98,7 @@
         """Close once the response is written; continue reading until then."""
         self.persistent = 0
 
-    def close_after_answer(self) -> None:
+    def close_after_response(self) -> None:
         """Close once the response is written, without reading further."""
         self._closing = True
         self.disable_keep_alive()
--- a/tests/builders_answers.py
+++ b/tests/builders_answers.py
@@ -3,18 +3,18 @@
 import socket
 import struct
 
-from tests.builders_relay import answer, echo_id, read_head
+from tests.builders_relay import read_head, request_id_header, response
 
 
 def ok(connection: socket.socket, head: bytes) -> None:
     """Send a complete response."""
-    connection.sendall(answer(extra=echo_id(head)))
+    connection.sendall(response(extra=request_id_header(head)))
 
 
 def one_byte_pieces(connection: socket.socket, head: bytes) -> None:
     """Send a complete response one byte at a time."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    for byte in answer(b"in pieces", extra=echo_id(head)):
+    for byte in response(b"in pieces", extra=request_id_header(head)):
         connection.sendall(bytes([byte]))
 
 
@@ -47,7 +47,7 @@
 
 def wrong_request_id(connection: socket.socket, head: bytes) -> None:
     """Send a response with another request's id."""
-    connection.sendall(answer(b"else's", extra="Gentianwharf-Request-Id: other\r\n"))
+    connection.sendall(response(b"else's", extra="Gentianwharf-Request-Id: other\r\n"))
 
 
 def closing(connection: socket.socket, head: bytes) -> None:
@@ -70,10 +70,10 @@
 def shedding(connection: socket.socket, head: bytes) -> None:
     """Refuse the request to shed load."""
     extra = "Gentianwharf-Run: not-run\r\nRetry-After: 3\r\n"
-    connection.sendall(answer(b"", status="503 Shed", extra=extra))
+    connection.sendall(response(b"", status="503 Shed", extra=extra))
 
 
 def not_owner(connection: socket.socket, head: bytes) -> None:
     """Refuse the request as not being the owner."""
     extra = "Gentianwharf-Run: not-run\r\n"
-    connection.sendall(answer(b"no", status="421 Misdirected", extra=extra))
+    connection.sendall(response(b"no", status="421 Misdirected", extra=extra))
--- a/tests/builders_relay.py
+++ b/tests/builders_relay.py
@@ -64,7 +64,7 @@
     return data
 
 
-def answer(body: bytes = b"ok", *, status: str = "200 OK", extra: str = "") -> bytes:
+def response(body: bytes = b"ok", *, status: str = "200 OK", extra: str = "") -> bytes:
     """Return a complete response with a length."""
     return (
         f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode()
@@ -72,7 +72,7 @@
     )
 
 
-def echo_id(head: bytes) -> str:
+def request_id_header(head: bytes) -> str:
     """Return the header that echoes the request id in ``head``."""
     for line in head.decode("latin-1").split("\r\n"):
         if line.lower().startswith("gentianwharf-request-id:"):
@@ -206,12 +206,12 @@
 class FakeObserver:
     """Stores the recorded responses and refusals."""
 
-    answers: list[AccessRecord] = field(default_factory=list)
+    responses: list[AccessRecord] = field(default_factory=list)
     refusals: list[tuple[str, Problem]] = field(default_factory=list)
 
     def record_response(self, record: AccessRecord) -> None:
         """Store the record."""
-        self.answers.append(record)
+        self.responses.append(record)
 
     def record_refusal(self, request_id: str, problem: Problem) -> None:
         """Store the refusal."""
--- a/tests/test_relay_answers.py
+++ b/tests/test_relay_answers.py
@@ -25,9 +25,9 @@
 from tests.builders_relay import (
     DEADLINE_MS,
     Script,
-    answer,
     read_head,
     request,
+    response,
     running_reactor,
     running_relay,
 )
@@ -81,7 +81,7 @@
     """
 
     def bare(connection: socket.socket, head: bytes) -> None:
-        connection.sendall(answer(extra='ETag: "a"\r\nX-Two: 1\r\nX-Two: 2\r\n'))
+        connection.sendall(response(extra='ETag: "a"\r\nX-Two: 1\r\nX-Two: 2\r\n'))
 
     with running_relay([bare]) as relay:
         lines = relay.send(request()).partition(b"\r\n\r\n")[0].split(b"\r\n")
@@ -156,7 +156,7 @@
             assert body_of(received)["run"] == run
         assert len(relay.servers[0].heads) == requests
         assert relay.admission.outcomes[0] is outcome
-        assert relay.records.answers[-1].status == status
+        assert relay.records.responses[-1].status == status
 
 
 def test_unreachable_server_is_reported_as_not_run() -> None:
@@ -196,7 +196,7 @@
 
     def late(connection: socket.socket, head: bytes) -> None:
         release.wait(5)
-        connection.sendall(answer(b"late"))
+        connection.sendall(response(b"late"))
 
     with running_relay([late, ok]) as relay:
         first = relay.send(request("POST", body=b"x"))
@@ -221,7 +221,7 @@
     """
 
     def early(connection: socket.socket, head: bytes) -> None:
-        connection.sendall(answer(b"too big", status="413 Too Large"))
+        connection.sendall(response(b"too big", status="413 Too Large"))
         read_head(connection)
 
     raw = request("POST", headers="Content-Length: 50000000\r\n")
@@ -361,16 +361,16 @@
     The response arrives in the socket while the host is paused. When the host resumes,
     the deadline has passed and its timer fires before the socket is read.
     """
-    paused, answered = threading.Event(), threading.Event()
+    paused, responded = threading.Event(), threading.Event()
 
     def while_paused(connection: socket.socket, head: bytes) -> None:
         paused.wait(5)
-        connection.sendall(answer(b"in time"))
-        answered.set()
+        connection.sendall(response(b"in time"))
+        responded.set()
 
     def pause() -> None:
         paused.set()
-        answered.wait(5)
+        responded.wait(5)
         threading.Event().wait(3 * DEADLINE_MS / 1000)
 
     with running_relay([while_paused]) as relay, relay.connect() as connection:
--- a/tests/test_relay_edges.py
+++ b/tests/test_relay_edges.py
@@ -12,11 +12,11 @@
 from tests.builders_relay import (
     RunningRelay,
     Script,
-    answer,
-    echo_id,
     read_head,
     read_to_end,
     request,
+    request_id_header,
+    response,
     running_relay,
 )
 
@@ -28,7 +28,7 @@
 
 
 def ok(connection: socket.socket, head: bytes) -> None:
-    connection.sendall(answer(extra=echo_id(head)))
+    connection.sendall(response(extra=request_id_header(head)))
 
 
 def flooding(piece: bytes, *, first: bytes = b"") -> Script:
@@ -134,7 +134,7 @@
     the connection that would have been reused for the next request.
     """
     go_on = threading.Event()
-    wrong = answer(b"another's", extra="Gentianwharf-Request-Id: other\r\n")
+    wrong = response(b"another's", extra="Gentianwharf-Request-Id: other\r\n")
 
     def late(connection: socket.socket, head: bytes) -> None:
         go_on.wait(5)
@@ -162,9 +162,9 @@
     go_on = threading.Event()
 
     def too_much(connection: socket.socket, head: bytes) -> None:
-        connection.sendall(answer(b"first") + b"x")
+        connection.sendall(response(b"first") + b"x")
         go_on.wait(5)
-        connection.sendall(answer(b"another's"))
+        connection.sendall(response(b"another's"))
 
     with long_deadline_relay([too_much, ok]) as relay:
         assert relay.send(request()).endswith(b"\r\n\r\nfirst")
@@ -179,7 +179,7 @@
     def unsolicited(connection: socket.socket, head: bytes) -> None:
         ok(connection, head)
         go_on.wait(5)
-        connection.sendall(answer(b"late", status="408 Request Timeout"))
+        connection.sendall(response(b"late", status="408 Request Timeout"))
 
     with long_deadline_relay([unsolicited, ok]) as relay:
         relay.send(request())
@@ -193,9 +193,9 @@
 @pytest.mark.parametrize(
     "raw",
     [
-        pytest.param(answer(extra="Connection: Close\r\n"), id="upper-case"),
-        pytest.param(answer(extra="Connection: x-a, close\r\n"), id="list"),
-        pytest.param(answer().replace(b"HTTP/1.1", b"HTTP/1.0"), id="http-1.0"),
+        pytest.param(response(extra="Connection: Close\r\n"), id="upper-case"),
+        pytest.param(response(extra="Connection: x-a, close\r\n"), id="list"),
+        pytest.param(response().replace(b"HTTP/1.1", b"HTTP/1.0"), id="http-1.0"),
     ],
 )
 def test_connection_that_the_server_closes_is_not_reused(raw: bytes) -> None:
@@ -279,7 +279,7 @@
 
 
 def refusing(connection: socket.socket, head: bytes) -> None:
-    connection.sendall(answer(b"too big", status="413 Too Large"))
+    connection.sendall(response(b"too big", status="413 Too Large"))
     read_to_end(connection)
 
 
--- a/tests/test_relay_fuzz.py
+++ b/tests/test_relay_fuzz.py
@@ -11,13 +11,13 @@
 from gentianwharf.relay import ConnectionLimits
 from tests.builders_relay import (
     RunningRelay,
-    answer,
     read_to_end,
     request,
+    response,
     running_relay,
 )
 
-PIECES = st.sampled_from(
+REQUEST_PIECES = st.sampled_from(
     [
         b"GET /plain/1 HTTP/1.1\r\n",
         b"POST /plain/1 HTTP/1.1\r\n",
@@ -45,14 +45,16 @@
         b"FFFFFFFFFFFFFFFFFF\r\n",
     ]
 )
-REQUESTS = st.lists(st.one_of(PIECES, st.binary(max_size=8)), max_size=14).map(b"".join)
+REQUESTS = st.lists(st.one_of(REQUEST_PIECES, st.binary(max_size=8)), max_size=14).map(
+    b"".join
+)
 # A short timeout, since most examples are incomplete requests.
 SHORT_TIMEOUTS = ConnectionLimits(idle_timeout_s=0.03)
 TARGET = re.compile(rb"(GET|POST) /(plain/1|keyed/a) HTTP/1\.1\r\n")
 
 
 def ok(connection: socket.socket, head: bytes) -> None:
-    connection.sendall(answer())
+    connection.sendall(response())
 
 
 def send(relay: RunningRelay, raw: bytes) -> bytes:
@@ -98,7 +100,7 @@
         assert len(lengths) + len(codings) <= 1
 
 
-ANSWER_PIECES = st.sampled_from(
+RESPONSE_PIECES = st.sampled_from(
     [
         b"HTTP/1.1 200 OK\r\n",
         b"HTTP/1.0 200 OK\r\n",
@@ -129,9 +131,9 @@
         b"FFFFFFFFFFFFFFFFFF\r\n",
     ]
 )
-ANSWERS = st.lists(st.one_of(ANSWER_PIECES, st.binary(max_size=8)), max_size=10).map(
-    b"".join
-)
+RESPONSES = st.lists(
+    st.one_of(RESPONSE_PIECES, st.binary(max_size=8)), max_size=10
+).map(b"".join)
 RESPONSE_HEAD = re.compile(
     rb"HTTP/1\.1 [0-9]{3} [^\r\n]*\r\n(?:[!#-'*+.0-9A-Z^-z|~-]+: [^\r\n\0]*\r\n)*\r\n"
 )
@@ -169,7 +171,7 @@
             database=None,
             suppress_health_check=list(HealthCheck),
         )
-        @given(raw=ANSWERS)
+        @given(raw=RESPONSES)
         def check(raw: bytes) -> None:
             response_bytes[0] = raw
             received = relay.send(request())
@@ -181,7 +183,7 @@
                 assert not received.endswith(b"0\r\n\r\n")
 
         check()
-        response_bytes[0] = answer(b"well again")
+        response_bytes[0] = response(b"well again")
         assert relay.send(request()).endswith(b"\r\n\r\nwell again")
         while relay.app.in_flight or any(map(len, relay.app.connections.values())):
             threading.Event().wait(0.005)
--- a/tests/test_relay_limits.py
+++ b/tests/test_relay_limits.py
@@ -10,10 +10,10 @@
 from gentianwharf.platform import CallerLimits
 from gentianwharf.relay import ConnectionLimits
 from tests.builders_relay import (
-    answer,
     in_reactor,
     read_to_end,
     request,
+    response,
     running_relay,
 )
 
@@ -22,7 +22,7 @@
 
 
 def plain(connection, head):  # type: ignore[no-untyped-def]
-    connection.sendall(answer(b"ok"))
+    connection.sendall(response(b"ok"))
 
 
 OPERATORS_LIMITS = limits_of(
@@ -82,7 +82,7 @@
         body = head.split(b"\r\n\r\n", 1)[1]
         while len(body) < size:
             body += connection.recv(10_000)
-        connection.sendall(answer(b"%d" % len(body)))
+        connection.sendall(response(b"%d" % len(body)))
 
     raw = request("POST", headers=f"Content-Length: {size}\r\n")
     with running_relay([reading], limits=LIMITS, deadline_ms=3000) as relay:
@@ -110,7 +110,7 @@
         body = head.split(b"\r\n\r\n", 1)[1]
         while len(body) < 4:
             body += connection.recv(100)
-        connection.sendall(answer(body))
+        connection.sendall(response(body))
 
     with (
         running_relay([reading], limits=limits, deadline_ms=3000) as relay,
--- a/tests/test_relay_pipelining.py
+++ b/tests/test_relay_pipelining.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gentianwharf.relay._pipeline import BufferedResponse
-from tests.builders_relay import answer, request, running_relay
+from tests.builders_relay import request, response, running_relay
 
 ABSENCE_S = 0.2
 """Time to wait for an event that must not occur."""
@@ -26,14 +26,14 @@
 
 def slow_until(path: bytes, *slow: bytes):  # type: ignore[no-untyped-def]
     """Return a script that responds to the slow paths only after ``path``."""
-    answered = threading.Event()
+    responded = threading.Event()
 
     def serve(connection, head):  # type: ignore[no-untyped-def]
         if path_of(head) in slow:
-            assert answered.wait(HANG_S), f"{path!r} waits for {path_of(head)!r}"
-        connection.sendall(answer(b"body of " + path_of(head)))
+            assert responded.wait(HANG_S), f"{path!r} waits for {path_of(head)!r}"
+        connection.sendall(response(b"body of " + path_of(head)))
         if path_of(head) == path:
-            answered.set()
+            responded.set()
 
     return serve
 
@@ -49,7 +49,7 @@
 
     def server(connection, head):  # type: ignore[no-untyped-def]
         together.wait()
-        connection.sendall(answer(b"body of " + path_of(head)))
+        connection.sendall(response(b"body of " + path_of(head)))
 
     with running_relay([server], deadline_ms=10_000) as relay:
         received = relay.send(
@@ -78,11 +78,11 @@
     def server(connection, head):  # type: ignore[no-untyped-def]
         if path_of(head) == b"/plain/slow":
             assert begun.wait(HANG_S)
-            connection.sendall(answer(b"body of /plain/slow"))
+            connection.sendall(response(b"body of /plain/slow"))
         else:
             # More than is buffered; the rest is sent after the earlier response.
             begun.set()
-            connection.sendall(answer(large_body))
+            connection.sendall(response(large_body))
 
     with running_relay([server], deadline_ms=10_000) as relay:
         received = relay.send(
@@ -107,7 +107,7 @@
             charged.set()
         elif not charged.wait(ABSENCE_S):
             first_done.set()
-        connection.sendall(answer(b"body of " + path_of(head)))
+        connection.sendall(response(b"body of " + path_of(head)))
 
     with running_relay([server], deadline_ms=10_000) as relay:
         received = relay.send(
@@ -121,12 +121,12 @@
 def test_upload_after_a_read_keeps_its_body() -> None:
     def server(connection, head):  # type: ignore[no-untyped-def]
         if path_of(head) == b"/plain/slow":
-            connection.sendall(answer(b"body of /plain/slow"))
+            connection.sendall(response(b"body of /plain/slow"))
             return
         body = head.split(b"\r\n\r\n", 1)[1]
         while len(body) < 5:
             body += connection.recv(100)
-        connection.sendall(answer(b"body of /plain/upload " + body))
+        connection.sendall(response(b"body of /plain/upload " + body))
 
     upload = request("POST", "/plain/upload", headers="Content-Length: 5\r\n")
     with running_relay([server], deadline_ms=10_000) as relay:
@@ -140,7 +140,7 @@
     """Guards against a refusal that is read as the response to an earlier request."""
 
     def server(connection, head):  # type: ignore[no-untyped-def]
-        connection.sendall(answer(b"body of /plain/slow"))
+        connection.sendall(response(b"body of /plain/slow"))
 
     with running_relay([server], deadline_ms=10_000) as relay:
         received = relay.send(
@@ -159,7 +159,7 @@
     def server(connection, head):  # type: ignore[no-untyped-def]
         if path_of(head) == b"/plain/slow":
             assert cut.wait(HANG_S)
-            connection.sendall(answer(b"body of /plain/slow"))
+            connection.sendall(response(b"body of /plain/slow"))
             return
         connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nbegun")
         connection.close()
--- a/tests/test_relay_repeats.py
+++ b/tests/test_relay_repeats.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.builders_relay import Script, answer, request, running_relay
+from tests.builders_relay import Script, request, response, running_relay
 
 KEY = "Idempotency-Key: dues-7\r\n"
 
@@ -14,7 +14,7 @@
     count = iter(range(1, 100))
 
     def run(connection: socket.socket, head: bytes) -> None:
-        connection.sendall(answer(b"run %d" % next(count)))
+        connection.sendall(response(b"run %d" % next(count)))
 
     return run
 
@@ -25,7 +25,7 @@
 
 def shedding(connection: socket.socket, head: bytes) -> None:
     extra = "Gentianwharf-Run: not-run\r\n"
-    connection.sendall(answer(b"", status="503 Shed", extra=extra))
+    connection.sendall(response(b"", status="503 Shed", extra=extra))
 
 
 def post(path: str = "/plain/dues", headers: str = KEY) -> bytes:
@@ -39,9 +39,9 @@
     key. The server does not store keys.
     """
     with running_relay([numbered()]) as relay:
-        answers = [relay.send(post()) for _ in range(3)]
+        responses = [relay.send(post()) for _ in range(3)]
         assert len(relay.servers[0].heads) == 1
-    assert all(response.endswith(b"run 1") for response in answers)
+    assert all(received.endswith(b"run 1") for received in responses)
 
 
 def test_repeated_request_waits_for_the_one_in_flight() -> None:
@@ -49,12 +49,12 @@
 
     def slow(connection: socket.socket, head: bytes) -> None:
         release.wait(5)
-        connection.sendall(answer(b"once"))
+        connection.sendall(response(b"once"))
 
-    answers: list[bytes] = []
+    responses: list[bytes] = []
     with running_relay([slow]) as relay:
         callers = [
-            threading.Thread(target=lambda: answers.append(relay.send(post())))
+            threading.Thread(target=lambda: responses.append(relay.send(post())))
             for _ in range(3)
         ]
         for caller in callers:
@@ -63,7 +63,7 @@
         for caller in callers:
             caller.join()
         assert len(relay.servers[0].heads) == 1
-    assert [response.endswith(b"once") for response in answers] == [True] * 3
+    assert [received.endswith(b"once") for received in responses] == [True] * 3
 
 
 @pytest.mark.parametrize(
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -5,11 +5,11 @@
 import pytest
 
 from gentianwharf.relay import Run
-from tests.builders_relay import answer, request, running_relay
+from tests.builders_relay import request, response, running_relay
 
 
 def plain(connection, head):  # type: ignore[no-untyped-def]
-    connection.sendall(answer())
+    connection.sendall(response())
 
 
 @pytest.mark.parametrize(
@@ -186,7 +186,7 @@
 
 def test_pipelined_requests_get_their_responses_in_order() -> None:
     def numbered(connection, head):  # type: ignore[no-untyped-def]
-        connection.sendall(answer(head.split(b" ")[1]))
+        connection.sendall(response(head.split(b" ")[1]))
 
     with running_relay([numbered]) as relay:
         received = relay.send(
@@ -217,7 +217,7 @@
         body = head.split(b"\r\n\r\n", 1)[1]
         while len(body) < 5:
             body += connection.recv(100)
-        connection.sendall(answer(body))
+        connection.sendall(response(body))
 
     head = request(
         "POST", headers="Expect: 100-continue\r\nContent-Length: 5\r\n", close=True
@@ -297,5 +297,5 @@
         received = b""
         while piece := connection.recv(65_536):
             received += piece
-    answer_head = received.split(b"\r\n\r\n", 1)[0].lower()
-    assert b"\r\nconnection: close" in answer_head
+    response_head = received.split(b"\r\n\r\n", 1)[0].lower()
+    assert b"\r\nconnection: close" in response_head
--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -10,10 +10,10 @@
 from tests.builders_relay import (
     REACTOR,
     RunningRelay,
-    answer,
     in_reactor,
     read_to_end,
     request,
+    response,
     running_relay,
 )
 
@@ -76,7 +76,7 @@
         if path_of(head) == b"/plain/silent":
             release.wait(HANG_S)
             return
-        connection.sendall(answer(b"body of " + path_of(head)))
+        connection.sendall(response(b"body of " + path_of(head)))
 
     with running_relay([server], deadline_ms=DEADLINE_MS) as relay:
         with relay.connect() as connection:
@@ -115,7 +115,7 @@
         release.set()
     assert received.startswith(b"HTTP/1.1 502")
     assert b'"run": "unknown"' in received
-    assert relay.records.answers[-1].status == 502
+    assert relay.records.responses[-1].status == 502
 
 
 def test_unsent_request_is_refused_as_not_run() -> None:
