--- a/src/gentianwharf/lifecycle/_shutdown.py
+++ b/src/gentianwharf/lifecycle/_shutdown.py
@@ -37,7 +37,7 @@
     """The process that is shut down."""
 
     def mark_unready(self) -> None:
-        """Report to the load balancer that this process accepts no new requests."""
+        """Report to the load balancer that no new requests should be sent."""
 
     def stop_accepting(self) -> None:
         """Close the listening port and idle connections."""
--- a/src/gentianwharf/relay/_app.py
+++ b/src/gentianwharf/relay/_app.py
@@ -186,9 +186,9 @@
         deadline_ms = match.rule.then.deadline_ms or self._deadlines_ms.get(
             match.request_class, DEFAULT_DEADLINE_MS
         )
-        left_s = self._codec.caller_timeout_s(request.requestHeaders)
-        if left_s is not None:
-            deadline_ms = min(deadline_ms, int(left_s * 1000))
+        timeout_s = self._codec.caller_timeout_s(request.requestHeaders)
+        if timeout_s is not None:
+            deadline_ms = min(deadline_ms, int(timeout_s * 1000))
         self._last_serial += 1
         return Ticket(
             request_id=request_id,
--- a/src/gentianwharf/relay/_attempt.py
+++ b/src/gentianwharf/relay/_attempt.py
@@ -127,8 +127,8 @@
         except PeerUnavailableError as error:
             raise NotRunError(
                 outcome=Outcome.CONNECT_FAILED,
-                # 503 and not 502: callers rely on a 503 to mean that nothing ran, and
-                # also retry requests that must not run twice.
+                # 503 instead of 502: callers rely on a 503 to mean that nothing ran,
+                # and then also retry requests that must not run twice.
                 problem=Problem(
                     status=503,
                     title="the server can't be reached",
--- a/src/gentianwharf/relay/_header_codec.py
+++ b/src/gentianwharf/relay/_header_codec.py
@@ -120,8 +120,8 @@
         if response.headers.getRawHeaders(names.RUN) != [b"not-run"]:
             return None
         not_owner = response.code == STATUS_NOT_OWNER
-        named_s = None if not_owner else _whole_seconds(response.headers)
-        return ServerRefusal(not_owner=not_owner, retry_after_s=named_s)
+        retry_after_s = None if not_owner else _whole_seconds(response.headers)
+        return ServerRefusal(not_owner=not_owner, retry_after_s=retry_after_s)
 
     def load(self, headers: Headers) -> ServerLoad | None:
         """Return None: servers report their load elsewhere."""
