--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -1,6 +1,6 @@
 """Forwards callers' requests to backend servers and returns the responses."""
 
-from gentianwharf.runs import Run
+from gentianwharf.runs import RunStatus
 
 from ._app import RelayApp
 from ._caller_limits import SLOW_HEAD_CHECK_INTERVAL_S, ConnectionLimits
@@ -41,7 +41,7 @@
     "RelayApp",
     "RemainingTime",
     "Rules",
-    "Run",
+    "RunStatus",
     "ServerConnectionPool",
     "ServerLoad",
     "ServerRefusal",
--- a/src/gentianwharf/relay/_attempt.py
+++ b/src/gentianwharf/relay/_attempt.py
@@ -8,7 +8,7 @@
 
 from gentianwharf.errors import PeerMismatchError, PeerUnavailableError
 from gentianwharf.pauses import Timeout
-from gentianwharf.runs import Run
+from gentianwharf.runs import RunStatus
 from gentianwharf.topology import BackendServer
 
 from ._caller_request import CallerRequest
@@ -132,7 +132,7 @@
                 problem=Problem(
                     status=503,
                     title="the server can't be reached",
-                    run=Run.NOT_RUN,
+                    run=RunStatus.NOT_RUN,
                     detail=error.message,
                     retry_after_s=DEFAULT_RETRY_AFTER_S,
                     step=error.step,
@@ -231,7 +231,7 @@
                 problem=Problem(
                     status=502,
                     title="the server's answer has no provable end",
-                    run=Run.RUN,
+                    run=RunStatus.RUN,
                     step="read-answer",
                     peer=self.server.address,
                 ),
@@ -254,7 +254,7 @@
         return Problem(
             status=503,
             title=title,
-            run=Run.NOT_RUN,
+            run=RunStatus.NOT_RUN,
             retry_after_s=retry_after_s,
             step="send",
             peer=self.server.address,
@@ -270,7 +270,7 @@
         return Problem(
             status=status,
             title=title,
-            run=Run.UNKNOWN,
+            run=RunStatus.UNKNOWN,
             detail=detail.strip(),
             step="answer",
             peer=self.server.address,
--- a/src/gentianwharf/relay/_exchange.py
+++ b/src/gentianwharf/relay/_exchange.py
@@ -8,7 +8,7 @@
 
 from gentianwharf.logs import log
 from gentianwharf.matching import RuleMatch
-from gentianwharf.runs import Run
+from gentianwharf.runs import RunStatus
 from gentianwharf.topology import BackendServer
 
 from ._attempt import Attempt, AttemptError, FinalError, NotRunError
@@ -32,14 +32,14 @@
 # so does the new owner until it has its grant.
 MAX_MISDIRECTED = 4
 # Sent for a request that may have run and has no response.
-STATUS_OUTCOME_UNKNOWN = 502
+STATUS_UNKNOWN = 502
 # Recorded in logs and metrics if the caller disconnects before the response.
 STATUS_CALLER_GONE = 499
 
 INTERNAL_ERROR = Problem(
     status=500,
     title="a fault of the router",
-    run=Run.UNKNOWN,
+    run=RunStatus.UNKNOWN,
     detail="Its log has the trace under this request's id.",
     step="serve",
 )
@@ -47,16 +47,16 @@
 STOPPING_NOT_RUN = Problem(
     status=503,
     title="the host is stopping",
-    run=Run.NOT_RUN,
+    run=RunStatus.NOT_RUN,
     detail="The request was not run. Another host serves it.",
     # Short, since other hosts can serve the retry at once.
     retry_after_s=0.1,
     step="shutdown",
 )
 STOPPING_UNKNOWN = Problem(
-    status=STATUS_OUTCOME_UNKNOWN,
+    status=STATUS_UNKNOWN,
     title="the host is stopping, and the server has not answered",
-    run=Run.UNKNOWN,
+    run=RunStatus.UNKNOWN,
     detail=(
         "The request may have run. Ask for its outcome with its idempotency key"
         " or its request id before sending it again."
@@ -152,7 +152,7 @@
     def _handle_cancellation(self) -> None:
         if self._shutdown_problem is None:
             self._record(
-                status=STATUS_CALLER_GONE, run=Run.UNKNOWN, reason="caller-gone"
+                status=STATUS_CALLER_GONE, run=RunStatus.UNKNOWN, reason="caller-gone"
             )
         else:
             self.refuse(self._shutdown_problem)
@@ -167,7 +167,7 @@
         try:
             await self._serve()
         except Problem as problem:
-            if problem.run is Run.NOT_RUN and not self._may_have_run:
+            if problem.run is RunStatus.NOT_RUN and not self._may_have_run:
                 self._idempotent_requests.mark_not_run(key)
             else:
                 self._idempotent_requests.complete(key, None)
@@ -189,7 +189,9 @@
         request.setHeader(b"Content-Length", str(len(stored.body)).encode())
         request.write(stored.body)
         request.finish()
-        self._record(status=stored.status, run=Run.RUN, reason="answer-given-again")
+        self._record(
+            status=stored.status, run=RunStatus.RUN, reason="answer-given-again"
+        )
 
     def hedge(self, server: BackendServer) -> None:
         """Send the request a second time, concurrently with the first attempt."""
@@ -207,10 +209,10 @@
 
     def refuse(self, problem: Problem) -> None:
         """Respond with a problem document."""
-        if self._may_have_run and problem.run is Run.NOT_RUN:
+        if self._may_have_run and problem.run is RunStatus.NOT_RUN:
             # The last try did not run, but an earlier one of a repeatable request may
             # have run. Callers rely on a 503 to mean that nothing ran.
-            problem = replace(problem, status=STATUS_OUTCOME_UNKNOWN, run=Run.UNKNOWN)
+            problem = replace(problem, status=STATUS_UNKNOWN, run=RunStatus.UNKNOWN)
         if not self.request._disconnected and not self.request.startedWriting:
             write_problem(
                 self.request,
@@ -259,10 +261,7 @@
         return server
 
     def _server_for_key(self) -> BackendServer | None:
-        """Return the server that every daemon selects for the idempotency key.
-
-        Otherwise a repeat through another daemon would run on a second server.
-        """
+        """Return the server for the idempotency key, None without a key."""
         if self._idempotency_key is None:
             return None
         return self._admission.server_for_key(
@@ -339,9 +338,7 @@
             request, response, request_id=self.ticket.request_id, codec=self._codec
         )
         body = ResponseBody(
-            request=request,
-            clock=self._reactor,
-            store=self._idempotency_key is not None,
+            request=request, clock=self._reactor, keep=self._idempotency_key is not None
         )
         response.deliverBody(body)
         body.start_stall_timer()
@@ -352,18 +349,24 @@
             raise
         if not complete:
             attempt.abort()
-            self._record(status=response.code, run=Run.RUN, reason="answer-cut")
+            self._record(status=response.code, run=RunStatus.RUN, reason="answer-cut")
             return False
         if body.stored is not None:
             self._stored = _to_stored(response, bytes(body.stored), self._codec)
         if not request._disconnected:
             request.send_now()
             request.finish()
-        self._record(status=response.code, run=Run.RUN)
+        self._record(status=response.code, run=RunStatus.RUN)
         return True
 
     def _record(
-        self, *, status: int, run: Run, reason: str = "", step: str = "", peer: str = ""
+        self,
+        *,
+        status: int,
+        run: RunStatus,
+        reason: str = "",
+        step: str = "",
+        peer: str = "",
     ) -> None:
         self._observer.record_response(
             AccessRecord(
--- a/src/gentianwharf/relay/_ports.py
+++ b/src/gentianwharf/relay/_ports.py
@@ -6,7 +6,7 @@
 from typing import Protocol, final
 
 from gentianwharf.matching import RequestFacts, RuleMatch
-from gentianwharf.runs import Run
+from gentianwharf.runs import RunStatus
 from gentianwharf.topology import BackendServer
 
 from ._problem import Problem
@@ -84,7 +84,7 @@
     def match(self, facts: RequestFacts) -> RuleMatch | None:
         """Return the match of the first matching rule, None if there is none."""
 
-    def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
+    def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
         """Return ``match`` with another service of the traffic split of its rule."""
 
 
@@ -126,7 +126,11 @@
         """Return the server for a retry, if the retry budget allows one."""
 
     def server_for_key(self, service: str, key: str) -> BackendServer | None:
-        """Return the server that every daemon selects for an idempotency key."""
+        """Return the server that every daemon selects for an idempotency key.
+
+        Otherwise a repeat through another daemon would run on a second server, which
+        has not received the key.
+        """
 
     def finished(
         self,
@@ -163,7 +167,7 @@
     server: str
     domain: str
     status: int
-    run: Run
+    run: RunStatus
     waited_s: float
     elapsed_s: float
     reason: str
--- a/src/gentianwharf/relay/_response.py
+++ b/src/gentianwharf/relay/_response.py
@@ -30,9 +30,9 @@
     """
 
     def __init__(
-        self, *, request: CallerRequest, clock: IReactorTime, store: bool = False
+        self, *, request: CallerRequest, clock: IReactorTime, keep: bool = False
     ) -> None:
-        self.stored: bytearray | None = bytearray() if store else None
+        self.stored: bytearray | None = bytearray() if keep else None
         self.done: Deferred[bool] = Deferred(lambda _: self.abort())
         self._request = request
         self._clock = clock
