--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -1,4 +1,4 @@
-"""What callers receive when a planned stop reaches its time limit."""
+"""The responses to callers when a planned stop reaches its time limit."""
 
 import threading
 from collections.abc import Callable
@@ -10,10 +10,10 @@
 from tests.builders_relay import (
     REACTOR,
     RunningRelay,
-    answer,
     in_reactor,
     read_to_end,
     request,
+    response,
     running_relay,
 )
 
@@ -22,7 +22,7 @@
 DEADLINE_MS = 10_000
 
 
-class DrainedRelay:
+class RelayTarget:
     """Implements ``ShutdownTarget`` for a relay and its callers' site."""
 
     def __init__(self, relay: RunningRelay) -> None:
@@ -56,7 +56,7 @@
 
 def begin_shutdown(relay: RunningRelay) -> Shutdown:
     shutdown = Shutdown(
-        target=DrainedRelay(relay), clock=REACTOR, notice_s=0.1, limit_s=LIMIT_S
+        target=RelayTarget(relay), clock=REACTOR, notice_s=0.1, limit_s=LIMIT_S
     )
     in_reactor(shutdown.request_stop)
     return shutdown
@@ -66,8 +66,8 @@
     return head.split(b" ")[1]
 
 
-def test_ready_answers_behind_an_unanswered_request_are_delivered() -> None:
-    """Guards against the loss of ready answers queued behind a missing one."""
+def test_complete_responses_after_a_missing_one_are_delivered() -> None:
+    """Guards against losing complete responses behind one that is missing."""
     release = threading.Event()
     served = threading.Semaphore(0)
 
@@ -76,7 +76,7 @@
         if path_of(head) == b"/plain/silent":
             release.wait(HANG_S)
             return
-        connection.sendall(answer(b"body of " + path_of(head)))
+        connection.sendall(response(b"body of " + path_of(head)))
 
     with running_relay([server], deadline_ms=DEADLINE_MS) as relay:
         with relay.connect() as connection:
@@ -115,7 +115,7 @@
         release.set()
     assert received.startswith(b"HTTP/1.1 502")
     assert b'"run": "unknown"' in received
-    assert relay.records.answers[-1].status == 502
+    assert relay.records.responses[-1].status == 502
 
 
 def test_unsent_request_is_refused_as_not_run() -> None:
@@ -138,8 +138,8 @@
     assert b'"run": "not-run"' in received
 
 
-def test_partial_answer_is_not_followed_by_a_problem_document() -> None:
-    """Guards against a problem document that is read as the rest of an answer."""
+def test_partial_response_is_not_followed_by_a_problem_document() -> None:
+    """Guards against a problem document that is read as the rest of a response."""
     release, begun = threading.Event(), threading.Event()
 
     def server(connection, head):  # type: ignore[no-untyped-def]
@@ -158,18 +158,18 @@
     assert b"problem" not in received
 
 
-def test_request_after_the_final_answers_is_refused() -> None:
+def test_request_after_the_final_responses_is_refused() -> None:
     """Guards against starting a request in a process that is about to end."""
     with running_relay([], deadline_ms=DEADLINE_MS) as relay:
         in_reactor(relay.app.answer_in_flight)
-        received = relay.ask(request())
+        received = relay.send(request())
     assert received.startswith(b"HTTP/1.1 503")
     assert b'"run": "not-run"' in received
     assert relay.records.refusals
 
 
-def test_request_that_joins_another_is_not_reported_as_not_run() -> None:
-    """The first request with its idempotency key may have run."""
+def test_duplicate_request_is_not_reported_as_not_run() -> None:
+    """Guards against a wrong claim about the first request, which may have run."""
     release, begun = threading.Event(), threading.Event()
 
     def server(connection, head):  # type: ignore[no-untyped-def]
@@ -190,8 +190,8 @@
     assert b'"run": "unknown"' in received
 
 
-def test_request_that_waits_for_another_try_may_have_run() -> None:
-    """A lost try counts as a possible run while the next server is chosen."""
+def test_request_that_waits_for_a_retry_may_have_run() -> None:
+    """Guards against ignoring a lost attempt while the next server is selected."""
     waiting = threading.Event()
 
     def server(connection, head):  # type: ignore[no-untyped-def]
