--- a/src/gentianwharf/entryhost/_observer.py
+++ b/src/gentianwharf/entryhost/_observer.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from gentianwharf.logs import log
-from gentianwharf.relay import Problem, ResponseRecord, RunStatus
+from gentianwharf.relay import AccessRecord, Problem, RunStatus
 
 from ._metrics import HostMetrics
 
@@ -35,7 +35,7 @@
         self._rules_version = rules_version
         self._view_age_s = view_age_s
 
-    def record_response(self, answered: ResponseRecord) -> None:
+    def record_response(self, answered: AccessRecord) -> None:
         """Note what a caller received."""
         self._metrics.answered(answered)
         is_success = answered.run is RunStatus.RUN and answered.status < 500
