--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -11,7 +11,7 @@
     GrantManager,
     GrantTiming,
     Leadership,
-    LoadSeen,
+    ObservedLoad,
     Planner,
     PreviousLeader,
     Span,
@@ -304,7 +304,7 @@
         if demand is not None:
             demand.note_requests(counts)
 
-    def _note_load(self, service: str, server_id: str, seen: LoadSeen) -> None:
+    def _note_load(self, service: str, server_id: str, seen: ObservedLoad) -> None:
         demand = self._planner.demand(service)
         if demand is not None:
             demand.note_load(server_id, seen)
--- a/src/gentianwharf/entryhost/_peers.py
+++ b/src/gentianwharf/entryhost/_peers.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from gentianwharf.errors import InputError
-from gentianwharf.keyspace import LoadSeen, Span
+from gentianwharf.keyspace import ObservedLoad, Span
 from gentianwharf.links import NngLink, NngListener, dial
 from gentianwharf.logs import log
 from gentianwharf.store import Events, EventsListener, Item, Page
@@ -63,7 +63,7 @@
         process: int = 0,
     ) -> None:
         self.on_requests: Callable[[str, Mapping[int, float]], None]
-        self.on_load: Callable[[str, str, LoadSeen], None]
+        self.on_load: Callable[[str, str, ObservedLoad], None]
         self.on_granted: Callable[[str, int, int, int], None]
         self.on_events: EventsListener
         self.on_hosts: Callable[[int], None]
@@ -254,13 +254,13 @@
             self.on_requests(service, counts)
         for service, loads in report.loads.items():
             for server_id, load in loads.items():
-                seen = LoadSeen(
+                seen = ObservedLoad(
                     running=load.running,
                     waiting=load.waiting,
                     answers=load.answers,
-                    ran=load.ran,
-                    quick=load.quick,
-                    quick_s=load.quick_s,
+                    executed=load.ran,
+                    unqueued=load.quick,
+                    unqueued_s=load.quick_s,
                     unanswered=load.unanswered,
                 )
                 self.on_load(service, server_id, seen)
--- a/src/gentianwharf/keyspace/__init__.py
+++ b/src/gentianwharf/keyspace/__init__.py
@@ -1,6 +1,6 @@
 """Who holds which shards where backend servers enforce grants themselves."""
 
-from ._demand import Demand, LoadSeen
+from ._demand import Demand, ObservedLoad
 from ._grant_manager import GrantManager
 from ._leadership import Leadership
 from ._orders import Grant, HolderEndedError, Orders, Release
@@ -23,7 +23,7 @@
     "GrantManager",
     "KeyTable",
     "Leadership",
-    "LoadSeen",
+    "ObservedLoad",
     "Losses",
     "Orders",
     "Plan",
--- a/src/gentianwharf/keyspace/_demand.py
+++ b/src/gentianwharf/keyspace/_demand.py
@@ -53,20 +53,21 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LoadSeen:
-    """What answers of one server said of its load, added up.
+class ObservedLoad:
+    """Totals of the load that one server reported in its answers.
 
-    ``ran`` counts those of requests that ran, ``quick`` those of them given while
-    nothing waited there, which took ``quick_s`` together. ``unanswered`` counts
-    requests that were given up after their whole time.
+    ``executed`` counts the answers to requests that were executed. ``unqueued`` counts
+    those of them that were given while no request was queued at the server;
+    ``unqueued_s`` is how long these took together. ``unanswered`` counts requests that
+    reached their deadline without an answer.
     """
 
     running: float
     waiting: float
     answers: float
-    ran: float = 0.0
-    quick: float = 0.0
-    quick_s: float = 0.0
+    executed: float = 0.0
+    unqueued: float = 0.0
+    unqueued_s: float = 0.0
     unanswered: float = 0.0
 
 
@@ -76,9 +77,9 @@
     running: float = 0.0
     waiting: float = 0.0
     answers: float = 0.0
-    ran: float = 0.0
-    quick: float = 0.0
-    quick_s: float = 0.0
+    executed: float = 0.0
+    unqueued: float = 0.0
+    unqueued_s: float = 0.0
     unanswered: float = 0.0
     speed: float = 1.0
     is_measured: bool = False
@@ -87,7 +88,7 @@
         """Whether much of what it was sent was given up."""
         if self.unanswered < LEAST_UNANSWERED:
             return False
-        return self.unanswered > self.ran * STUCK_PART
+        return self.unanswered > self.executed * STUCK_PART
 
     def work_s(self) -> float | None:
         """Return how long a request takes there without waiting, None if unknown.
@@ -96,11 +97,14 @@
         it finishes tell how long each takes (Little's law). Without that it would be
         taken for as fast as any, and stay full.
         """
-        if self.quick >= LEAST_ANSWERS:
-            return self.quick_s / self.quick
-        if self.ran >= LEAST_ANSWERS and self.waiting > self.answers * FULL_WAITING:
+        if self.unqueued >= LEAST_ANSWERS:
+            return self.unqueued_s / self.unqueued
+        if (
+            self.executed >= LEAST_ANSWERS
+            and self.waiting > self.answers * FULL_WAITING
+        ):
             running = self.running / self.answers
-            return running / (self.ran / MEMORY_S)
+            return running / (self.executed / MEMORY_S)
         return None
 
 
@@ -121,16 +125,16 @@
         for shard, count in counts.items():
             known[shard] = known.get(shard, 0.0) + count
 
-    def note_load(self, server_id: str, seen: LoadSeen) -> None:
+    def note_load(self, server_id: str, seen: ObservedLoad) -> None:
         """Note what a server said of its load."""
         self._fade()
         row = self._servers.setdefault(server_id, _ServerLoad())
         row.running += seen.running
         row.waiting += seen.waiting
         row.answers += seen.answers
-        row.ran += seen.ran
-        row.quick += seen.quick
-        row.quick_s += seen.quick_s
+        row.executed += seen.executed
+        row.unqueued += seen.unqueued
+        row.unqueued_s += seen.unqueued_s
         row.unanswered += seen.unanswered
 
     def load(self, shards: int) -> ShardLoad:
@@ -190,7 +194,7 @@
             row.running *= left
             row.waiting *= left
             row.answers *= left
-            row.ran *= left
-            row.quick *= left
-            row.quick_s *= left
+            row.executed *= left
+            row.unqueued *= left
+            row.unqueued_s *= left
             row.unanswered *= left
--- a/src/gentianwharf/keyspace/_room.py
+++ b/src/gentianwharf/keyspace/_room.py
@@ -25,12 +25,12 @@
     """Return how much of all load may be cold, by the slots that are free.
 
     >>> from twisted.internet.task import Clock
-    >>> from ._demand import LoadSeen
+    >>> from ._demand import ObservedLoad
     >>> from ._table import Holder
     >>> demand = Demand(now_s=Clock().seconds)
     >>> holder = Holder(server_id="s1", born_ms=1, address="10.0.0.1:80")
     >>> candidates = [Candidate(holder=holder, capacity=6.0)]
-    >>> demand.note_load("s1", LoadSeen(running=30.0, waiting=0.0, answers=10.0))
+    >>> demand.note_load("s1", ObservedLoad(running=30.0, waiting=0.0, answers=10.0))
     >>> round(cold_room(demand, candidates), 3)
     0.267
     """
--- a/tests/test_keyspace_demand.py
+++ b/tests/test_keyspace_demand.py
@@ -2,19 +2,19 @@
 
 from twisted.internet.task import Clock
 
-from gentianwharf.keyspace import Demand, LoadSeen
+from gentianwharf.keyspace import Demand, ObservedLoad
 
 SHARDS = 1000
 
 
-def quick(answers: int, each_s: float) -> LoadSeen:
-    return LoadSeen(
+def unqueued(answers: int, each_s: float) -> ObservedLoad:
+    return ObservedLoad(
         running=answers,
         waiting=0,
         answers=answers,
-        ran=answers,
-        quick=answers,
-        quick_s=answers * each_s,
+        executed=answers,
+        unqueued=answers,
+        unqueued_s=answers * each_s,
     )
 
 
@@ -46,8 +46,8 @@
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     for _ in range(10):
-        demand.note_load("fast", quick(10, 0.06))
-        demand.note_load("slow", quick(10, 0.14))
+        demand.note_load("fast", unqueued(10, 0.06))
+        demand.note_load("slow", unqueued(10, 0.14))
         clock.advance(1.0)
         demand.learn_speeds()
     assert demand.speed("fast") > 1.5
@@ -64,8 +64,10 @@
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     for _ in range(100):
-        demand.note_load("full", LoadSeen(running=36, waiting=120, answers=6, ran=6))
-        demand.note_load("other", quick(6, 0.1))
+        demand.note_load(
+            "full", ObservedLoad(running=36, waiting=120, answers=6, executed=6)
+        )
+        demand.note_load("other", unqueued(6, 0.1))
         clock.advance(0.1)
         demand.learn_speeds()
     assert 0.85 < demand.speed("full") < 1.15
@@ -79,9 +81,11 @@
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     for _ in range(100):
-        demand.note_load("slow", LoadSeen(running=18, waiting=30, answers=3, ran=3))
-        demand.note_load("other", quick(6, 0.1))
-        demand.note_load("another", quick(6, 0.1))
+        demand.note_load(
+            "slow", ObservedLoad(running=18, waiting=30, answers=3, executed=3)
+        )
+        demand.note_load("other", unqueued(6, 0.1))
+        demand.note_load("another", unqueued(6, 0.1))
         clock.advance(0.1)
         demand.learn_speeds()
     assert demand.speed("slow") < 0.75
@@ -91,9 +95,9 @@
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     for _ in range(100):
-        full = LoadSeen(running=180, waiting=600, answers=30, ran=6)
+        full = ObservedLoad(running=180, waiting=600, answers=30, executed=6)
         demand.note_load("full", full)
-        demand.note_load("other", quick(6, 0.1))
+        demand.note_load("other", unqueued(6, 0.1))
         clock.advance(0.1)
         demand.learn_speeds()
     assert 0.85 < demand.speed("full") < 1.15
@@ -106,8 +110,8 @@
     """
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
-    demand.note_load("fast", quick(10, 0.06))
-    demand.note_load("slow", quick(10, 0.14))
+    demand.note_load("fast", unqueued(10, 0.06))
+    demand.note_load("slow", unqueued(10, 0.14))
     demand.learn_speeds()
     assert demand.speed("slow") < 0.8
 
@@ -122,10 +126,10 @@
     demand = Demand(now_s=clock.seconds)
     for _ in range(10):
         demand.note_load(
-            "stuck", LoadSeen(running=0, waiting=0, answers=0, unanswered=1)
+            "stuck", ObservedLoad(running=0, waiting=0, answers=0, unanswered=1)
         )
-        demand.note_load("other", quick(6, 0.1))
-        demand.note_load("another", quick(6, 0.1))
+        demand.note_load("other", unqueued(6, 0.1))
+        demand.note_load("another", unqueued(6, 0.1))
         clock.advance(0.25)
         demand.learn_speeds()
     assert demand.speed("stuck") < 0.5
@@ -136,11 +140,11 @@
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     for _ in range(20):
-        demand.note_load("lossy", quick(10, 0.1))
+        demand.note_load("lossy", unqueued(10, 0.1))
         demand.note_load(
-            "lossy", LoadSeen(running=0, waiting=0, answers=0, unanswered=1)
+            "lossy", ObservedLoad(running=0, waiting=0, answers=0, unanswered=1)
         )
-        demand.note_load("other", quick(10, 0.1))
+        demand.note_load("other", unqueued(10, 0.1))
         clock.advance(0.25)
         demand.learn_speeds()
     assert demand.speed("lossy") > 0.9
@@ -152,12 +156,12 @@
     for second in range(60):
         unanswered = 1.0 if second < 20 else 0.0
         answers = 0 if second < 20 else 3
-        demand.note_load("once-stuck", quick(answers, 0.1))
+        demand.note_load("once-stuck", unqueued(answers, 0.1))
         demand.note_load(
             "once-stuck",
-            LoadSeen(running=0, waiting=0, answers=0, unanswered=unanswered),
+            ObservedLoad(running=0, waiting=0, answers=0, unanswered=unanswered),
         )
-        demand.note_load("other", quick(6, 0.1))
+        demand.note_load("other", unqueued(6, 0.1))
         clock.advance(0.25)
         demand.learn_speeds()
     assert demand.speed("once-stuck") > 0.9
