--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -153,7 +153,7 @@
         if not self._is_settled:
             # What it knew of the leaders before it is lost with it.
             return None
-        left_s = self._timing.ended_until_s(ended_s=0.0) - answer.ended_s
+        left_s = self._timing.latest_grant_expiry_s(stopped_s=0.0) - answer.ended_s
         return RemainingGrants(others_s=max(0.0, left_s))
 
     def _send(self, address: str, message: AskedHolds | ToldHolds) -> None:
--- a/src/gentianwharf/keyspace/_grant_manager.py
+++ b/src/gentianwharf/keyspace/_grant_manager.py
@@ -71,7 +71,9 @@
         self._leading = True
         self._store_contact_s = store_contact_s
         if held_s is None:
-            unknown_until_s = self._timing.unknown_until_s(took_over_s=store_contact_s)
+            unknown_until_s = self._timing.earlier_grants_expiry_s(
+                took_over_s=store_contact_s
+            )
         else:
             unknown_until_s = self._now_s() + held_s
         self.holders.reset(unknown_until_s=unknown_until_s)
@@ -131,7 +133,7 @@
         if not self._leading:
             return
         now_s = self._now_s()
-        if now_s > self._store_contact_s + self._timing.leader_alone_s:
+        if now_s > self._store_contact_s + self._timing.renew_without_store_s:
             # Another host may lead by now and wait for these grants to run out.
             return
         self._on_their_way = sum(
@@ -315,7 +317,7 @@
         self._grants_sent += 1
         number = self._grants_sent
         # Until the call has ended, the grant may arrive at any time.
-        state.on_their_way_until_s[number] = self._timing.held_until_s(
+        state.on_their_way_until_s[number] = self._timing.grant_expiry_s(
             ended_s=sent_s + GRANT_TIMEOUT_S, duration_s=duration_s
         )
         try:
--- a/src/gentianwharf/keyspace/_holder_states.py
+++ b/src/gentianwharf/keyspace/_holder_states.py
@@ -77,7 +77,7 @@
     def note_grant(self, holder: Holder, *, ended_s: float, duration_s: float) -> None:
         """Note a grant whose call ended at ``ended_s`` and may have arrived."""
         state = self.state_of(holder)
-        until_s = self._timing.held_until_s(ended_s=ended_s, duration_s=duration_s)
+        until_s = self._timing.grant_expiry_s(ended_s=ended_s, duration_s=duration_s)
         state.held_until_s = max(state.held_until_s, until_s)
 
     def note_unanswered(self, holder: Holder, sent_s: float) -> None:
--- a/src/gentianwharf/keyspace/_timing.py
+++ b/src/gentianwharf/keyspace/_timing.py
@@ -42,7 +42,7 @@
 STORE_SILENT_S = 1.0
 """Without an answer for so long, grants are given for as long as servers take them."""
 
-LEADER_ALONE_S = 5.0
+RENEW_WITHOUT_STORE_S = 5.0
 """For how long a leader that does not hear from the store goes on renewing grants, each
 then for as long as servers take: together they bridge an outage of some 15 s. A next
 leader waits for so long before it takes a server that can't be reached for one without
@@ -64,7 +64,7 @@
     grant_s: float = GRANT_S
     renew_every_s: float = RENEW_EVERY_S
     retry_every_s: float = RETRY_EVERY_S
-    leader_alone_s: float = LEADER_ALONE_S
+    renew_without_store_s: float = RENEW_WITHOUT_STORE_S
 
     def renew_after_s(self, spans: int) -> float:
         """Return how often to renew so many spans.
@@ -93,14 +93,16 @@
         needed_s = self.renew_after_s(spans) + NEXT_LEADER_S
         return min(max(self.grant_s, needed_s), self.longest_grant_s)
 
-    def held_until_s(self, *, ended_s: float, duration_s: float) -> float:
+    def grant_expiry_s(self, *, ended_s: float, duration_s: float) -> float:
         """Return when a grant has surely run out whose call ended at ``ended_s``."""
         return ended_s + duration_s * CLOCK_DRIFT + MARGIN_S
 
-    def ended_until_s(self, *, ended_s: float) -> float:
+    def latest_grant_expiry_s(self, *, stopped_s: float) -> float:
         """Return when no grant can hold any more of a process that has ended."""
-        return self.held_until_s(ended_s=ended_s, duration_s=self.longest_grant_s)
+        return self.grant_expiry_s(ended_s=stopped_s, duration_s=self.longest_grant_s)
 
-    def unknown_until_s(self, *, took_over_s: float) -> float:
+    def earlier_grants_expiry_s(self, *, took_over_s: float) -> float:
         """Return when no grant of an earlier leader can hold any more."""
-        return self.ended_until_s(ended_s=took_over_s + self.leader_alone_s)
+        return self.latest_grant_expiry_s(
+            stopped_s=took_over_s + self.renew_without_store_s
+        )
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -186,7 +186,7 @@
     place.lead(leader, revision=9)
     leader.former.ask(former.word(is_settled=not reached))
     place.move(leader)
-    longest_s = TIMING.leader_alone_s + TIMING.longest_grant_s
+    longest_s = TIMING.renew_without_store_s + TIMING.longest_grant_s
     assert place.served_after_s(leader, restarted) > longest_s
 
 
--- a/tests/test_keyspace_model.py
+++ b/tests/test_keyspace_model.py
@@ -212,7 +212,7 @@
             )
         elif word.is_settled:
             ended_s = self.clock.seconds() - asked.started_s
-            left_s = TIMING.ended_until_s(ended_s=0.0) - ended_s
+            left_s = TIMING.latest_grant_expiry_s(stopped_s=0.0) - ended_s
             manager.holders.note_remaining_grants(
                 RemainingGrants(others_s=max(0.0, left_s))
             )
