--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -139,11 +139,11 @@
         self._connect_peers()
 
     def _connect_store(self) -> None:
-        self.mirror.listen(self._note_item)
+        self.mirror.add_listener(self._note_item)
         self.mirror.on_read = self._note_read
         self.mirror.on_events = self.peers.tell_events
-        self.mirror.is_fed = self.peers.is_fed
-        self.mirror.tells = lambda: self.leadership.leads
+        self.mirror.receives_changes = self.peers.is_fed
+        self.mirror.forwards_changes = lambda: self.leadership.leads
         self.mirror.pace = self._pace
         self.leadership.on_gained = self._begin_to_lead
         self.leadership.on_lost = self._cease_to_lead
@@ -164,7 +164,7 @@
         peers.lacks_after = self._lacks_after
         peers.changes_after = self.mirror.changes_after
         peers.page = self.mirror.page
-        peers.on_page = self.mirror.feed_page
+        peers.on_page = self.mirror.apply_forwarded_page
         peers.on_superseded = self.leadership.step_down
         peers.on_asked = self._former.note_asked
         peers.on_told = self._former.note_told
@@ -278,7 +278,7 @@
             return KNOWS_NOTHING if mirror.silent_s() > LACKING_S else None
         # One that the store turns away has nobody else to ask.
         patience_s = 0.0 if mirror.silent_s() else LACKING_S
-        return mirror.revision if mirror.lacking_s() > patience_s else None
+        return mirror.revision if mirror.behind_s() > patience_s else None
 
     def _pace(self) -> WatchPace:
         return TELLING_PACE if self.leadership.leads else usual_pace(self.hosts)
@@ -286,7 +286,7 @@
     # What other hosts say.
 
     def _note_events(self, after_revision: int, events: Events) -> None:
-        self.mirror.feed(events, after_revision=after_revision)
+        self.mirror.apply_forwarded(events, after_revision=after_revision)
 
     def _note_told_granted(
         self, service: str, first: int, last: int, token: int
--- a/src/gentianwharf/store/_mirror.py
+++ b/src/gentianwharf/store/_mirror.py
@@ -49,20 +49,21 @@
 
 @final
 class Mirror:
-    """Reads everything below a prefix once, then follows its changes.
-
-    ``on_read`` is called after each reading of everything, when what is not in
-    ``items`` is known not to be there; ``on_events`` after each watch that brought
-    something; ``is_fed`` says whether another host tells the changes now, ``tells``
-    whether this one tells others what its watch brings, who can't follow a reading.
-    Revisions never go back: an item that is older than what is known is passed over.
+    """A copy of everything below a prefix, read once and then kept up to date.
+
+    ``on_read`` is called after each full read: a key that is missing from ``items``
+    then does not exist. ``on_events`` is called after each watch that returned changes.
+    ``receives_changes`` states whether another host forwards the changes to this one;
+    ``forwards_changes`` states whether this host forwards what its watch returns to
+    hosts that cannot use a full read instead. Revisions never decrease: an item that is
+    older than the known one is ignored.
     """
 
     def __init__(self, *, store: Store, prefix: str, reactor: Any, rng: Random) -> None:
         self.on_read: Callable[[], None] = lambda: None
         self.on_events: EventsListener = lambda after_revision, events: None
-        self.is_fed: Callable[[], bool] = lambda: False
-        self.tells: Callable[[], bool] = lambda: False
+        self.receives_changes: Callable[[], bool] = lambda: False
+        self.forwards_changes: Callable[[], bool] = lambda: False
         self.pace: Callable[[], WatchPace] = lambda: usual_pace(1)
         self.items: dict[str, Item] = {}
         self.is_current = False
@@ -75,18 +76,18 @@
         self._reactor = reactor
         self._rng = rng
         self.revision = 0
-        self._told_revision = 0
-        self._lacking_since_s = 0.0
+        self._forwarded_revision = 0
+        self._behind_since_s = 0.0
         self._removals: deque[Removal] = deque()
         self._removals_after = 0
         self._failures = 0
         self._listeners: list[Listener] = []
         self._running: Deferred[None] | None = None
         self._watching: Deferred[Events] | None = None
-        self._patient: Deferred[Events] | None = None
+        self._full_wait_watch: Deferred[Events] | None = None
         """The watch on its way, while it may wait for as long as it was asked to."""
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Tell ``listener`` of every change from now on."""
         self._listeners.append(listener)
 
@@ -114,33 +115,33 @@
         since_s = max(self.last_contact_s, self._began_s)
         return float(self._reactor.seconds() - since_s)
 
-    def take(self, key: str, item: Item | None) -> None:
+    def apply_item(self, key: str, item: Item | None) -> None:
         """Take what this host has itself written or read, ahead of the watch."""
         known = self.items.get(key)
         if item is not None and (known is None or known.revision < item.revision):
             self._set(key, item)
 
-    def feed(self, events: Events, *, after_revision: int) -> None:
+    def apply_forwarded(self, events: Events, *, after_revision: int) -> None:
         """Take the changes that another host's watch brought after a revision.
 
         If some are missing in between, the next watch fetches them from the store.
         """
-        lacked_before = self._lacks_told()
-        self._told_revision = max(self._told_revision, events.revision)
+        was_behind = self._is_behind()
+        self._forwarded_revision = max(self._forwarded_revision, events.revision)
         if self.is_current and after_revision <= self.revision:
             self._note_contact()
             self._apply(events)
-        if not lacked_before:
-            self._lacking_since_s = self._reactor.seconds()
-        if self._lacks_told() and self._patient is not None:
+        if not was_behind:
+            self._behind_since_s = self._reactor.seconds()
+        if self._is_behind() and self._full_wait_watch is not None:
             # The answer of a watch that was asked before may be lost. This host would
             # wait for it, and for what it was told of, until that watch runs out.
-            patient, self._patient = self._patient, None
-            self._reactor.callLater(MISSED_S, self._give_up, patient)
+            watching, self._full_wait_watch = self._full_wait_watch, None
+            self._reactor.callLater(MISSED_S, self._give_up, watching)
 
-    def feed_page(self, page: Page) -> None:
+    def apply_forwarded_page(self, page: Page) -> None:
         """Take all that stands in the store, as another host has it."""
-        if self._is_news(page):
+        if self._is_newer(page):
             self._note_contact()
             self._take_page(page)
 
@@ -150,19 +151,19 @@
             return None
         return Page(items=tuple(self.items.values()), revision=self.revision)
 
-    def _lacks_told(self) -> bool:
-        return self._told_revision > self.revision
+    def _is_behind(self) -> bool:
+        return self._forwarded_revision > self.revision
 
     def _give_up(self, watching: "Deferred[Events]") -> None:
-        if self._lacks_told() and watching is self._watching:
+        if self._is_behind() and watching is self._watching:
             self._watching = None
             watching.cancel()
 
-    def lacking_s(self) -> float:
+    def behind_s(self) -> float:
         """Return for how long this mirror has lacked what it was told of, 0 if not."""
-        if not self._lacks_told():
+        if not self._is_behind():
             return 0.0
-        return float(self._reactor.seconds() - self._lacking_since_s)
+        return float(self._reactor.seconds() - self._behind_since_s)
 
     def changes_after(self, revision: int) -> Events | None:
         """Return what a mirror lacks that knows a revision, None if that isn't known.
@@ -181,9 +182,9 @@
             try:
                 if not self.is_current:
                     await self._read()
-                elif self.is_fed() and not self._lacks_told():
+                elif self.receives_changes() and not self._is_behind():
                     await deferLater(self._reactor, REST_S)
-                elif self._is_long_unheard() and not self.tells():
+                elif self._is_long_unheard() and not self.forwards_changes():
                     await self._read()
                 else:
                     await self._watch()
@@ -212,10 +213,10 @@
         if silent_s > 0:
             events = Events(changes=page.items, revision=page.revision)
             self._log_caught_up(events, asked_s=asked_s, superseded=0)
-        if self._is_news(page):
+        if self._is_newer(page):
             self._take_page(page)
 
-    def _is_news(self, page: Page) -> bool:
+    def _is_newer(self, page: Page) -> bool:
         """Whether a page tells more than what is known.
 
         What another host has told meanwhile and the page not yet would be undone.
@@ -229,7 +230,7 @@
             if self.items[key].revision <= page.revision:
                 self._set(key, None)
         for key, item in found.items():
-            self.take(key, item)
+            self.apply_item(key, item)
         self.revision = page.revision
         # What went before this reading left no mark.
         self._removals.clear()
@@ -240,7 +241,7 @@
     async def _watch(self) -> None:
         after_revision, pace = self.revision, self.pace()
         silent_s, asked_s = self.silent_s(), self._reactor.seconds()
-        events = await self._asked(after_revision, pace)
+        events = await self._request(after_revision, pace)
         if events is None:
             return
         self._note_contact()
@@ -275,16 +276,16 @@
             },
         )
 
-    async def _asked(self, after_revision: int, pace: WatchPace) -> Events | None:
+    async def _request(self, after_revision: int, pace: WatchPace) -> Events | None:
         """Return what a watch brings, None if it was given up to be asked anew."""
-        is_patient = not self._lacks_told()
+        waits_in_full = not self._is_behind()
         call = self._store.watch(
             self._prefix,
             after_revision=after_revision,
-            wait_s=pace.wait_s if is_patient else min(MISSED_S, pace.wait_s),
+            wait_s=pace.wait_s if waits_in_full else min(MISSED_S, pace.wait_s),
         )
         watching = self._watching = Deferred.fromCoroutine(call)
-        self._patient = watching if is_patient else None
+        self._full_wait_watch = watching if waits_in_full else None
         try:
             return await watching
         except (CancelledError, GentianwharfError):
@@ -292,7 +293,7 @@
                 raise
             return None
         finally:
-            self._watching = self._patient = None
+            self._watching = self._full_wait_watch = None
 
     def _apply(self, events: Events) -> None:
         known_revision = self.revision
@@ -303,7 +304,7 @@
                 # in between would come back.
                 continue
             if isinstance(change, Item):
-                self.take(change.key, change)
+                self.apply_item(change.key, change)
                 continue
             self._keep_removal(change)
             if self._is_known_before(change.key, change.revision):
--- a/tests/test_entryhost_control.py
+++ b/tests/test_entryhost_control.py
@@ -69,7 +69,7 @@
         fleet.list_server(f"i-{number}")
         fleet.run(0.25)
     assert all(len(one.servers()) == 39 for one in fleet.hosts)
-    assert all(one.control.mirror.lacking_s() == 0 for one in fleet.hosts)
+    assert all(one.control.mirror.behind_s() == 0 for one in fleet.hosts)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_store_mirror.py
+++ b/tests/test_store_mirror.py
@@ -56,7 +56,7 @@
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
     heard: list[tuple[str, Item | None]] = []
-    mirror.listen(lambda key, found: heard.append((key, found)))
+    mirror.add_listener(lambda key, found: heard.append((key, found)))
     store.bring(events(12, Removal(key="a", revision=12)))
     assert revisions(mirror) == {}
     assert heard == [("a", None)]
@@ -76,10 +76,12 @@
 ) -> None:
     # Twelve hosts that each watched everything paid twelve calls for each change: of
     # some 700 paid calls of a calm day, five in six were these.
-    mirror.is_fed = lambda: True
+    mirror.receives_changes = lambda: True
     store.bring(events(11))
     for revision in range(12, 20):
-        mirror.feed(events(revision, item("b", revision)), after_revision=revision - 1)
+        mirror.apply_forwarded(
+            events(revision, item("b", revision)), after_revision=revision - 1
+        )
         advance(clock, 0.5)
     assert len(store.watches) == 1
     assert revisions(mirror) == {"a": 3, "b": 19}
@@ -91,11 +93,11 @@
 ) -> None:
     # The host that tells the others is lost. What changes after that would never be
     # heard of by those that rely on it.
-    mirror.is_fed = lambda: True
+    mirror.receives_changes = lambda: True
     store.bring(events(11))
-    mirror.feed(events(12, item("b", 12)), after_revision=11)
+    mirror.apply_forwarded(events(12, item("b", 12)), after_revision=11)
     advance(clock, 0.5)
-    mirror.is_fed = lambda: False
+    mirror.receives_changes = lambda: False
     advance(clock, 0.5)
     assert [after for after, _ in store.watches] == [10, 12]
 
@@ -105,10 +107,10 @@
 ) -> None:
     # A message between hosts is lost. The next one tells of later changes only; taken
     # alone it would hide the lost ones for ever.
-    mirror.is_fed = lambda: True
+    mirror.receives_changes = lambda: True
     store.bring(events(11))
     advance(clock, 0.5)
-    mirror.feed(events(14, item("b", 14)), after_revision=13)
+    mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
     assert revisions(mirror) == {"a": 3}
     advance(clock, 0.5)
     assert store.watches[-1][0] == 11
@@ -123,7 +125,7 @@
 ) -> None:
     # A watch from before is still on its way when another host tells that an item was
     # written and removed. The watch's answer brings the writing alone, once more.
-    mirror.feed(
+    mirror.apply_forwarded(
         events(12, item("b", 11), Removal(key="b", revision=12)), after_revision=10
     )
     store.bring(events(11, item("b", 11)))
@@ -140,7 +142,7 @@
     store.watches[-1][1].errback(error)
     advance(clock, 0.05)
     assert mirror.silent_s() > 0
-    mirror.feed(events(11, item("b", 11)), after_revision=10)
+    mirror.apply_forwarded(events(11, item("b", 11)), after_revision=10)
     assert mirror.silent_s() == 0
     assert revisions(mirror) == {"a": 3, "b": 11}
 
@@ -150,9 +152,9 @@
     # not know of.
     store = WatchedStore(page=Page(items=(item("a", 3),), revision=10), is_down=True)
     mirror = mirror_of(store, clock)
-    mirror.is_fed = lambda: True
+    mirror.receives_changes = lambda: True
     mirror.start()
-    mirror.feed(events(12, item("b", 12)), after_revision=11)
+    mirror.apply_forwarded(events(12, item("b", 12)), after_revision=11)
     assert revisions(mirror) == {}
     store.is_down = False
     advance(clock, 1)
@@ -174,11 +176,13 @@
             raise OverflowError("cannot convert float infinity to integer")
         heard.append(key)
 
-    mirror.listen(read)
+    mirror.add_listener(read)
     store.bring(events(13, item("b", 11), item("odd", 12), item("c", 13)))
     advance(clock, 1)
     store.bring(events(14, item("d", 14)))
-    mirror.feed(events(16, item("odd", 15), item("e", 16)), after_revision=14)
+    mirror.apply_forwarded(
+        events(16, item("odd", 15), item("e", 16)), after_revision=14
+    )
     assert heard == ["b", "c", "d", "e"]
     assert revisions(mirror)["odd"] == 15
 
@@ -198,7 +202,7 @@
             raise InputError("odd", step="read", peer=key)
         heard.append(key)
 
-    mirror.listen(read)
+    mirror.add_listener(read)
     store.bring(events(12, item("odd", 11), item("c", 12)))
     assert heard == ["c"]
     assert mirror.silent_s() == 0
@@ -220,7 +224,7 @@
             raise KeyError(key)
         heard.append(key)
 
-    mirror.listen(read)
+    mirror.add_listener(read)
     mirror.start()
     advance(clock, 1)
     assert heard == ["a", "z"]
@@ -273,10 +277,10 @@
     what changes now, after a change that it never got: it has to fetch that one, and
     waits for the lost watch to run out instead.
     """
-    mirror.is_fed = lambda: True
-    mirror.feed(events(14, item("b", 14)), after_revision=13)
+    mirror.receives_changes = lambda: True
+    mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
     advance(clock, 0.4)
-    mirror.feed(events(15, item("c", 15)), after_revision=14)
+    mirror.apply_forwarded(events(15, item("c", 15)), after_revision=14)
     advance(clock, MISSED_S)
     assert [after for after, _ in store.watches] == [10, 10]
     store.bring(events(15, item("a", 12), item("b", 14), item("c", 15)))
@@ -291,9 +295,9 @@
 
     News come every 0.4 s and tell each time that something is missing.
     """
-    mirror.is_fed = lambda: True
+    mirror.receives_changes = lambda: True
     for _ in range(20):
-        mirror.feed(events(14, item("b", 14)), after_revision=13)
+        mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
         advance(clock, 0.4)
     assert len(store.watches) == 2
     wait_s = usual_pace(1).wait_s
@@ -304,8 +308,8 @@
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
     # News often come ahead of the host's own watch.
-    mirror.is_fed = lambda: True
-    mirror.feed(events(14, item("b", 14)), after_revision=13)
+    mirror.receives_changes = lambda: True
+    mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
     advance(clock, MISSED_S / 2)
     store.bring(events(14, item("a", 12), item("b", 14)))
     advance(clock, 2 * MISSED_S)
@@ -316,14 +320,14 @@
 def test_mirror_knows_for_how_long_it_lacks_what_it_was_told_of(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    assert mirror.lacking_s() == 0
-    mirror.feed(events(14, item("b", 14)), after_revision=13)
+    assert mirror.behind_s() == 0
+    mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
     advance(clock, 0.5)
-    mirror.feed(events(15, item("c", 15)), after_revision=14)
+    mirror.apply_forwarded(events(15, item("c", 15)), after_revision=14)
     advance(clock, 0.5)
-    assert mirror.lacking_s() == pytest.approx(1.0)
-    mirror.feed(events(15, item("b", 14), item("c", 15)), after_revision=10)
-    assert mirror.lacking_s() == 0
+    assert mirror.behind_s() == pytest.approx(1.0)
+    mirror.apply_forwarded(events(15, item("b", 14), item("c", 15)), after_revision=10)
+    assert mirror.behind_s() == 0
 
 
 def test_mirror_tells_what_changed_after_a_revision(
@@ -350,7 +354,7 @@
     for number in range(MOST_REMOVALS + 1):
         revision = 11 + 2 * number
         added = item("b", revision)
-        mirror.feed(
+        mirror.apply_forwarded(
             events(revision + 1, added, Removal(key="b", revision=revision + 1)),
             after_revision=revision - 1,
         )
--- a/tests/test_store_mirror_back.py
+++ b/tests/test_store_mirror_back.py
@@ -86,7 +86,7 @@
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
     """Who is told what changed after a revision doesn't learn what went in between."""
-    mirror.tells = lambda: True
+    mirror.forwards_changes = lambda: True
     lose(store, clock, 2 * LONG_S)
     assert store.readings == 1
 
@@ -94,10 +94,10 @@
 def test_host_that_is_told_everything_reads_nothing(
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
-    mirror.is_fed = lambda: True
+    mirror.receives_changes = lambda: True
     store.bring(events(11))
     for revision in range(12, 40):
-        mirror.feed(events(revision), after_revision=revision - 1)
+        mirror.apply_forwarded(events(revision), after_revision=revision - 1)
         advance(clock, 0.4)
     assert store.readings == 1
 
@@ -107,7 +107,7 @@
 ) -> None:
     """A server that left is back on one host alone: it was read before, told after."""
     lose(store, clock, LONG_S + MOST_PAUSE_S)
-    mirror.feed(events(60, Removal(key="b", revision=60)), after_revision=10)
+    mirror.apply_forwarded(events(60, Removal(key="b", revision=60)), after_revision=10)
     assert store.coming is not None
     store.coming.callback(Page(items=(item("a", 3), item("b", 4)), revision=59))
     assert revisions(mirror) == {"a": 3}
--- a/tests/test_store_mirror_versions.py
+++ b/tests/test_store_mirror_versions.py
@@ -41,7 +41,7 @@
     one counts.
     """
     heard: list[tuple[str, int | None]] = []
-    mirror.listen(
+    mirror.add_listener(
         lambda key, found: heard.append((key, found.revision if found else None))
     )
     store.bring(
@@ -69,7 +69,7 @@
     the others waits.
     """
     order: list[str] = []
-    mirror.listen(lambda key, found: order.append("used"))
+    mirror.add_listener(lambda key, found: order.append("used"))
     mirror.on_events = lambda after_revision, brought: order.append(
         f"told {len(brought.changes)}"
     )
