--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -28,12 +28,12 @@
 )
 from gentianwharf.relay import ServerLoad
 from gentianwharf.store import (
-    TELLING_PACE,
+    FORWARDING_PACE,
     Events,
     Item,
     Mirror,
     WatchPace,
-    usual_pace,
+    default_pace,
 )
 from gentianwharf.topology import BackendServer
 
@@ -281,7 +281,7 @@
         return mirror.revision if mirror.behind_s() > patience_s else None
 
     def _pace(self) -> WatchPace:
-        return TELLING_PACE if self.leadership.leads else usual_pace(self.hosts)
+        return FORWARDING_PACE if self.leadership.leads else default_pace(self.hosts)
 
     # What other hosts say.
 
--- a/src/gentianwharf/store/__init__.py
+++ b/src/gentianwharf/store/__init__.py
@@ -1,14 +1,14 @@
 """The store in which hosts agree on what must last, and a mirror of it on each host."""
 
 from ._mirror import (
-    MISSED_S,
-    MOST_PAUSE_S,
-    MOST_REMOVALS,
-    READ_AFTER_S,
+    FULL_READ_AFTER_S,
+    MAX_REMOVALS,
+    MAX_RETRY_DELAY_S,
+    REISSUE_AFTER_S,
     EventsListener,
     Mirror,
 )
-from ._pace import TELLING_PACE, WatchPace, usual_pace
+from ._pace import FORWARDING_PACE, WatchPace, default_pace
 from ._types import (
     Change,
     Events,
@@ -22,11 +22,11 @@
 )
 
 __all__ = [
-    "MISSED_S",
-    "MOST_PAUSE_S",
-    "MOST_REMOVALS",
-    "READ_AFTER_S",
-    "TELLING_PACE",
+    "REISSUE_AFTER_S",
+    "MAX_RETRY_DELAY_S",
+    "MAX_REMOVALS",
+    "FULL_READ_AFTER_S",
+    "FORWARDING_PACE",
     "Change",
     "Events",
     "EventsListener",
@@ -39,5 +39,5 @@
     "Removal",
     "Store",
     "WatchPace",
-    "usual_pace",
+    "default_pace",
 ]
--- a/src/gentianwharf/store/_mirror.py
+++ b/src/gentianwharf/store/_mirror.py
@@ -17,26 +17,26 @@
 from gentianwharf.errors import GentianwharfError
 from gentianwharf.logs import log
 
-from ._pace import WatchPace, usual_pace
+from ._pace import WatchPace, default_pace
 from ._types import Events, HistoryGoneError, Item, Page, Removal, Store
 
-REST_S = 0.1
+IDLE_CHECK_S = 0.1
 """How often a host that is told the changes looks whether it still is."""
 
-MISSED_S = 1.0
+REISSUE_AFTER_S = 1.0
 """How long a watch may leave out what another host has told of before it is asked anew:
 a store that is slow takes half a second. As long waits the watch that is asked then."""
 
-READ_AFTER_S = 1.5
+FULL_READ_AFTER_S = 1.5
 """Beyond a watch's wait. Unheard for so long, a host reads what stands in the store: a
 watch brings every version of each value since then, and none of it can be used before
 its last byte has come over the host's link."""
 
-MOST_REMOVALS = 1_000
+MAX_REMOVALS = 1_000
 """Kept to be told to hosts that lack them; one that lacks more is told everything."""
 
-FIRST_PAUSE_S = 0.2
-MOST_PAUSE_S = 0.7
+FIRST_RETRY_DELAY_S = 0.2
+MAX_RETRY_DELAY_S = 0.7
 """Between tries while the store fails, since what changed meanwhile has to be in force
 within two seconds of its return."""
 
@@ -64,7 +64,7 @@
         self.on_events: EventsListener = lambda after_revision, events: None
         self.receives_changes: Callable[[], bool] = lambda: False
         self.forwards_changes: Callable[[], bool] = lambda: False
-        self.pace: Callable[[], WatchPace] = lambda: usual_pace(1)
+        self.pace: Callable[[], WatchPace] = lambda: default_pace(1)
         self.items: dict[str, Item] = {}
         self.is_current = False
         self.last_contact_s = float("-inf")
@@ -137,7 +137,7 @@
             # The answer of a watch that was asked before may be lost. This host would
             # wait for it, and for what it was told of, until that watch runs out.
             watching, self._full_wait_watch = self._full_wait_watch, None
-            self._reactor.callLater(MISSED_S, self._give_up, watching)
+            self._reactor.callLater(REISSUE_AFTER_S, self._give_up, watching)
 
     def apply_forwarded_page(self, page: Page) -> None:
         """Take all that stands in the store, as another host has it."""
@@ -183,8 +183,8 @@
                 if not self.is_current:
                     await self._read()
                 elif self.receives_changes() and not self._is_behind():
-                    await deferLater(self._reactor, REST_S)
-                elif self._is_long_unheard() and not self.forwards_changes():
+                    await deferLater(self._reactor, IDLE_CHECK_S)
+                elif self._is_long_silent() and not self.forwards_changes():
                     await self._read()
                 else:
                     await self._watch()
@@ -193,7 +193,7 @@
                 self.is_current = False
             except GentianwharfError as error:
                 self._note_failure(error)
-                await deferLater(self._reactor, self._pause_s())
+                await deferLater(self._reactor, self._retry_delay_s())
             except CancelledError:
                 raise
             except Exception:
@@ -201,10 +201,10 @@
                 # learn nothing any more and go on as if nothing had changed.
                 log.exception("reading the store failed")
                 self._failures += 1
-                await deferLater(self._reactor, self._pause_s())
+                await deferLater(self._reactor, self._retry_delay_s())
 
-    def _is_long_unheard(self) -> bool:
-        return self.age_s() > self.pace().wait_s + READ_AFTER_S
+    def _is_long_silent(self) -> bool:
+        return self.age_s() > self.pace().wait_s + FULL_READ_AFTER_S
 
     async def _read(self) -> None:
         silent_s, asked_s = self.silent_s(), self._reactor.seconds()
@@ -259,7 +259,7 @@
             )
         self._apply(newest)
         if newest.changes:
-            await deferLater(self._reactor, pace.gather_s)
+            await deferLater(self._reactor, pace.batch_s)
 
     def _log_caught_up(
         self, events: Events, *, asked_s: float, superseded: int
@@ -282,7 +282,7 @@
         call = self._store.watch(
             self._prefix,
             after_revision=after_revision,
-            wait_s=pace.wait_s if waits_in_full else min(MISSED_S, pace.wait_s),
+            wait_s=pace.wait_s if waits_in_full else min(REISSUE_AFTER_S, pace.wait_s),
         )
         watching = self._watching = Deferred.fromCoroutine(call)
         self._full_wait_watch = watching if waits_in_full else None
@@ -311,7 +311,7 @@
                 self._set(change.key, None)
 
     def _keep_removal(self, removal: Removal) -> None:
-        if len(self._removals) == MOST_REMOVALS:
+        if len(self._removals) == MAX_REMOVALS:
             self._removals_after = self._removals.popleft().revision
         self._removals.append(removal)
 
@@ -351,9 +351,11 @@
                 extra={"step": error.step, "peer": error.peer},
             )
 
-    def _pause_s(self) -> float:
-        longest_s = min(MOST_PAUSE_S, FIRST_PAUSE_S * 2 ** min(self._failures, 8))
-        return longest_s * (0.5 + self._rng.random() / 2)
+    def _retry_delay_s(self) -> float:
+        max_delay_s = min(
+            MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * 2 ** min(self._failures, 8)
+        )
+        return max_delay_s * (0.5 + self._rng.random() / 2)
 
 
 def _newest(events: Events) -> Events:
--- a/tests/test_entryhost_behind.py
+++ b/tests/test_entryhost_behind.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gentianwharf.store import TELLING_PACE
+from gentianwharf.store import FORWARDING_PACE
 from tests.builders_entryhost import TICK_S, Fleet, Host
 
 HOSTS = 5
@@ -130,7 +130,7 @@
     fleet.run(1.7)
     assert host.control.mirror.silent_s() == 0
     # The watch that was on its way may have been answered after its whole wait.
-    assert host.control.mirror.age_s() > 1.7 - TELLING_PACE.wait_s - 2 * TICK_S
+    assert host.control.mirror.age_s() > 1.7 - FORWARDING_PACE.wait_s - 2 * TICK_S
     host.way.is_silent = False
     fleet.run(STABLE_S)
     assert host.control.mirror.age_s() < IN_FORCE_S
--- a/tests/test_store_mirror.py
+++ b/tests/test_store_mirror.py
@@ -6,15 +6,15 @@
 from gentianwharf.errors import InputError, PeerUnavailableError
 from gentianwharf.logs import log
 from gentianwharf.store import (
-    MISSED_S,
-    MOST_REMOVALS,
+    MAX_REMOVALS,
+    REISSUE_AFTER_S,
     Events,
     HistoryGoneError,
     Item,
     Mirror,
     Page,
     Removal,
-    usual_pace,
+    default_pace,
 )
 from tests.builders_store import (
     WatchedStore,
@@ -281,7 +281,7 @@
     mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
     advance(clock, 0.4)
     mirror.apply_forwarded(events(15, item("c", 15)), after_revision=14)
-    advance(clock, MISSED_S)
+    advance(clock, REISSUE_AFTER_S)
     assert [after for after, _ in store.watches] == [10, 10]
     store.bring(events(15, item("a", 12), item("b", 14), item("c", 15)))
     assert revisions(mirror) == {"a": 12, "b": 14, "c": 15}
@@ -300,8 +300,10 @@
         mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
         advance(clock, 0.4)
     assert len(store.watches) == 2
-    wait_s = usual_pace(1).wait_s
-    assert store.waits_s == [wait_s, min(wait_s, MISSED_S)], "it has to end by itself"
+    wait_s = default_pace(1).wait_s
+    assert store.waits_s == [wait_s, min(wait_s, REISSUE_AFTER_S)], (
+        "it has to end by itself"
+    )
 
 
 def test_watch_that_brings_what_was_told_is_left_alone(
@@ -310,9 +312,9 @@
     # News often come ahead of the host's own watch.
     mirror.receives_changes = lambda: True
     mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
-    advance(clock, MISSED_S / 2)
+    advance(clock, REISSUE_AFTER_S / 2)
     store.bring(events(14, item("a", 12), item("b", 14)))
-    advance(clock, 2 * MISSED_S)
+    advance(clock, 2 * REISSUE_AFTER_S)
     assert len(store.watches) == 1
     assert revisions(mirror) == {"a": 12, "b": 14}
 
@@ -351,7 +353,7 @@
     there before.
     """
     assert mirror.changes_after(9) is None
-    for number in range(MOST_REMOVALS + 1):
+    for number in range(MAX_REMOVALS + 1):
         revision = 11 + 2 * number
         added = item("b", revision)
         mirror.apply_forwarded(
@@ -361,7 +363,7 @@
     assert mirror.changes_after(11) is None
     known = mirror.changes_after(12)
     assert known is not None
-    assert len(known.changes) == MOST_REMOVALS
+    assert len(known.changes) == MAX_REMOVALS
 
 
 def test_what_a_host_missed_is_logged_once_the_store_is_back(
--- a/tests/test_store_mirror_back.py
+++ b/tests/test_store_mirror_back.py
@@ -9,17 +9,17 @@
 
 from gentianwharf.errors import PeerUnavailableError
 from gentianwharf.store import (
-    MOST_PAUSE_S,
-    READ_AFTER_S,
+    FULL_READ_AFTER_S,
+    MAX_RETRY_DELAY_S,
     Mirror,
     Page,
     Removal,
     Store,
-    usual_pace,
+    default_pace,
 )
 from tests.builders_store import WatchedStore, advance, events, item, revisions
 
-LONG_S = usual_pace(1).wait_s + READ_AFTER_S
+LONG_S = default_pace(1).wait_s + FULL_READ_AFTER_S
 
 
 class SlowPages(WatchedStore):
@@ -67,7 +67,7 @@
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
     """Hundreds of versions of tables come over a slow link before the newest rules."""
-    lose(store, clock, LONG_S + MOST_PAUSE_S)
+    lose(store, clock, LONG_S + MAX_RETRY_DELAY_S)
     assert store.coming is not None
     store.coming.callback(Page(items=(item("a", 40),), revision=50))
     assert revisions(mirror) == {"a": 40}
@@ -106,7 +106,7 @@
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
     """A server that left is back on one host alone: it was read before, told after."""
-    lose(store, clock, LONG_S + MOST_PAUSE_S)
+    lose(store, clock, LONG_S + MAX_RETRY_DELAY_S)
     mirror.apply_forwarded(events(60, Removal(key="b", revision=60)), after_revision=10)
     assert store.coming is not None
     store.coming.callback(Page(items=(item("a", 3), item("b", 4)), revision=59))
--- a/tests/test_users_platform_store.py
+++ b/tests/test_users_platform_store.py
@@ -13,7 +13,7 @@
 from gentianwharf.platform import PlatformStore
 from gentianwharf.platform._store import RENEW_TIMEOUT_S
 from gentianwharf.platform._store_answer import CALL_TIMEOUT_S, BodyReader
-from gentianwharf.store import TELLING_PACE, Events, Page
+from gentianwharf.store import FORWARDING_PACE, Events, Page
 from tests.builders_transport import ProbedTransport
 
 PIECE_EVERY_S = 0.1
@@ -77,7 +77,7 @@
     turn and its grace. Each turn gives up midway and the next one asks for the same.
     """
     link = SlowLink(
-        lambda store: store.watch("", after_revision=3, wait_s=TELLING_PACE.wait_s)
+        lambda store: store.watch("", after_revision=3, wait_s=FORWARDING_PACE.wait_s)
     )
     answer = {"events": [LARGE], "as-of": 9}
     link.bring(msgspec.json.encode(answer), within_s=SLOW_LINK_S)
