--- a/src/gentianwharf/keyspace/__init__.py
+++ b/src/gentianwharf/keyspace/__init__.py
@@ -4,7 +4,7 @@
 from ._grant_manager import GrantManager
 from ._leadership import Leadership
 from ._orders import Grant, HolderEndedError, Orders, Release
-from ._plan import Candidate, Losses, Plan, plan
+from ._plan import Candidate, LostHolders, Plan, plan
 from ._planner import Planner
 from ._previous_leader import PreviousLeader, RemainingGrants
 from ._shard_load import ShardLoad
@@ -24,7 +24,7 @@
     "KeyTable",
     "Leadership",
     "ObservedLoad",
-    "Losses",
+    "LostHolders",
     "Orders",
     "Plan",
     "Planner",
--- a/src/gentianwharf/keyspace/_room.py
+++ b/src/gentianwharf/keyspace/_capacity.py
@@ -21,7 +21,7 @@
 sixteen always may, and no more than half ever."""
 
 
-def cold_room(demand: Demand, reached: Sequence[Candidate]) -> float:
+def movable_cold_load(demand: Demand, reached: Sequence[Candidate]) -> float:
     """Return how much of all load may be cold, by the slots that are free.
 
     >>> from twisted.internet.task import Clock
@@ -31,14 +31,14 @@
     >>> holder = Holder(server_id="s1", born_ms=1, address="10.0.0.1:80")
     >>> candidates = [Candidate(holder=holder, capacity=6.0)]
     >>> demand.note_load("s1", ObservedLoad(running=30.0, waiting=0.0, answers=10.0))
-    >>> round(cold_room(demand, candidates), 3)
+    >>> round(movable_cold_load(demand, candidates), 3)
     0.267
     """
-    part = used_part(demand, reached)
+    part = utilization(demand, reached)
     return min(MOST_COLD, max(LEAST_COLD, (FULL - part) / (COLD_COST * part)))
 
 
-def used_part(demand: Demand, reached: Sequence[Candidate]) -> float:
+def utilization(demand: Demand, reached: Sequence[Candidate]) -> float:
     """Return the part of all slots in use, a half while nothing is known."""
     slots = used = 0.0
     for one in reached:
@@ -49,7 +49,7 @@
     return max(used / slots, LEAST_USED) if slots else UNKNOWN_USED
 
 
-def at_its_speed(candidate: Candidate, demand: Demand) -> Candidate:
+def scale_by_speed(candidate: Candidate, demand: Demand) -> Candidate:
     """Return a server with the capacity that its learnt speed gives it."""
     speed = demand.speed(candidate.holder.server_id)
     return replace(candidate, capacity=candidate.capacity * speed)
--- a/src/gentianwharf/keyspace/_plan.py
+++ b/src/gentianwharf/keyspace/_plan.py
@@ -46,7 +46,7 @@
 """Load below the mean at which a server is sent shards, as after it joined."""
 
 
-LEAST_ROOM = 0.01
+MIN_CUT_LOAD = 0.01
 """Of all load: for less a lost server's span is not cut."""
 
 FILLS = 0.7
@@ -81,14 +81,14 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Losses:
+class LostHolders:
     """Holders that can't hand over what they have, and how much load may leave them."""
 
     holders: frozenset[Holder] = frozenset()
-    room: float = 1.0
+    movable_load: float = 1.0
 
 
-NO_LOSSES = Losses()
+NO_LOST_HOLDERS = LostHolders()
 
 
 @final
@@ -106,22 +106,22 @@
     load: ShardLoad,
     *,
     shards: int,
-    even_out: bool,
-    used: float = 1.0,
-    losses: Losses = NO_LOSSES,
+    rebalance: bool,
+    utilization: float = 1.0,
+    lost_holders: LostHolders = NO_LOST_HOLDERS,
 ) -> Plan:
     """Return the table as it should be, the same one where nothing is to change.
 
-    ``used`` is the part of all slots that are in use, 1 where that is not known.
+    ``utilization`` is the part of all slots that are in use, 1 where that is not known.
     Without candidates nothing moves: whoever holds shards may come back.
     """
     if not candidates:
         return Plan(table=table)
-    planning = _Planning(table, candidates, load, used=used)
+    planning = _Planning(table, candidates, load, utilization=utilization)
     planning.fill_gaps(shards)
-    planning.place_orphans(losses)
-    if even_out:
-        planning.even_out()
+    planning.place_orphans(lost_holders)
+    if rebalance:
+        planning.rebalance()
     return planning.result()
 
 
@@ -135,10 +135,10 @@
         candidates: Sequence[Candidate],
         load: ShardLoad,
         *,
-        used: float,
+        utilization: float,
     ) -> None:
         self._table = table
-        self._used = used
+        self._utilization = utilization
         self._load = load
         self._by_holder: Mapping[Holder, Candidate] = {
             one.holder: one for one in candidates
@@ -196,20 +196,20 @@
             self._give(first, end, candidate.holder, former=())
             first = end + 1
 
-    def place_orphans(self, losses: Losses) -> None:
+    def place_orphans(self, lost_holders: LostHolders) -> None:
         """Deal out the shards of servers that no longer take any."""
         orphans = [span for span in self._spans if span.holder not in self._by_holder]
         for span in orphans:
-            if span.holder in losses.holders:
-                self._place_lost(span, losses.room - self._cold_load)
+            if span.holder in lost_holders.holders:
+                self._place_lost(span, lost_holders.movable_load - self._cold_load)
             else:
                 self._place(span, span.last)
 
-    def _place_lost(self, span: Span, room: float) -> None:
+    def _place_lost(self, span: Span, movable_load: float) -> None:
         """Deal out as much of a lost server's span as there is room for."""
-        if room < LEAST_ROOM:
+        if movable_load < MIN_CUT_LOAD:
             return
-        last = self._load.cut(span.first, span.last, room)
+        last = self._load.cut(span.first, span.last, movable_load)
         self._cold_load += self._load.of(span.first, last)
         self._place(span, last)
 
@@ -256,7 +256,7 @@
         self._carried[holder] += self._load.of(first, last)
         self._changed = True
 
-    def even_out(self) -> None:
+    def rebalance(self) -> None:
         """Move load from servers with far too much to those with far too little."""
         self._place_hottest()
         stuck: set[Holder] = set()
@@ -269,7 +269,7 @@
             above = self._busyness(most)
             below = self._busyness(least)
             is_uneven = above > START_ABOVE + self._chance
-            is_full = above * self._used > FULL
+            is_full = above * self._utilization > FULL
             if not (is_uneven and is_full) and below > self._least():
                 return
             if most == least or not self._move(most, least, above, below):
@@ -277,7 +277,7 @@
 
     def _least(self) -> float:
         """Return how little a server may have before it is sent shards."""
-        return START_BELOW if self._used > FULL * START_BELOW else NEWCOMER
+        return START_BELOW if self._utilization > FULL * START_BELOW else NEWCOMER
 
     def _place_hottest(self) -> None:
         """Let the fastest server have a shard that fills a server by itself.
--- a/src/gentianwharf/keyspace/_planner.py
+++ b/src/gentianwharf/keyspace/_planner.py
@@ -17,13 +17,13 @@
 from gentianwharf.logs import log
 from gentianwharf.store import Change, Item, Put, Store
 
+from ._capacity import movable_cold_load, scale_by_speed, utilization
 from ._demand import Demand
 from ._grant_manager import GrantManager
 from ._leadership import Leadership, Term
 from ._moves import done
-from ._plan import Candidate, Losses, plan
+from ._plan import Candidate, LostHolders, plan
 from ._previous_leader import PreviousLeader
-from ._room import at_its_speed, cold_room, used_part
 from ._table import KeyTable, decode_table, encode_table
 
 SETTLE_S = 1.0
@@ -257,12 +257,12 @@
             row.demand.learn_speeds()
         planned = plan(
             row.table,
-            [at_its_speed(one, row.demand) for one in reached],
+            [scale_by_speed(one, row.demand) for one in reached],
             load,
             shards=self._shards,
-            even_out=is_even_due,
-            used=used_part(row.demand, reached),
-            losses=self._losses(row, reached, now_s),
+            rebalance=is_even_due,
+            utilization=utilization(row.demand, reached),
+            lost_holders=self._lost_holders(row, reached, now_s),
         )
         row.planned_for = reached
         if planned.cold_load:
@@ -275,14 +275,16 @@
         row.moved_s = None
         self._write(row, cleaned or planned.table)
 
-    def _losses(
+    def _lost_holders(
         self, row: _Service, reached: Sequence[Candidate], now_s: float
-    ) -> Losses:
+    ) -> LostHolders:
         while row.cold and row.cold[0][0] < now_s - row.warm_up_s:
             row.cold.popleft()
         cold = sum(load for _, load in row.cold)
-        room = cold_room(row.demand, reached) - cold
-        return Losses(holders=self._manager.holders.unreachable(), room=room)
+        movable_load = movable_cold_load(row.demand, reached) - cold
+        return LostHolders(
+            holders=self._manager.holders.unreachable(), movable_load=movable_load
+        )
 
     def _is_changed(self, row: _Service) -> bool:
         return row.planned_for != self._reached(row) or not row.table.spans
--- a/tests/test_keyspace_plan.py
+++ b/tests/test_keyspace_plan.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gentianwharf.keyspace import Candidate, KeyTable, Losses, ShardLoad, plan
+from gentianwharf.keyspace import Candidate, KeyTable, LostHolders, ShardLoad, plan
 from tests.builders_keyspace import SHARDS, candidate, span, table
 
 EVEN = ShardLoad(counts={}, shards=SHARDS)
@@ -15,18 +15,18 @@
     before: KeyTable,
     *candidates: Candidate,
     load: ShardLoad = EVEN,
-    even_out: bool = False,
-    used: float = 1.0,
-    losses: Losses | None = None,
+    rebalance: bool = False,
+    utilization: float = 1.0,
+    lost_holders: LostHolders | None = None,
 ) -> KeyTable:
     return plan(
         before,
         candidates,
         load,
         shards=SHARDS,
-        even_out=even_out,
-        used=used,
-        losses=losses or Losses(),
+        rebalance=rebalance,
+        utilization=utilization,
+        lost_holders=lost_holders or LostHolders(),
     ).table
 
 
@@ -54,7 +54,7 @@
 
 def test_nothing_moves_without_a_reason() -> None:
     before = table(span(0, 499, 1), span(500, 999, 2))
-    assert planned(before, candidate(1), candidate(2), even_out=True) is before
+    assert planned(before, candidate(1), candidate(2), rebalance=True) is before
 
 
 def test_nothing_moves_while_no_server_is_listed() -> None:
@@ -86,7 +86,7 @@
 
 def test_server_that_joins_is_sent_its_part() -> None:
     before = table(span(0, 499, 1), span(500, 999, 2))
-    after = planned(before, candidate(1), candidate(2), candidate(3), even_out=True)
+    after = planned(before, candidate(1), candidate(2), candidate(3), rebalance=True)
     check_whole(after)
     assert 200 < shards_of(after, 3) < 400
 
@@ -104,8 +104,8 @@
     before = planned(KeyTable(service="roster"), *servers)
     busiest = max(load.of(one.first, one.last) for one in before.spans)
     assert busiest > 0.3
-    after = planned(before, *servers, load=load, even_out=True)
-    after = planned(after, *servers, load=load, even_out=True)
+    after = planned(before, *servers, load=load, rebalance=True)
+    after = planned(after, *servers, load=load, rebalance=True)
     check_whole(after)
     loads = {one.holder: 0.0 for one in servers}
     for one in after.spans:
@@ -128,13 +128,19 @@
         load = ShardLoad(counts=Counter(samples), shards=SHARDS)
         lost = [candidate(number).holder for number in rng.sample(range(1, 9), 2)]
         known = {one.holder for one in servers}
-        losses = Losses(holders=frozenset(lost) - known, room=rng.random() / 4)
+        lost_holders = LostHolders(
+            holders=frozenset(lost) - known, movable_load=rng.random() / 4
+        )
         after = planned(
-            current, *servers, load=load, even_out=rng.random() < 0.7, losses=losses
+            current,
+            *servers,
+            load=load,
+            rebalance=rng.random() < 0.7,
+            lost_holders=lost_holders,
         )
         check_whole(after)
         holders = {one.holder for one in servers}
-        assert all(one.holder in holders | losses.holders for one in after.spans)
+        assert all(one.holder in holders | lost_holders.holders for one in after.spans)
         _check_moves(current, after)
         current = after
 
@@ -161,7 +167,7 @@
     servers = [candidate(1, capacity=1.7), *(candidate(one) for one in range(2, 9))]
     current = planned(KeyTable(service="roster"), *servers)
     for _ in range(3):
-        current = planned(current, *servers, load=load, even_out=True)
+        current = planned(current, *servers, load=load, rebalance=True)
     check_whole(current)
     hot = current.span_of(777)
     assert hot is not None
@@ -177,7 +183,7 @@
     current = planned(KeyTable(service="roster"), *servers)
     before = current.span_of(777)
     for _ in range(6):
-        current = planned(current, *servers, load=load, even_out=True)
+        current = planned(current, *servers, load=load, rebalance=True)
     after = current.span_of(777)
     assert before is not None
     assert after is not None
@@ -194,20 +200,24 @@
     before = table(*before.spans, span(900, 999, 9))
     lost = frozenset(candidate(number).holder for number in (7, 8, 9))
     rest = [candidate(number) for number in range(1, 7)]
-    after = planned(before, *rest, losses=Losses(holders=lost, room=0.15))
+    after = planned(
+        before, *rest, lost_holders=LostHolders(holders=lost, movable_load=0.15)
+    )
     check_whole(after)
     moved = sum(one.shards for one in after.spans if one.former)
     assert 140 <= moved <= 160
     kept = [one for one in after.spans if one.holder in lost]
     assert sum(one.shards for one in kept) == 400 - moved
     # The next round goes on where there is room again.
-    later = planned(after, *rest, losses=Losses(holders=lost, room=0.5))
+    later = planned(
+        after, *rest, lost_holders=LostHolders(holders=lost, movable_load=0.5)
+    )
     assert not [one for one in later.spans if one.holder in lost]
 
 
 def test_servers_that_hand_over_are_emptied_at_once() -> None:
     before = table(span(0, 499, 1), span(500, 999, 2))
-    after = planned(before, candidate(2), losses=Losses(room=0.0))
+    after = planned(before, candidate(2), lost_holders=LostHolders(movable_load=0.0))
     assert shards_of(after, 2) == SHARDS
 
 
@@ -219,15 +229,17 @@
     before = table(span(0, 699, 1), span(700, 999, 2))
     servers = [candidate(1), candidate(2)]
     load = ShardLoad(counts=dict.fromkeys(range(SHARDS), 1.0), shards=SHARDS)
-    assert planned(before, *servers, load=load, even_out=True, used=0.3) is before
-    after = planned(before, *servers, load=load, even_out=True, used=0.8)
+    assert (
+        planned(before, *servers, load=load, rebalance=True, utilization=0.3) is before
+    )
+    after = planned(before, *servers, load=load, rebalance=True, utilization=0.8)
     assert shards_of(after, 1) < 600
 
 
 def test_newcomer_gets_shards_on_a_calm_day_too() -> None:
     before = table(span(0, 499, 1), span(500, 999, 2))
     servers = [candidate(1), candidate(2), candidate(3)]
-    after = planned(before, *servers, even_out=True, used=0.2)
+    after = planned(before, *servers, rebalance=True, utilization=0.2)
     assert shards_of(after, 3) > 150
 
 
@@ -241,7 +253,7 @@
     counts |= dict.fromkeys(range(700, 740), 10.0)
     load = ShardLoad(counts=counts, shards=SHARDS)
     before = table(span(0, 399, 1), span(400, 699, 2), span(700, 999, 1))
-    after = planned(before, candidate(1), candidate(2), load=load, even_out=True)
+    after = planned(before, candidate(1), candidate(2), load=load, rebalance=True)
     moved = [one for one in after.spans if one.former]
     assert sum(one.shards for one in moved) <= 200
     check_whole(after)
