--- a/src/gentianwharf/entryhost/_keys.py
+++ b/src/gentianwharf/entryhost/_keys.py
@@ -62,7 +62,7 @@
         moving = {
             (table.service, span.first, span.token)
             for span in table.spans
-            if span.former
+            if span.former_holders
         }
         self._moving_since_s = {
             key: since_s
--- a/src/gentianwharf/entryhost/_telling.py
+++ b/src/gentianwharf/entryhost/_telling.py
@@ -137,7 +137,7 @@
 
     def note_granted(self, service: str, span: Span) -> None:
         """Tell all hosts that a move is done."""
-        if not self.leads or not span.former:
+        if not self.leads or not span.former_holders:
             # Nobody waits for a span that was not moved, and a new leader has hundreds.
             return
         self._granted.append(Granted(service, span.first, span.last, span.token))
--- a/src/gentianwharf/keyspace/_grant_manager.py
+++ b/src/gentianwharf/keyspace/_grant_manager.py
@@ -107,7 +107,9 @@
             known = self._rows.get(key)
             if known is None or known.span.holder != span.holder:
                 self._rows[key] = Row(
-                    service=table.service, span=span, former=list(span.former)
+                    service=table.service,
+                    span=span,
+                    former_holders=list(span.former_holders),
                 )
 
     def note_listed(self, listed: Iterable[Holder]) -> None:
@@ -125,7 +127,7 @@
         return frozenset(
             key
             for key, row in self._rows.items()
-            if row.service == service and row.granted and not row.former
+            if row.service == service and row.granted and not row.former_holders
         )
 
     def tick(self) -> None:
@@ -180,11 +182,11 @@
         log.info("server reached again", extra={"server": holder.server_id})
 
     def _advance(self, row: Row, now_s: float) -> None:
-        for one in list(row.former):
+        for one in list(row.former_holders):
             if now_s >= self.holders.held_until_s(one):
                 self._leave_out(row, one)
-        if row.former:
-            holder = row.former[0]
+        if row.former_holders:
+            holder = row.former_holders[0]
             if self._may_order(holder):
                 self._start(row, holder, self._release(row, holder))
         else:
@@ -216,7 +218,7 @@
 
     def _leave_out(self, row: Row, holder: Holder) -> None:
         """Wait no more for a former holder; what it is asked first is to release."""
-        row.former.remove(holder)
+        row.former_holders.remove(holder)
         span = row.span
         self.holders.state_of(holder).probe = Release(
             first=span.first, last=span.last, token=span.token
@@ -271,7 +273,7 @@
         except HolderEndedError as error:
             # Another one answers there: this one is no more, nor are its grants.
             self.holders.note_ended(holder, error)
-            if holder in row.former:
+            if holder in row.former_holders:
                 self._leave_out(row, holder)
             self._go_on(row)
             return
@@ -284,8 +286,8 @@
             return
         self.holders.state_of(holder).failing_since_s = None
         row.handover = handover or row.handover
-        if holder in row.former:
-            row.former.remove(holder)
+        if holder in row.former_holders:
+            row.former_holders.remove(holder)
         self._log(row, holder, "released")
         self._go_on(row)
 
--- a/src/gentianwharf/keyspace/_moves.py
+++ b/src/gentianwharf/keyspace/_moves.py
@@ -21,7 +21,7 @@
     finished = set(moved)
     spans = [
         Span(first=one.first, last=one.last, holder=one.holder, token=one.token)
-        if one.former and key_of(table.service, one) in finished
+        if one.former_holders and key_of(table.service, one) in finished
         else one
         for one in table.spans
     ]
--- a/src/gentianwharf/keyspace/_plan.py
+++ b/src/gentianwharf/keyspace/_plan.py
@@ -179,7 +179,7 @@
             self._divide(0, shards - 1)
             return
         for first, last in nobody:
-            self._deal_out(first, last, former=())
+            self._deal_out(first, last, former_holders=())
 
     def _divide(self, first: int, last: int) -> None:
         """Give each server one part, as large as its capacity."""
@@ -193,7 +193,7 @@
             wanted = total * candidate.capacity / self._capacity
             is_last = index == len(candidates) - 1
             end = last if is_last else self._load.cut(first, last, wanted)
-            self._give(first, end, candidate.holder, former=())
+            self._give(first, end, candidate.holder, former_holders=())
             first = end + 1
 
     def place_orphans(self, lost_holders: LostHolders) -> None:
@@ -217,14 +217,16 @@
         self._spans.remove(span)
         if last < span.last:
             self._spans.append(replace(span, first=last + 1))
-        former = _with(span.former, span.holder)
-        self._deal_out(span.first, last, former=former)
+        former_holders = _with(span.former_holders, span.holder)
+        self._deal_out(span.first, last, former_holders=former_holders)
 
-    def _deal_out(self, first: int, last: int, *, former: tuple[Holder, ...]) -> None:
+    def _deal_out(
+        self, first: int, last: int, *, former_holders: tuple[Holder, ...]
+    ) -> None:
         most = 1.0 / len(self._by_holder) / PIECES_PER_SERVER
         while first <= last:
             end = self._load.cut(first, last, most)
-            self._give(first, end, self._least_busy(), former=former)
+            self._give(first, end, self._least_busy(), former_holders=former_holders)
             first = end + 1
 
     def _least_busy(self) -> Holder:
@@ -242,7 +244,12 @@
         return self._carried[holder] / fair
 
     def _give(
-        self, first: int, last: int, holder: Holder, *, former: tuple[Holder, ...]
+        self,
+        first: int,
+        last: int,
+        holder: Holder,
+        *,
+        former_holders: tuple[Holder, ...],
     ) -> None:
         self._spans.append(
             Span(
@@ -250,7 +257,7 @@
                 last=last,
                 holder=holder,
                 token=self._token,
-                former=tuple(one for one in former if one != holder),
+                former_holders=tuple(one for one in former_holders if one != holder),
             )
         )
         self._carried[holder] += self._load.of(first, last)
@@ -294,7 +301,7 @@
         if fastest.capacity < holder.capacity * FASTER:
             return
         self._take_out(span, shard, shard)
-        self._give(shard, shard, fastest.holder, former=(span.holder,))
+        self._give(shard, shard, fastest.holder, former_holders=(span.holder,))
 
     def _hottest(self) -> tuple[Span, int] | None:
         shard = self._load.hottest()
@@ -303,7 +310,7 @@
         span = next(
             (one for one in self._spans if one.first <= shard <= one.last), None
         )
-        if span is None or span.former or span.holder not in self._by_holder:
+        if span is None or span.former_holders or span.holder not in self._by_holder:
             return None
         fair = self._by_holder[span.holder].capacity / self._capacity
         is_hot = self._load.of(shard, shard) > fair * FILLS
@@ -318,7 +325,7 @@
         pieces = [
             (span, first, last)
             for span in self._spans
-            if span.holder == most and not span.former
+            if span.holder == most and not span.former_holders
             for first, last in self._pieces(span, wanted)
         ]
         if not pieces:
@@ -330,7 +337,7 @@
             key=lambda one: one[2] - one[1],
         )
         self._take_out(span, first, last)
-        self._give(first, last, least, former=(most,))
+        self._give(first, last, least, former_holders=(most,))
         return True
 
     def _pieces(self, span: Span, wanted: float) -> Iterator[tuple[int, int]]:
@@ -359,5 +366,5 @@
             self._spans.append(replace(span, first=last + 1))
 
 
-def _with(former: tuple[Holder, ...], holder: Holder) -> tuple[Holder, ...]:
-    return former if holder in former else (*former, holder)
+def _with(former_holders: tuple[Holder, ...], holder: Holder) -> tuple[Holder, ...]:
+    return former_holders if holder in former_holders else (*former_holders, holder)
--- a/src/gentianwharf/keyspace/_states.py
+++ b/src/gentianwharf/keyspace/_states.py
@@ -17,7 +17,7 @@
 
     service: str
     span: Span
-    former: list[Holder]
+    former_holders: list[Holder]
     handover: str | None = None
     granted: bool = False
     due_s: float = 0.0
--- a/src/gentianwharf/keyspace/_table.py
+++ b/src/gentianwharf/keyspace/_table.py
@@ -25,16 +25,17 @@
 class Span:
     """Consecutive shards with one holder, both ends included.
 
-    ``token`` is the fencing token of the holder's grant, above all that these shards
-    had before. ``former`` may still hold some of them until they have released them
-    or their last grant has run out; while there are some, the move is not done.
+    ``token`` is the fencing token of the holder's grant, higher than every earlier
+    token of these shards. ``former_holders`` may still hold some of the shards until
+    they have released them or their last grant has expired; as long as there are any,
+    the move is not finished.
     """
 
     first: int
     last: int
     holder: Holder
     token: int
-    former: tuple[Holder, ...] = ()
+    former_holders: tuple[Holder, ...] = ()
 
     @property
     def shards(self) -> int:
@@ -92,8 +93,8 @@
         last.last + 1 == span.first
         and last.holder == span.holder
         and last.token == span.token
-        and not last.former
-        and not span.former
+        and not last.former_holders
+        and not span.former_holders
     )
 
 
@@ -109,7 +110,7 @@
     # Places in the table's list of holders: a server's words stand there once.
     holder: int
     token: int
-    former: tuple[int, ...]
+    former_holders: tuple[int, ...]
 
 
 class _StoredTable(msgspec.Struct):
@@ -134,7 +135,7 @@
                 span.last,
                 places[span.holder],
                 span.token,
-                tuple(places[one] for one in span.former),
+                tuple(places[one] for one in span.former_holders),
             )
             for span in table.spans
         ),
@@ -156,7 +157,7 @@
                 last=one.last,
                 holder=holders[one.holder],
                 token=one.token,
-                former=tuple(holders[place] for place in one.former),
+                former_holders=tuple(holders[place] for place in one.former_holders),
             )
             for one in stored.spans
         )
@@ -175,5 +176,7 @@
     By the order in which they appear, one move would shift the places in most spans,
     and the whole table would be told to all hosts as changed.
     """
-    holders = {one for span in table.spans for one in (span.holder, *span.former)}
+    holders = {
+        one for span in table.spans for one in (span.holder, *span.former_holders)
+    }
     return sorted(holders, key=lambda one: (one.server_id, one.born_ms, one.address))
--- a/tests/builders_keyspace.py
+++ b/tests/builders_keyspace.py
@@ -51,7 +51,7 @@
     number: int,
     *,
     token: int = 1,
-    former: tuple[int, ...] = (),
+    former_holders: tuple[int, ...] = (),
 ) -> Span:
     """Return a span of server ``number``."""
     return Span(
@@ -59,7 +59,7 @@
         last=last,
         holder=holder(number),
         token=token,
-        former=tuple(holder(one) for one in former),
+        former_holders=tuple(holder(one) for one in former_holders),
     )
 
 
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -122,7 +122,7 @@
     def _table(
         self, holder: Holder, token: int, *, former: tuple[Holder, ...] = ()
     ) -> KeyTable:
-        span = Span(first=0, last=9, holder=holder, token=token, former=former)
+        span = Span(first=0, last=9, holder=holder, token=token, former_holders=former)
         return KeyTable(service=SERVICE, highest_token=token, spans=(span,))
 
 
--- a/tests/test_entryhost_keys.py
+++ b/tests/test_entryhost_keys.py
@@ -70,7 +70,7 @@
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)))
     keys.hears_leader = lambda: True
-    keys.take(table(span(0, 9, 2, token=2, former=(1,))))
+    keys.take(table(span(0, 9, 2, token=2, former_holders=(1,))))
     asked = ask(keys)
     clock.advance(MOVING_S / 2)
     assert result(asked) is None
@@ -86,7 +86,7 @@
     Callers that are held meanwhile leave; told at once, they come back in time.
     """
     clock = Clock()
-    keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
+    keys = make_keys(clock, table(span(0, 9, 2, token=2, former_holders=(1,))))
     keys.hears_leader = lambda: True
     clock.advance(MOVING_S + 0.5)
     keys.not_owner(ticket(), Owner(server=server("s2"), shard=5, token=2, deadline_s=9))
@@ -99,7 +99,7 @@
 
 def test_host_that_hears_no_leader_asks_the_holder_itself() -> None:
     clock = Clock()
-    keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
+    keys = make_keys(clock, table(span(0, 9, 2, token=2, former_holders=(1,))))
     asked = ask(keys)
     clock.advance(MOVING_S + 0.01)
     found = result(asked)
--- a/tests/test_entryhost_peers.py
+++ b/tests/test_entryhost_peers.py
@@ -82,7 +82,7 @@
 
 def test_moves_that_are_done_are_told(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
-    moved: Span = span(3, 9, 1, token=7, former=(2,))
+    moved: Span = span(3, 9, 1, token=7, former_holders=(2,))
     leader.peers.tell_granted("roster", moved)
     assert follower.granted == [("roster", 3, 9, 7)]
 
@@ -103,7 +103,7 @@
 
     trio.net.listeners[follower.peers.name.address] = count
     for first in range(300):
-        moved = span(first, first, 1, token=7, former=(2,))
+        moved = span(first, first, 1, token=7, former_holders=(2,))
         leader.peers.tell_granted("roster", moved)
     trio.run(0.2)
     assert len(follower.granted) == 300
--- a/tests/test_keyspace_keeper.py
+++ b/tests/test_keyspace_keeper.py
@@ -40,7 +40,7 @@
     manager = manager_of(servers)
     manager.follow(table(span(0, 9, 1)))
     run_manager(manager, clock, 1.0)
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 0.4)
     assert not servers[2].holds(5)
     run_manager(manager, clock, 0.4)
@@ -53,7 +53,7 @@
     manager = manager_of(servers)
     manager.follow(table(span(0, 9, 1)))
     run_manager(manager, clock, 1.0)
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 0.2)
     assert servers[2].orders[0].handover == "handover of 10.0.0.1:80"  # type: ignore[union-attr]
 
@@ -72,7 +72,7 @@
     # Past the time in which an earlier leader's grants may still hold.
     run_manager(manager, clock, 16.0)
     servers[1].is_silent = True
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 8.0, look=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
 
@@ -91,7 +91,7 @@
     servers = Servers(clock, 1, 2)
     servers[1].is_silent = True
     manager = manager_of(servers)
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 15.0)
     assert not servers[2].holds(5)
     run_manager(manager, clock, 1.0)
@@ -106,7 +106,7 @@
     manager.follow(table(span(0, 9, 1)))
     run_manager(manager, clock, 0.1)
     late = servers[1].orders[0]
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 0.2)
     try:
         servers[1].take_grant(late)  # type: ignore[arg-type]
@@ -161,7 +161,7 @@
     run_manager(manager, clock, 16.0)
     servers[1].is_unreachable = True
     run_manager(manager, clock, 3.0)
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 1.0, look=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
 
@@ -172,7 +172,7 @@
     servers = Servers(clock, 1, 2)
     manager = manager_of(servers)
     servers.by_address[holder(1).address] = GrantingServer(clock=clock, id="s1")
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     manager.note_listed([holder(1, born_ms=2)])
     run_manager(manager, clock, 0.2)
     assert servers[2].holds(5)
@@ -188,7 +188,7 @@
     servers = Servers(clock, 1, 2)
     manager = manager_of(servers)
     servers.by_address[holder(1).address] = GrantingServer(clock=clock, id="other")
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 0.2)
     assert servers[2].holds(5)
 
@@ -210,7 +210,7 @@
     assert not successor.orders
     assert manager.holders.unreachable() == {holder(1)}
     # The first one has ended, and nobody has to wait for its grant.
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 0.5)
     assert servers[2].holds(5)
 
@@ -243,7 +243,7 @@
     servers[1].is_unreachable = True
     run_manager(manager, clock, 2.0)
     assert manager.holders.unreachable() == {holder(1)}
-    manager.follow(table(span(0, 9, 2, token=2, former=(1,))))
+    manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 2.0, look=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
     servers[1].is_unreachable = False
--- a/tests/test_keyspace_model.py
+++ b/tests/test_keyspace_model.py
@@ -66,7 +66,7 @@
         self.leader: int | None = 0
         self.lost_s = 0.0
         self.word: Word | None = None
-        self.former: Word | None = None
+        self.previous: Word | None = None
         for number, address in enumerate(ADDRESSES):
             self.addresses.start(f"s{number}", address)
         first = self.addresses.entries[0]
@@ -158,13 +158,13 @@
         if holder in lost or holder == chosen.holder:
             return
         token = table.highest_token + 1
-        former = tuple(dict.fromkeys((*chosen.former, chosen.holder)))
+        former = tuple(dict.fromkeys((*chosen.former_holders, chosen.holder)))
         moved = Span(
             first=chosen.first,
             last=chosen.last,
             holder=holder,
             token=token,
-            former=tuple(one for one in former if one != holder),
+            former_holders=tuple(one for one in former if one != holder),
         )
         spans = tuple(moved if one is chosen else one for one in table.spans)
         self.table = KeyTable(service=SERVICE, highest_token=token, spans=spans)
@@ -201,7 +201,7 @@
 
     def ask_former(self, _: int, __: int) -> None:
         """Let the leader ask the one before, or who runs in its place now."""
-        word = self.former
+        word = self.previous
         if self.leader is None or word is None or word.held_s is not None:
             return
         manager, asked = self.hosts[self.leader].manager, self.hosts[word.number]
@@ -216,21 +216,21 @@
             manager.holders.note_remaining_grants(
                 RemainingGrants(others_s=max(0.0, left_s))
             )
-        self.former = None
+        self.previous = None
 
     def _take_over(self, number: int) -> None:
         self.leader = number
         host = self.hosts[number]
-        self.former, self.word = self.word, Word(number=number, host=host)
-        assert self.former is not None
-        held_s = self.former.held_s
+        self.previous, self.word = self.word, Word(number=number, host=host)
+        assert self.previous is not None
+        held_s = self.previous.held_s
         host.manager.stop()
         own = host.manager.holders.remaining_grants()
         host.heard_s = self.clock.seconds()
         host.manager.take_over(host.heard_s, held_s=held_s)
-        if self.former.host is host and held_s is None:
+        if self.previous.host is host and held_s is None:
             host.manager.holders.note_remaining_grants(own)
-            self.former = None
+            self.previous = None
         host.manager.follow(self.table)
 
     def run(self, duration_s: float) -> None:
--- a/tests/test_keyspace_order_of_news.py
+++ b/tests/test_keyspace_order_of_news.py
@@ -79,7 +79,7 @@
     addresses.living[X].is_silent = True
     news = {"living": case.living, "former": case.former}
     manager.note_listed([*(news[one] for one in case.listed), other])
-    manager.follow(_table(other, 2, former=(case.living,)))
+    manager.follow(_table(other, 2, former_holders=(case.living,)))
     run_manager(manager, clock, 5.0, look=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
@@ -104,7 +104,7 @@
     run_manager(manager, clock, 1.0)
     assert addresses.holders(SHARD) == [next_life]
     manager.note_listed([next_life, other])
-    manager.follow(_table(other, 2, former=(first_life,)))
+    manager.follow(_table(other, 2, former_holders=(first_life,)))
     run_manager(manager, clock, 1.0, look=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
@@ -131,7 +131,7 @@
     run_manager(former, clock, 2.0, store_contact=False)
     leader.take_over(clock.seconds())
     leader.follow(_table(first_life, 1))
-    leader.follow(_table(other, 2, former=(first_life,)))
+    leader.follow(_table(other, 2, former_holders=(first_life,)))
     run_manager(leader, clock, 0.2)
     assert addresses.holders(SHARD) == [other]
     addresses.end(X)
@@ -156,13 +156,17 @@
     for number in range(passed_on):
         addresses.end(X)
         addresses.start(f"next-{number}", X)
-    manager.follow(_table(other, 2, former=(ended,)))
+    manager.follow(_table(other, 2, former_holders=(ended,)))
     run_manager(manager, clock, 0.2, look=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
 
-def _table(holder: Holder, token: int, *, former: tuple[Holder, ...] = ()) -> KeyTable:
-    span = Span(first=0, last=9, holder=holder, token=token, former=former)
+def _table(
+    holder: Holder, token: int, *, former_holders: tuple[Holder, ...] = ()
+) -> KeyTable:
+    span = Span(
+        first=0, last=9, holder=holder, token=token, former_holders=former_holders
+    )
     return KeyTable(service=SERVICE, highest_token=token, spans=(span,))
 
 
--- a/tests/test_keyspace_plan.py
+++ b/tests/test_keyspace_plan.py
@@ -67,21 +67,23 @@
     after = planned(before, candidate(1), candidate(2))
     check_whole(after)
     assert abs(shards_of(after, 1) - shards_of(after, 2)) < 120
-    moved = [one for one in after.spans if one.former]
-    assert all(one.former[0].server_id == "s3" for one in moved)
+    moved = [one for one in after.spans if one.former_holders]
+    assert all(one.former_holders[0].server_id == "s3" for one in moved)
     assert all(one.token > before.highest_token for one in moved)
-    kept = [one for one in after.spans if not one.former]
+    kept = [one for one in after.spans if not one.former_holders]
     assert {one.token for one in kept} == {1}
 
 
 def test_server_lost_in_the_middle_of_a_move_is_former_too() -> None:
     before = table(
-        span(0, 499, 1), span(500, 999, 2, token=2, former=(3,)), highest_token=2
+        span(0, 499, 1),
+        span(500, 999, 2, token=2, former_holders=(3,)),
+        highest_token=2,
     )
     after = planned(before, candidate(1))
     moved = after.span_of(700)
     assert moved is not None
-    assert [one.server_id for one in moved.former] == ["s3", "s2"]
+    assert [one.server_id for one in moved.former_holders] == ["s3", "s2"]
 
 
 def test_server_that_joins_is_sent_its_part() -> None:
@@ -153,7 +155,9 @@
             continue
         assert new.token > old.token
         # Whoever may still hold the shard is waited for.
-        assert {old.holder, *old.former} - {new.holder} <= set(new.former)
+        assert {old.holder, *old.former_holders} - {new.holder} <= set(
+            new.former_holders
+        )
 
 
 def test_shard_that_fills_a_server_goes_to_the_fastest_and_has_it_alone() -> None:
@@ -204,7 +208,7 @@
         before, *rest, lost_holders=LostHolders(holders=lost, movable_load=0.15)
     )
     check_whole(after)
-    moved = sum(one.shards for one in after.spans if one.former)
+    moved = sum(one.shards for one in after.spans if one.former_holders)
     assert 140 <= moved <= 160
     kept = [one for one in after.spans if one.holder in lost]
     assert sum(one.shards for one in kept) == 400 - moved
@@ -254,6 +258,6 @@
     load = ShardLoad(counts=counts, shards=SHARDS)
     before = table(span(0, 399, 1), span(400, 699, 2), span(700, 999, 1))
     after = planned(before, candidate(1), candidate(2), load=load, rebalance=True)
-    moved = [one for one in after.spans if one.former]
+    moved = [one for one in after.spans if one.former_holders]
     assert sum(one.shards for one in moved) <= 200
     check_whole(after)
