--- a/src/gentianwharf/keyspace/_demand.py
+++ b/src/gentianwharf/keyspace/_demand.py
@@ -142,7 +142,7 @@
         self._fade()
         return ShardLoad(counts=self._counts, shards=shards)
 
-    def learn_speeds(self) -> None:
+    def update_speeds(self) -> None:
         """Compare how long the servers take; to be called once in a while."""
         stuck = {name for name, row in self._servers.items() if row.is_stuck()}
         for name in stuck:
--- a/src/gentianwharf/keyspace/_grant_manager.py
+++ b/src/gentianwharf/keyspace/_grant_manager.py
@@ -122,7 +122,7 @@
         """
         self._listed = frozenset(listed)
 
-    def moved(self, service: str) -> frozenset[SpanKey]:
+    def finished_moves(self, service: str) -> frozenset[SpanKey]:
         """Return the spans whose former holders are out and whose holder has them."""
         return frozenset(
             key
--- a/src/gentianwharf/keyspace/_moves.py
+++ b/src/gentianwharf/keyspace/_moves.py
@@ -13,7 +13,9 @@
     return service, span.first, span.last, span.token
 
 
-def done(table: KeyTable, moved: Iterable[SpanKey]) -> KeyTable | None:
+def without_finished_moves(
+    table: KeyTable, moved: Iterable[SpanKey]
+) -> KeyTable | None:
     """Return the table without the former holders of spans that have moved.
 
     None where nothing changes.
--- a/src/gentianwharf/keyspace/_plan.py
+++ b/src/gentianwharf/keyspace/_plan.py
@@ -20,7 +20,7 @@
 from typing import final
 
 from ._shard_load import ShardLoad
-from ._table import Holder, KeyTable, Span, in_order
+from ._table import Holder, KeyTable, Span, merged_in_order
 
 PIECES_PER_SERVER = 4
 """A lost server's shards go out in so many pieces or more, so that no single other
@@ -153,7 +153,7 @@
         self._carried = {one.holder: 0.0 for one in candidates}
         for span in table.spans:
             if span.holder in self._carried:
-                self._carried[span.holder] += load.of(span.first, span.last)
+                self._carried[span.holder] += load.share(span.first, span.last)
 
     def result(self) -> Plan:
         if not self._changed:
@@ -161,7 +161,7 @@
         table = KeyTable(
             service=self._table.service,
             highest_token=self._token,
-            spans=tuple(in_order(self._spans)),
+            spans=tuple(merged_in_order(self._spans)),
         )
         return Plan(table=table, cold_load=self._cold_load)
 
@@ -183,7 +183,7 @@
 
     def _divide(self, first: int, last: int) -> None:
         """Give each server one part, as large as its capacity."""
-        total = self._load.of(first, last)
+        total = self._load.share(first, last)
         candidates = sorted(
             self._by_holder.values(), key=lambda one: one.holder.server_id
         )
@@ -210,7 +210,7 @@
         if movable_load < MIN_CUT_LOAD:
             return
         last = self._load.cut(span.first, span.last, movable_load)
-        self._cold_load += self._load.of(span.first, last)
+        self._cold_load += self._load.share(span.first, last)
         self._place(span, last)
 
     def _place(self, span: Span, last: int) -> None:
@@ -260,7 +260,7 @@
                 former_holders=tuple(one for one in former_holders if one != holder),
             )
         )
-        self._carried[holder] += self._load.of(first, last)
+        self._carried[holder] += self._load.share(first, last)
         self._changed = True
 
     def rebalance(self) -> None:
@@ -313,7 +313,7 @@
         if span is None or span.former_holders or span.holder not in self._by_holder:
             return None
         fair = self._by_holder[span.holder].capacity / self._capacity
-        is_hot = self._load.of(shard, shard) > fair * FILLS
+        is_hot = self._load.share(shard, shard) > fair * FILLS
         return (span, shard) if is_hot else None
 
     def _move(self, most: Holder, least: Holder, above: float, below: float) -> bool:
@@ -330,7 +330,7 @@
         ]
         if not pieces:
             return False
-        loads = [self._load.of(first, last) for _, first, last in pieces]
+        loads = [self._load.share(first, last) for _, first, last in pieces]
         enough = max(loads) * ENOUGH
         span, first, last = min(
             (one for one, load in zip(pieces, loads, strict=True) if load >= enough),
@@ -350,7 +350,7 @@
             if first > span.last:
                 return
             last = self._load.cut(first, span.last, wanted)
-            if self._load.of(first, last) <= wanted * MOST_OVER:
+            if self._load.share(first, last) <= wanted * MOST_OVER:
                 yield first, last
             elif last > first:
                 yield first, last - 1
@@ -359,7 +359,7 @@
     def _take_out(self, span: Span, first: int, last: int) -> None:
         """Take shards out of a span; what is left keeps its holder and its token."""
         self._spans.remove(span)
-        self._carried[span.holder] -= self._load.of(first, last)
+        self._carried[span.holder] -= self._load.share(first, last)
         if span.first < first:
             self._spans.append(replace(span, last=first - 1))
         if last < span.last:
--- a/src/gentianwharf/keyspace/_planner.py
+++ b/src/gentianwharf/keyspace/_planner.py
@@ -21,7 +21,7 @@
 from ._demand import Demand
 from ._grant_manager import GrantManager
 from ._leadership import Leadership, Term
-from ._moves import done
+from ._moves import without_finished_moves
 from ._plan import Candidate, LostHolders, plan
 from ._previous_leader import PreviousLeader
 from ._table import KeyTable, decode_table, encode_table
@@ -254,7 +254,7 @@
         load = row.demand.load(self._shards)
         if is_even_due:
             row.evened_s = now_s
-            row.demand.learn_speeds()
+            row.demand.update_speeds()
         planned = plan(
             row.table,
             [scale_by_speed(one, row.demand) for one in reached],
@@ -267,7 +267,9 @@
         row.planned_for = reached
         if planned.cold_load:
             row.cold.append((now_s, planned.cold_load))
-        cleaned = done(planned.table, self._manager.moved(row.name))
+        cleaned = without_finished_moves(
+            planned.table, self._manager.finished_moves(row.name)
+        )
         if planned.table is row.table and (
             cleaned is None or not self._is_clean_up_due(row, now_s)
         ):
--- a/src/gentianwharf/keyspace/_shard_load.py
+++ b/src/gentianwharf/keyspace/_shard_load.py
@@ -15,32 +15,32 @@
     """How busy shards are: part sampled, part even.
 
     >>> load = ShardLoad(counts={5: 3, 9: 1}, shards=100)
-    >>> round(load.of(0, 99), 3), round(load.of(5, 5), 3), load.counted(0, 8)
+    >>> round(load.share(0, 99), 3), round(load.share(5, 5), 3), load.count(0, 8)
     (1.0, 0.565, 3.0)
     >>> load.cut(0, 99, 0.5)
     5
     """
 
     def __init__(self, *, counts: Mapping[int, float], shards: int) -> None:
-        self._counted = sorted(counts)
+        self._shards = sorted(counts)
         # The sum of all counts before each place.
-        self._sums = [0.0, *accumulate(float(counts[one]) for one in self._counted)]
-        self._hottest = max(counts, key=lambda one: counts[one], default=None)
+        self._sums = [0.0, *accumulate(float(counts[shard]) for shard in self._shards)]
+        self._hottest = max(counts, key=lambda shard: counts[shard], default=None)
         self.total = self._sums[-1]
         idle = IDLE_SHARE if self.total else 1.0
-        self._for_each_shard = idle / shards
-        self._for_each_count = (1.0 - idle) / (self.total or 1.0)
+        self._share_per_shard = idle / shards
+        self._share_per_count = (1.0 - idle) / (self.total or 1.0)
 
-    def counted(self, first: int, last: int) -> float:
+    def count(self, first: int, last: int) -> float:
         """Return how many requests for these shards were counted lately."""
-        start = bisect_left(self._counted, first)
-        end = bisect_right(self._counted, last)
+        start = bisect_left(self._shards, first)
+        end = bisect_right(self._shards, last)
         return self._sums[end] - self._sums[start]
 
-    def of(self, first: int, last: int) -> float:
+    def share(self, first: int, last: int) -> float:
         """Return the part of all load that these shards have, 0 to 1."""
-        even = (last - first + 1) * self._for_each_shard
-        return even + self.counted(first, last) * self._for_each_count
+        even = (last - first + 1) * self._share_per_shard
+        return even + self.count(first, last) * self._share_per_count
 
     def hottest(self) -> int | None:
         """Return the shard that was asked for most often, None if none was."""
@@ -51,7 +51,7 @@
         low, high = first, last
         while low < high:
             middle = (low + high) // 2
-            if self.of(first, middle) < wanted:
+            if self.share(first, middle) < wanted:
                 low = middle + 1
             else:
                 high = middle
--- a/src/gentianwharf/keyspace/_table.py
+++ b/src/gentianwharf/keyspace/_table.py
@@ -74,7 +74,7 @@
         return self.spans[index]
 
 
-def in_order(spans: Iterable[Span]) -> Sequence[Span]:
+def merged_in_order(spans: Iterable[Span]) -> Sequence[Span]:
     """Return spans by their shards; neighbours that are alike become one."""
     joined: list[Span] = []
     for span in sorted(spans, key=lambda one: one.first):
--- a/tests/test_keyspace_demand.py
+++ b/tests/test_keyspace_demand.py
@@ -29,7 +29,7 @@
         clock.advance(0.1)
     load = demand.load(SHARDS)
     assert load.hottest() == 500
-    assert load.of(500, 500) > 0.1
+    assert load.share(500, 500) > 0.1
 
 
 def test_key_that_is_hot_no_more_is_forgotten_within_seconds() -> None:
@@ -39,7 +39,7 @@
     for second in range(100):
         demand.note_requests({second: 5})
         clock.advance(0.1)
-    assert demand.load(SHARDS).of(500, 500) < 0.02
+    assert demand.load(SHARDS).share(500, 500) < 0.02
 
 
 def test_faster_server_is_found_by_how_long_its_answers_take() -> None:
@@ -49,7 +49,7 @@
         demand.note_load("fast", unqueued(10, 0.06))
         demand.note_load("slow", unqueued(10, 0.14))
         clock.advance(1.0)
-        demand.learn_speeds()
+        demand.update_speeds()
     assert demand.speed("fast") > 1.5
     assert demand.speed("slow") < 0.8
     assert demand.speed("unknown") == 1.0
@@ -69,7 +69,7 @@
         )
         demand.note_load("other", unqueued(6, 0.1))
         clock.advance(0.1)
-        demand.learn_speeds()
+        demand.update_speeds()
     assert 0.85 < demand.speed("full") < 1.15
 
 
@@ -87,7 +87,7 @@
         demand.note_load("other", unqueued(6, 0.1))
         demand.note_load("another", unqueued(6, 0.1))
         clock.advance(0.1)
-        demand.learn_speeds()
+        demand.update_speeds()
     assert demand.speed("slow") < 0.75
 
 
@@ -99,7 +99,7 @@
         demand.note_load("full", full)
         demand.note_load("other", unqueued(6, 0.1))
         clock.advance(0.1)
-        demand.learn_speeds()
+        demand.update_speeds()
     assert 0.85 < demand.speed("full") < 1.15
 
 
@@ -112,7 +112,7 @@
     demand = Demand(now_s=clock.seconds)
     demand.note_load("fast", unqueued(10, 0.06))
     demand.note_load("slow", unqueued(10, 0.14))
-    demand.learn_speeds()
+    demand.update_speeds()
     assert demand.speed("slow") < 0.8
 
 
@@ -131,7 +131,7 @@
         demand.note_load("other", unqueued(6, 0.1))
         demand.note_load("another", unqueued(6, 0.1))
         clock.advance(0.25)
-        demand.learn_speeds()
+        demand.update_speeds()
     assert demand.speed("stuck") < 0.5
     assert demand.speed("other") == 1.0
 
@@ -146,7 +146,7 @@
         )
         demand.note_load("other", unqueued(10, 0.1))
         clock.advance(0.25)
-        demand.learn_speeds()
+        demand.update_speeds()
     assert demand.speed("lossy") > 0.9
 
 
@@ -163,5 +163,5 @@
         )
         demand.note_load("other", unqueued(6, 0.1))
         clock.advance(0.25)
-        demand.learn_speeds()
+        demand.update_speeds()
     assert demand.speed("once-stuck") > 0.9
--- a/tests/test_keyspace_model.py
+++ b/tests/test_keyspace_model.py
@@ -18,7 +18,7 @@
 from twisted.internet.task import Clock
 
 from gentianwharf.keyspace import GrantManager, Holder, KeyTable, RemainingGrants, Span
-from gentianwharf.keyspace._moves import done
+from gentianwharf.keyspace._moves import without_finished_moves
 from gentianwharf.keyspace._timing import LEADER_LEASE_S
 from tests.builders_keyspace import SERVICE, TIMING
 from tests.builders_lives import Addresses, Way
@@ -153,7 +153,10 @@
             return
         lost = host.manager.holders.unreachable()
         holder = list(host.listed.values())[-1 - entry % len(host.listed)]
-        table = done(self.table, host.manager.moved(SERVICE)) or self.table
+        table = (
+            without_finished_moves(self.table, host.manager.finished_moves(SERVICE))
+            or self.table
+        )
         chosen = table.spans[span % len(table.spans)]
         if holder in lost or holder == chosen.holder:
             return
--- a/tests/test_keyspace_plan.py
+++ b/tests/test_keyspace_plan.py
@@ -104,14 +104,14 @@
     load = ShardLoad(counts=Counter(samples), shards=SHARDS)
     servers = [candidate(number) for number in range(1, 9)]
     before = planned(KeyTable(service="roster"), *servers)
-    busiest = max(load.of(one.first, one.last) for one in before.spans)
+    busiest = max(load.share(one.first, one.last) for one in before.spans)
     assert busiest > 0.3
     after = planned(before, *servers, load=load, rebalance=True)
     after = planned(after, *servers, load=load, rebalance=True)
     check_whole(after)
     loads = {one.holder: 0.0 for one in servers}
     for one in after.spans:
-        loads[one.holder] += load.of(one.first, one.last)
+        loads[one.holder] += load.share(one.first, one.last)
     assert max(loads.values()) < 0.2
 
 
