--- a/src/gentianwharf/keyspace/_grant_manager.py
+++ b/src/gentianwharf/keyspace/_grant_manager.py
@@ -1,9 +1,9 @@
-"""Carries a table out: releases, grants and renewals, by the one host that leads.
+"""Carries out the table on the leading host: sends releases, grants and renewals.
 
-A server runs requests only for shards that it was granted, so two servers have the
-same shard only if both have a grant for it. Before a shard is granted to its next
-holder, each former one has either answered a release that carries the new token, which
-shuts out every older grant that is still on its way, or its last grant has run out.
+A server executes requests only for shards that it was granted, so two servers can serve
+the same shard only if both have a valid grant for it. Before a shard is granted to its
+next holder, each former holder has either answered a release with the new token, which
+invalidates every older grant still in transit, or its last grant has expired.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,26 +27,27 @@
 from ._timing import LEADER_LEASE_S, PROBE_EVERY_S, GrantTiming
 
 GRANT_TIMEOUT_S = 0.4
-"""A server answers a grant in milliseconds; what is lost on the way is sent again."""
+"""A server answers a grant within milliseconds; a lost grant is sent again."""
 
 FIRST_RELEASE_TIMEOUT_S = 0.8
-"""A release is answered when the work on its shards has ended: most take a tenth of a
-second to half of one. A release that went unanswered gets more time at each try."""
+"""A server answers a release once the work on the released shards has finished, which
+usually takes 0.1 s to 0.5 s. Each retry of a release gets a longer timeout."""
 
-MOST_RELEASE_TIMEOUT_S = 3.0
+MAX_RELEASE_TIMEOUT_S = 3.0
 
-MOST_ORDERS = 64
-"""Orders on their way at a time, but to holders that leave them without an answer.
+MAX_ORDERS_IN_FLIGHT = 64
+"""Orders in flight at a time, not counting those to holders that do not answer.
 
-A new leader of 85 servers has 300 to give; all at once they take a small host longer
-than an order may take, every server seems out of reach, and it gives the lead up."""
+The new leader of 85 servers has 300 orders to send. Sent all at once, they take a small
+host longer than the timeout of an order: every server appears to be unreachable, and
+the host gives up the leadership."""
 
 Clock = Callable[[], float]
 
 
 @final
 class GrantManager:
-    """Grants and renews what the tables say, from taking over until it is stopped."""
+    """Grants and renews what the tables assign, from ``take_over`` until ``stop``."""
 
     def __init__(self, *, orders: Orders, timing: GrantTiming, now_s: Clock) -> None:
         self._orders = orders
@@ -56,7 +57,7 @@
         self.holders = HolderStates(timing=timing, now_s=now_s)
         self._store_contact_s = 0.0
         self._grants_sent = 0
-        self._on_their_way = 0
+        self._orders_in_flight = 0
         self._leading = False
         self._listed: frozenset[Holder] = frozenset()
         self.on_granted: Callable[[str, Span], None] = lambda service, span: None
@@ -71,37 +72,37 @@
         self._leading = True
         self._store_contact_s = store_contact_s
         if held_s is None:
-            unknown_until_s = self._timing.earlier_grants_expiry_s(
+            earlier_grants_until_s = self._timing.earlier_grants_expiry_s(
                 took_over_s=store_contact_s
             )
         else:
-            unknown_until_s = self._now_s() + held_s
-        self.holders.reset(unknown_until_s=unknown_until_s)
+            earlier_grants_until_s = self._now_s() + held_s
+        self.holders.reset(earlier_grants_until_s=earlier_grants_until_s)
 
     def stop(self) -> None:
-        """Give no more orders."""
+        """Send no more orders."""
         self._leading = False
         for row in self._rows.values():
-            row.gone = True
+            row.is_obsolete = True
         self._rows.clear()
         for state in self.holders:
-            # What is cancelled may have left already.
-            state.held_until_s = state.surely_until_s()
+            # A cancelled order may already have been sent.
+            state.held_until_s = state.expire_by_s()
             for order in list(state.orders):
                 order.cancel()
 
     def note_store_contact(self, store_contact_s: float) -> None:
-        """Note that the store was heard of, so that this host still leads."""
+        """Record a contact with the store, which shows that this host still leads."""
         self._store_contact_s = max(self._store_contact_s, store_contact_s)
 
     def follow(self, table: KeyTable) -> None:
-        """Carry out a table that stands in the store."""
+        """Carry out a table that is stored."""
         if not self._leading:
             return
         wanted = {key_of(table.service, span): span for span in table.spans}
         for key, row in list(self._rows.items()):
             if row.service == table.service and key not in wanted:
-                row.gone = True
+                row.is_obsolete = True
                 del self._rows[key]
         for key, span in wanted.items():
             known = self._rows.get(key)
@@ -113,17 +114,18 @@
                 )
 
     def note_listed(self, listed: Iterable[Holder]) -> None:
-        """Follow which servers are listed: only these are asked for a sign of life.
+        """Record which servers are listed; only these are probed.
 
-        The list tells nobody's end. Entries come late and in any order: that of a
-        server which has ended may appear after that of the next one at its address,
-        and whoever was taken for ended would keep its shards beside their next holder.
-        What a server answers now tells it, and otherwise its last grant is waited out.
+        The list is no evidence that a server has ended. Entries arrive late and in any
+        order: the entry of an ended server may appear after that of its successor at
+        the same address. A live server that is assumed to have ended would keep its
+        shards beside their next holder. Only the answer at the holder's address shows
+        that it has ended; otherwise its last grant has to expire.
         """
         self._listed = frozenset(listed)
 
     def finished_moves(self, service: str) -> frozenset[SpanKey]:
-        """Return the spans whose former holders are out and whose holder has them."""
+        """Return the spans that are granted and have no former holders left."""
         return frozenset(
             key
             for key, row in self._rows.items()
@@ -131,30 +133,30 @@
         )
 
     def tick(self) -> None:
-        """Give every order that is due; to be called every 50 ms or so."""
+        """Send every order that is due; to be called about every 50 ms."""
         if not self._leading:
             return
         now_s = self._now_s()
         if now_s > self._store_contact_s + self._timing.renew_without_store_s:
-            # Another host may lead by now and wait for these grants to run out.
+            # Another host may lead by now and wait for these grants to expire.
             return
-        self._on_their_way = sum(
-            len(one.orders) for one in self.holders if one.failing_since_s is None
+        self._orders_in_flight = sum(
+            len(state.orders) for state in self.holders if state.failing_since_s is None
         )
         due = [
             row
             for row in self._rows.values()
-            if not row.ordering and not row.waiting and now_s >= row.due_s
+            if not row.order_in_flight and not row.waiting and now_s >= row.due_s
         ]
-        for row in sorted(due, key=lambda one: one.due_s):
+        for row in sorted(due, key=lambda row: row.due_s):
             self._advance(row, now_s)
         for holder in self.holders.unreachable():
             self._probe(holder, self.holders.state_of(holder), now_s)
 
     def _probe(self, holder: Holder, state: HolderState, now_s: float) -> None:
-        """Ask a holder that lost its shards for a sign of life.
+        """Check whether a holder that lost its shards answers again.
 
-        Without one it would be passed over for ever: nothing else is ordered of it.
+        It gets no other orders, so without the probe it would never be used again.
         """
         is_due = now_s >= state.probe_due_s and not state.orders
         if state.probe is None or holder not in self._listed or not is_due:
@@ -174,17 +176,17 @@
             self.holders.note_ended(holder, error)
             return
         except GentianwharfError as error:
-            log.debug("no sign of life: {}", error)
+            log.debug("probe failed: {}", error)
             return
-        # Also of one that had ended: it was born again under its id.
+            # This includes a holder that had ended and was restarted under its id.
         state.failing_since_s = None
         state.has_ended = False
         log.info("server reached again", extra={"server": holder.server_id})
 
     def _advance(self, row: Row, now_s: float) -> None:
-        for one in list(row.former_holders):
-            if now_s >= self.holders.held_until_s(one):
-                self._leave_out(row, one)
+        for former in list(row.former_holders):
+            if now_s >= self.holders.held_until_s(former):
+                self._drop_former_holder(row, former)
         if row.former_holders:
             holder = row.former_holders[0]
             if self._may_order(holder):
@@ -193,11 +195,12 @@
             self._grant_in_turn(row)
 
     def _grant_in_turn(self, row: Row) -> None:
-        """Grant a span, after those of the same holder that are on their way.
+        """Grant a span after the grants in flight to the same holder.
 
-        Load pattern: a server has a dozen spans, all due at the same time. Side by side
-        each takes a connection of its own, opened and dropped every half second: the
-        server pays for handshakes, and has fewer connections left for requests.
+        Load pattern: a server has a dozen spans, which all become due at the same time.
+        Concurrent grants would each need a connection of their own, opened and closed
+        every half second: the server would spend time on handshakes and have fewer
+        connections left for requests.
         """
         holder = row.span.holder
         state = self.holders.state_of(holder)
@@ -213,11 +216,11 @@
         while state.waiting and not state.granting:
             row = state.waiting.popleft()
             row.waiting = False
-            if self._leading and not row.gone and not row.ordering:
+            if self._leading and not row.is_obsolete and not row.order_in_flight:
                 self._grant_in_turn(row)
 
-    def _leave_out(self, row: Row, holder: Holder) -> None:
-        """Wait no more for a former holder; what it is asked first is to release."""
+    def _drop_former_holder(self, row: Row, holder: Holder) -> None:
+        """Stop waiting for a former holder; its first probe will be a release."""
         row.former_holders.remove(holder)
         span = row.span
         self.holders.state_of(holder).probe = Release(
@@ -227,32 +230,34 @@
     def _may_order(self, holder: Holder) -> bool:
         state = self.holders.state_of(holder)
         if state.failing_since_s is not None:
-            # One at a time shows as well whether it answers again. A host that may lead
-            # no more asks it nothing: who answers then may be the server's next life,
-            # born again under its id, which has seen no tokens. It would take a
-            # renewal of keys that the next leader has given to another server.
+            # A single order at a time also shows whether the holder answers again. A
+            # host that may have been replaced sends it nothing: the server may have
+            # been restarted under its id and have lost its tokens, and would accept a
+            # renewal for keys that the next leader has granted to another server.
             return not state.orders and not self._is_replaced()
-        self._on_their_way += 1
-        return self._on_their_way <= MOST_ORDERS
+        self._orders_in_flight += 1
+        return self._orders_in_flight <= MAX_ORDERS_IN_FLIGHT
 
     def _is_replaced(self) -> bool:
         """Whether another host may lead by now."""
         return self._now_s() >= self._store_contact_s + LEADER_LEASE_S
 
     def _start(self, row: Row, holder: Holder, order: Deferred[None]) -> None:
-        row.ordering = True
+        row.order_in_flight = True
         self._track(self.holders.state_of(holder), order)
-        order.addBoth(lambda _: setattr(row, "ordering", False))
+        order.addBoth(lambda _: setattr(row, "order_in_flight", False))
 
     def _track(self, state: HolderState, order: "Deferred[None]") -> None:
         state.orders.add(order)
 
-        def ended(result: object) -> None:
+        def on_end(result: object) -> None:
             state.orders.discard(order)
             if isinstance(result, Failure) and not result.check(CancelledError):
-                log.error("an order failed: {}", result.getTraceback())
+                log.error(
+                    "order to a server failed unexpectedly: {}", result.getTraceback()
+                )
 
-        order.addBoth(ended)
+        order.addBoth(on_end)
 
     def _release(self, row: Row, holder: Holder) -> "Deferred[None]":
         return Deferred.fromCoroutine(self._send_release(row, holder))
@@ -261,9 +266,9 @@
         span = row.span
         release = Release(first=span.first, last=span.last, token=span.token)
         timeout_s = min(
-            MOST_RELEASE_TIMEOUT_S,
+            MAX_RELEASE_TIMEOUT_S,
             FIRST_RELEASE_TIMEOUT_S * (1 + row.release_tries),
-            # Once its grant has run out there is nothing to wait for.
+            # There is nothing to wait for once the holder's grant has expired.
             self.holders.held_until_s(holder) - self._now_s(),
         )
         row.release_tries += 1
@@ -271,17 +276,17 @@
         try:
             handover = await self._orders.release(holder, release, timeout_s=timeout_s)
         except HolderEndedError as error:
-            # Another one answers there: this one is no more, nor are its grants.
+            # Another server answers there, so this holder and its grants have ended.
             self.holders.note_ended(holder, error)
             if holder in row.former_holders:
-                self._leave_out(row, holder)
-            self._go_on(row)
+                self._drop_former_holder(row, holder)
+            self._continue(row)
             return
         except GentianwharfError as error:
             row.due_s = self._now_s() + self._timing.retry_every_s
             self.holders.note_unanswered(holder, sent_s)
             if row.release_tries == 1:
-                # Said again with each try it would drown what it means.
+                # Only the first try is logged, so that retries don't flood the log.
                 self._log(row, holder, "release failed", error=str(error))
             return
         self.holders.state_of(holder).failing_since_s = None
@@ -289,12 +294,12 @@
         if holder in row.former_holders:
             row.former_holders.remove(holder)
         self._log(row, holder, "released")
-        self._go_on(row)
+        self._continue(row)
 
-    def _go_on(self, row: Row) -> None:
-        """Take a row's next step, which needs no tick."""
-        row.ordering = False
-        if not row.gone and self._leading:
+    def _continue(self, row: Row) -> None:
+        """Take the next step of a row without waiting for a tick."""
+        row.order_in_flight = False
+        if not row.is_obsolete and self._leading:
             self._advance(row, self._now_s())
 
     def _grant(self, row: Row) -> "Deferred[None]":
@@ -318,8 +323,8 @@
         state = self.holders.state_of(holder)
         self._grants_sent += 1
         number = self._grants_sent
-        # Until the call has ended, the grant may arrive at any time.
-        state.on_their_way_until_s[number] = self._timing.grant_expiry_s(
+        # The grant may arrive at any time until the call has ended.
+        state.in_flight_until_s[number] = self._timing.grant_expiry_s(
             ended_s=sent_s + GRANT_TIMEOUT_S, duration_s=duration_s
         )
         try:
@@ -328,8 +333,8 @@
             row.due_s = self._now_s() + self._timing.retry_every_s
             self.holders.note_ended(holder, error)
         except PeerUnavailableError as error:
-            # It never left: a server that can't be reached runs out of its grants
-            # although it is asked again and again.
+            # The grant was not sent and extends nothing: the grants of an unreachable
+            # server expire although renewals are tried again and again.
             row.due_s = self._now_s() + self._timing.retry_every_s
             self.holders.note_unanswered(holder, sent_s)
             self._note_failed(row, error)
@@ -346,30 +351,30 @@
             )
         else:
             state.failing_since_s = None
-            row.failing = False
+            row.is_failing = False
             row.due_s = sent_s + self._timing.renew_after_s(spans)
             self.holders.note_grant(
                 holder, ended_s=self._now_s(), duration_s=duration_s
             )
             self._note_granted(row)
         finally:
-            state.on_their_way_until_s.pop(number, None)
+            state.in_flight_until_s.pop(number, None)
             self._grant_next(state)
 
     def _note_refused(self, row: Row, error: GentianwharfError) -> None:
-        # A renewal that crosses the release of a part of its span is refused, and the
-        # rest of the span has a row of its own by then.
-        if not row.gone and not row.failing:
-            row.failing = True
+        # A renewal is refused if it overlaps in time with the release of a part of its
+        # span. The rest of the span then has a row of its own.
+        if not row.is_obsolete and not row.is_failing:
+            row.is_failing = True
             self._log(row, row.span.holder, "grant refused", error=str(error))
 
     def _note_failed(self, row: Row, error: GentianwharfError) -> None:
-        if row.granted and not row.failing:
-            row.failing = True
+        if row.granted and not row.is_failing:
+            row.is_failing = True
             self._log(row, row.span.holder, "renewal failed", error=str(error))
 
     def _note_granted(self, row: Row) -> None:
-        if row.granted or row.gone:
+        if row.granted or row.is_obsolete:
             return
         row.granted = True
         self._log(row, row.span.holder, "granted")
--- a/src/gentianwharf/keyspace/_leadership.py
+++ b/src/gentianwharf/keyspace/_leadership.py
@@ -1,4 +1,4 @@
-"""Which host leads: the one whose item stands in the store under a lease."""
+"""Leader election: the leader is the host whose item is stored under a live lease."""
 
 from collections.abc import Callable, Coroutine
 from dataclasses import dataclass
@@ -20,10 +20,11 @@
 from ._timing import LEADER_LEASE_S, RENEW_LEASE_EVERY_S
 
 CAMPAIGN_WITHIN_S = 0.15
-"""Hosts that see the leader gone ask for its place at random within this time: each
-call is paid, and the first one's item reaches most others before they ask."""
+"""Hosts that see the leader's item removed campaign after a random delay within this
+time. Each call to the store has a cost, and the item of the first host reaches most
+others before they campaign."""
 
-CAMPAIGN_AGAIN_S = 0.6
+CAMPAIGN_RETRY_S = 0.6
 
 Clock = Callable[[], float]
 
@@ -31,7 +32,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Term:
-    """One host's time as the leader; ``revision`` guards what it writes."""
+    """One host's time as the leader; ``revision`` is the condition of its writes."""
 
     lease_id: int
     revision: int
@@ -74,18 +75,18 @@
         self._rng = rng
         self._campaign_delay_s = campaign_delay_s
         self._item: Item | None = None
-        self._asking_lease_id = 0
-        self._asked_s = 0.0
+        self._campaign_lease_id = 0
+        self._campaign_began_s = 0.0
         self._campaigning = False
         self._due_s: float | None = None
 
     @property
     def leads(self) -> bool:
-        """Whether this host takes itself for the leader."""
+        """Whether this host considers itself the leader."""
         return self.term is not None
 
     def holds_lease(self) -> bool:
-        """Whether the lease surely holds, so that nobody else leads."""
+        """Whether the lease certainly holds, so that no other host leads."""
         return (
             self.term is not None
             and self._now_s() < self.lease_renewed_s + LEADER_LEASE_S
@@ -96,15 +97,15 @@
         self._item = item
         if self.term is not None:
             if item is None or item.revision != self.term.revision:
-                self._lose("the leader's item is not this host's any more")
-        elif item is not None and item.lease_id == self._asking_lease_id != 0:
-            # The answer to the write was lost; the write was not.
+                self._lose("the leader's item no longer belongs to this host")
+        elif item is not None and item.lease_id == self._campaign_lease_id != 0:
+            # The write took effect although its answer was lost.
             self._gain(item.revision)
         if item is None and self._due_s is None:
-            self._due_s = self._campaign_s()
+            self._due_s = self._next_campaign_s()
 
     def tick(self) -> None:
-        """Renew the lease or ask for it when that is due."""
+        """Renew the lease or campaign for it when that is due."""
         now_s = self._now_s()
         if self._due_s is None or now_s < self._due_s:
             return
@@ -119,12 +120,12 @@
             self._due_s = None
 
     async def resign(self, held_s: float, *, campaign_pause_s: float) -> None:
-        """Give the place up, so that another host takes it at once.
+        """Give up the leadership, so that another host can take it over at once.
 
-        ``held_s`` is for how long this host's grants may still hold. The next leader
-        finds it beside the place, and puts its own word there when it takes the place:
-        so it is never taken for the word of a leader in between, who was lost. For
-        ``campaign_pause_s`` this host does not ask for the place again.
+        ``held_s`` is for how long this host's grants may remain valid. It is stored in
+        the record of the previous leader, which the next leader replaces by its own
+        when it takes over; so the record is never attributed to a leader in between
+        that was lost. For ``campaign_pause_s`` this host does not campaign.
         """
         self._campaign_pause_until_s = self._now_s() + campaign_pause_s
         term = self.term
@@ -135,38 +136,38 @@
             await self._store.change(
                 Change(
                     expected={self._key: term.revision},
-                    puts=(self._word(earlier_grants_expired=True, held_s=held_s),),
+                    puts=(self._record(earlier_grants_expired=True, held_s=held_s),),
                     removals=(self._key,),
                 )
             )
         except GentianwharfError as error:
-            log.info("not resigned, the lease will run out: {}", error.message)
+            log.info("resignation not stored, the lease will expire: {}", error.message)
 
     def step_down(self) -> None:
-        """Lead no more: another host does, and has said so."""
+        """End this host's term because another host has stated that it leads."""
         if self.term is not None:
             self._lose("another host leads")
 
     async def mark_earlier_grants_expired(self) -> bool:
-        """Leave word that only grants of this leader may hold; whether that is done."""
+        """Store that only this leader's grants may be valid; return whether it did."""
         term = self.term
         if term is None:
             return False
-        word = self._word(earlier_grants_expired=True)
+        record = self._record(earlier_grants_expired=True)
         try:
             await self._store.change(
-                Change(expected={self._key: term.revision}, puts=(word,))
+                Change(expected={self._key: term.revision}, puts=(record,))
             )
         except GentianwharfError as error:
-            log.info("no word left for the next leader: {}", error.message)
+            log.info("record for the next leader not stored: {}", error.message)
             return False
         return True
 
     def note_previous_leader(self, item: Item | None) -> None:
-        """Follow the item in which each leader leaves its word for the next one."""
+        """Follow the item in which each leader stores its record for the next one."""
         self._previous_leader_item = item
 
-    def _word(
+    def _record(
         self, *, earlier_grants_expired: bool, held_s: float | None = None
     ) -> Put:
         previous = PreviousLeader(
@@ -182,37 +183,38 @@
         self._campaigning = False
 
     async def _campaign(self, now_s: float) -> None:
-        self._due_s = now_s + CAMPAIGN_AGAIN_S * (1 + self._rng.random())
+        self._due_s = now_s + CAMPAIGN_RETRY_S * (1 + self._rng.random())
         try:
-            self._asking_lease_id = 0
+            self._campaign_lease_id = 0
             lease_id = await self._store.open_lease(LEADER_LEASE_S)
-            self._asking_lease_id, self._asked_s = lease_id, now_s
+            self._campaign_lease_id, self._campaign_began_s = lease_id, now_s
             previous = self._previous_leader_item
             self._previous_leader = decode_previous_leader(previous)
             put = Put(key=self._key, value=self.value, lease_id=lease_id)
             revision = await self._store.change(
                 Change(
-                    # Its word has to be the last leader's: one that this host has not
-                    # heard of may have granted what an earlier one knows nothing of.
+                    # The record has to be that of the last leader: a leader that this
+                    # host has not seen may have issued grants that an older record
+                    # does not cover.
                     expected={
                         self._key: 0,
                         self._previous_leader_key: previous.revision if previous else 0,
                     },
-                    puts=(put, self._word(earlier_grants_expired=False)),
+                    puts=(put, self._record(earlier_grants_expired=False)),
                 )
             )
         except ConflictError:
-            self._asking_lease_id = 0
+            self._campaign_lease_id = 0
             self._due_s = None
             return
         except GentianwharfError as error:
             log.info(
-                "not the leader: {}",
+                "campaign failed: {}",
                 error.message,
                 extra={"step": error.step, "peer": error.peer},
             )
             return
-        if self.term is None and self._asking_lease_id == lease_id:
+        if self.term is None and self._campaign_lease_id == lease_id:
             self._gain(revision)
 
     async def _renew(self, term: Term, now_s: float) -> None:
@@ -221,7 +223,7 @@
             await self._store.renew_lease(term.lease_id)
         except LeaseEndedError:
             if self.term is term:
-                self._lose("the lease has ended")
+                self._lose("the lease has expired")
             return
         except GentianwharfError as error:
             log.info(
@@ -231,13 +233,13 @@
             )
             return
         if self.term is term:
-            # The lease runs from the call's arrival, which is not before its sending.
+            # The lease is renewed when the call arrives, which is after it was sent.
             self.lease_renewed_s = max(self.lease_renewed_s, now_s)
 
     def _gain(self, revision: int) -> None:
-        self.term = Term(lease_id=self._asking_lease_id, revision=revision)
-        self._asking_lease_id = 0
-        self.lease_renewed_s = self._asked_s
+        self.term = Term(lease_id=self._campaign_lease_id, revision=revision)
+        self._campaign_lease_id = 0
+        self.lease_renewed_s = self._campaign_began_s
         self._due_s = self._now_s() + RENEW_LEASE_EVERY_S
         held_s = (
             self._previous_leader.held_s if self._previous_leader is not None else None
@@ -245,13 +247,13 @@
         log.info("leading", extra={"revision": revision, "held_s": held_s})
         self.on_gained(self._previous_leader)
 
-    def _campaign_s(self) -> float:
+    def _next_campaign_s(self) -> float:
         within_s = self._rng.random() * CAMPAIGN_WITHIN_S
         return self._now_s() + self._campaign_delay_s + within_s
 
     def _lose(self, reason: str) -> None:
         self.term = None
-        self._due_s = self._campaign_s()
+        self._due_s = self._next_campaign_s()
         log.info("no longer leading: {}", reason)
         self.on_lost()
 
@@ -261,4 +263,4 @@
 
 
 def _log_fault(failure: Failure) -> None:
-    log.error("a call of the leadership failed: {}", failure.getTraceback())
+    log.error("leadership call failed unexpectedly: {}", failure.getTraceback())
--- a/src/gentianwharf/keyspace/_planner.py
+++ b/src/gentianwharf/keyspace/_planner.py
@@ -1,4 +1,4 @@
-"""What the leader writes: plans each service's table and follows what stands."""
+"""Plans the table of each keyed service on the leading host, and stores it."""
 
 from collections import deque
 from collections.abc import Callable, Mapping, Sequence
@@ -26,25 +26,27 @@
 from ._previous_leader import PreviousLeader
 from ._table import KeyTable, decode_table, encode_table
 
-SETTLE_S = 1.0
-"""Servers that start together appear one after another; the first plan waits until none
-has come for so long, or it would move most shards again at once."""
+JOIN_QUIET_S = 1.0
+"""Servers that are started together get listed one after another. The first plan waits
+until no server has joined for this time, since it would otherwise have to move most
+shards again at once."""
 
-MOST_SETTLE_S = 3.0
+MAX_JOIN_WAIT_S = 3.0
 
-EVEN_OUT_EVERY_S = 0.5
-"""As long as most moves take. What is counted is counted by shards, so that a move in
-between does not make it wrong."""
+REBALANCE_EVERY_S = 0.5
+"""As long as most moves take. Requests are counted by shard, so a move in between does
+not invalidate the counts."""
 
 WARM_UP_S = 5.0
-"""How long that lasts, where the operators don't say."""
+"""How long shards are slow after a move without a handover, unless configured."""
 
 CLEAN_UP_AFTER_S = 3.0
-"""Finished moves are noted in the store together, each note being a paid call of every
-host; until then a new leader would only release once more what has been released."""
+"""Finished moves are removed from the stored table together, since each write causes a
+paid call by every host. Until then a new leader would only repeat releases that have
+already been answered."""
 
-WRITE_AGAIN_S = 0.3
-READ_AGAIN_S = 0.3
+RETRY_WRITE_S = 0.3
+RETRY_READ_S = 0.3
 
 Clock = Callable[[], float]
 
@@ -52,7 +54,7 @@
 @final
 @dataclass(kw_only=True, slots=True, eq=False)
 class _Service:
-    """One keyed service: its table as it stands in the store, and who may hold."""
+    """One keyed service: its table as it is stored, and the servers that may hold."""
 
     name: str
     key: str
@@ -61,19 +63,19 @@
     revision: int = 0
     candidates: Sequence[Candidate] = ()
     planned_for: Sequence[Candidate] | None = None
-    joined_s: float = 0.0
-    evened_s: float = 0.0
-    moved_s: float | None = None
+    last_joined_s: float = 0.0
+    rebalanced_s: float = 0.0
+    moves_finished_s: float | None = None
     due_s: float = 0.0
     writing: bool = False
-    known: set[str] = field(default_factory=set)
+    known_ids: set[str] = field(default_factory=set)
     warm_up_s: float = WARM_UP_S
-    cold: deque[tuple[float, float]] = field(default_factory=deque)
+    cold_loads: deque[tuple[float, float]] = field(default_factory=deque)
 
 
 @final
 class Planner:
-    """Plans for every keyed service while this host leads."""
+    """Plans the tables of all keyed services while this host leads."""
 
     def __init__(
         self,
@@ -95,7 +97,7 @@
         self._leadership = leadership
         self._leader_key = leader_key
         self._prefix = table_prefix
-        self._manager = grant_manager
+        self._grant_manager = grant_manager
         self._shards = shards
         self._now_s = now_s
         self._services: dict[str, _Service] = {}
@@ -115,13 +117,13 @@
         self._read_tables()
 
     def _read_tables(self) -> None:
-        """Read the tables as they stand now, and then carry them out.
+        """Read the tables as they are stored now, and carry them out.
 
-        A host may take the lead without having heard of the last one's term, when its
-        watch was left without an answer. By its older tables it would renew grants of
-        holders that had been waited out.
+        A host may become the leader without having received the changes of the last
+        term, if its watch was not answered. By its outdated tables it would renew
+        grants of former holders whose grants have already been waited out.
         """
-        self._read_due_s = self._now_s() + READ_AGAIN_S
+        self._read_due_s = self._now_s() + RETRY_READ_S
         running = Deferred.fromCoroutine(self._begin(self._leadership.term))
         running.addErrback(_log_fault)
 
@@ -129,7 +131,7 @@
         try:
             page = await self._store.items(self._prefix)
         except GentianwharfError as error:
-            log.info("tables not read: {}", error.message)
+            log.info("tables not read from the store: {}", error.message)
             return
         if term is None or self._leadership.term is not term or self._term is term:
             return
@@ -141,26 +143,26 @@
     def _take_over(self) -> None:
         previous = self._previous_leader
         held_s = previous.held_s if previous is not None else None
-        if not any(row.table.spans for row in self._services.values()):
-            # Nothing is granted without a table in the store.
+        if not any(service.table.spans for service in self._services.values()):
+            # Without a stored table there are no grants.
             held_s = 0.0
-        own = self._manager.holders.remaining_grants()
-        self._manager.take_over(self._leadership.lease_renewed_s, held_s=held_s)
+        own = self._grant_manager.holders.remaining_grants()
+        self._grant_manager.take_over(self._leadership.lease_renewed_s, held_s=held_s)
         if previous is not None and held_s is None:
             if previous.value == self._leadership.value:
-                self._manager.holders.note_remaining_grants(own)
+                self._grant_manager.holders.note_remaining_grants(own)
             else:
                 self.on_previous_leader(previous)
         for service in self._services.values():
             service.due_s = 0.0
             service.planned_for = None
-            self._manager.follow(service.table)
+            self._grant_manager.follow(service.table)
 
     def _mark_earlier_grants_expired(self, now_s: float) -> None:
-        """Leave word for the next leader that it need not know of those before."""
+        """Store that the next leader can ignore the leaders before this one."""
         if now_s < self._mark_due_s:
             return
-        self._mark_due_s = now_s + WRITE_AGAIN_S
+        self._mark_due_s = now_s + RETRY_WRITE_S
         self._has_marked_expired = True
         running = Deferred.fromCoroutine(self._leadership.mark_earlier_grants_expired())
         running.addErrback(_log_fault)
@@ -169,7 +171,7 @@
         )
 
     def set_services(self, warm_ups_s: Mapping[str, float]) -> None:
-        """Follow which services are divided by key, and how long shards warm up."""
+        """Set which services are keyed, and for how long their shards warm up."""
         for name, warm_up_s in warm_ups_s.items():
             if name in self._services:
                 self._services[name].warm_up_s = warm_up_s
@@ -183,29 +185,29 @@
                 )
 
     def set_candidates(self, service: str, candidates: Sequence[Candidate]) -> None:
-        """Follow which servers may hold a service's shards."""
-        row = self._services.get(service)
-        if row is None:
+        """Set which servers may hold a service's shards."""
+        keyed = self._services.get(service)
+        if keyed is None:
             return
-        names = {one.holder.server_id for one in candidates}
-        if names - row.known:
-            row.joined_s = self._now_s()
-        row.known = names
-        row.candidates = candidates
-        row.due_s = 0.0
+        server_ids = {candidate.holder.server_id for candidate in candidates}
+        if server_ids - keyed.known_ids:
+            keyed.last_joined_s = self._now_s()
+        keyed.known_ids = server_ids
+        keyed.candidates = candidates
+        keyed.due_s = 0.0
 
     def demand(self, service: str) -> Demand | None:
-        """Return where to count a service's requests, None if it isn't divided."""
-        row = self._services.get(service)
-        return row.demand if row is not None else None
+        """Return a service's request counters, None if the service is not keyed."""
+        keyed = self._services.get(service)
+        return keyed.demand if keyed is not None else None
 
     def note_table(self, item: Item) -> None:
-        """Follow a table in the store; one that can't be read changes nothing."""
+        """Follow a stored table; one that can't be decoded changes nothing."""
         try:
             table = decode_table(item.value, peer=item.key)
         except InputError as error:
             log.error(
-                "table not taken: {}",
+                "table rejected: {}",
                 error.message,
                 extra={
                     "step": error.step,
@@ -216,12 +218,12 @@
             return
         if table.service not in self._services:
             self.set_services({table.service: WARM_UP_S})
-        row = self._services[table.service]
-        if item.revision > row.revision:
-            self._take(row, table, item.revision)
+        service = self._services[table.service]
+        if item.revision > service.revision:
+            self._accept(service, table, item.revision)
 
     def tick(self) -> None:
-        """Plan where that is due; to be called every 50 ms or so."""
+        """Plan the services that are due; to be called about every 50 ms."""
         if not self._leadership.holds_lease():
             return
         now_s = self._now_s()
@@ -229,142 +231,155 @@
             if now_s >= self._read_due_s:
                 self._read_tables()
             return
-        self._manager.note_store_contact(self._leadership.lease_renewed_s)
+        self._grant_manager.note_store_contact(self._leadership.lease_renewed_s)
         if (
             not self._has_marked_expired
-            and self._manager.holders.earlier_grants_expired()
+            and self._grant_manager.holders.earlier_grants_expired()
         ):
             self._mark_earlier_grants_expired(now_s)
-        for row in self._services.values():
-            if not row.writing and now_s >= row.due_s and self._is_settled(row, now_s):
-                self._plan(row, now_s)
-
-    def _is_settled(self, row: _Service, now_s: float) -> bool:
-        if row.table.spans:
+        for service in self._services.values():
+            if (
+                not service.writing
+                and now_s >= service.due_s
+                and self._has_stable_candidates(service, now_s)
+            ):
+                self._plan(service, now_s)
+
+    def _has_stable_candidates(self, service: _Service, now_s: float) -> bool:
+        if service.table.spans:
             return True
         return (
-            now_s >= row.joined_s + SETTLE_S or now_s >= self._gained_s + MOST_SETTLE_S
+            now_s >= service.last_joined_s + JOIN_QUIET_S
+            or now_s >= self._gained_s + MAX_JOIN_WAIT_S
         )
 
-    def _plan(self, row: _Service, now_s: float) -> None:
-        is_even_due = now_s >= row.evened_s + EVEN_OUT_EVERY_S
-        if not is_even_due and not self._is_changed(row):
+    def _plan(self, service: _Service, now_s: float) -> None:
+        is_rebalance_due = now_s >= service.rebalanced_s + REBALANCE_EVERY_S
+        if not is_rebalance_due and not self._is_changed(service):
             return
-        reached = self._reached(row)
-        load = row.demand.load(self._shards)
-        if is_even_due:
-            row.evened_s = now_s
-            row.demand.update_speeds()
+        reachable = self._reachable(service)
+        load = service.demand.load(self._shards)
+        if is_rebalance_due:
+            service.rebalanced_s = now_s
+            service.demand.update_speeds()
         planned = plan(
-            row.table,
-            [scale_by_speed(one, row.demand) for one in reached],
+            service.table,
+            [scale_by_speed(candidate, service.demand) for candidate in reachable],
             load,
             shards=self._shards,
-            rebalance=is_even_due,
-            utilization=utilization(row.demand, reached),
-            lost_holders=self._lost_holders(row, reached, now_s),
+            rebalance=is_rebalance_due,
+            utilization=utilization(service.demand, reachable),
+            lost_holders=self._lost_holders(service, reachable, now_s),
         )
-        row.planned_for = reached
+        service.planned_for = reachable
         if planned.cold_load:
-            row.cold.append((now_s, planned.cold_load))
+            service.cold_loads.append((now_s, planned.cold_load))
         cleaned = without_finished_moves(
-            planned.table, self._manager.finished_moves(row.name)
+            planned.table, self._grant_manager.finished_moves(service.name)
         )
-        if planned.table is row.table and (
-            cleaned is None or not self._is_clean_up_due(row, now_s)
+        if planned.table is service.table and (
+            cleaned is None or not self._is_clean_up_due(service, now_s)
         ):
             return
-        row.moved_s = None
-        self._write(row, cleaned or planned.table)
+        service.moves_finished_s = None
+        self._write(service, cleaned or planned.table)
 
     def _lost_holders(
-        self, row: _Service, reached: Sequence[Candidate], now_s: float
+        self, service: _Service, reachable: Sequence[Candidate], now_s: float
     ) -> LostHolders:
-        while row.cold and row.cold[0][0] < now_s - row.warm_up_s:
-            row.cold.popleft()
-        cold = sum(load for _, load in row.cold)
-        movable_load = movable_cold_load(row.demand, reached) - cold
+        while (
+            service.cold_loads and service.cold_loads[0][0] < now_s - service.warm_up_s
+        ):
+            service.cold_loads.popleft()
+        cold = sum(load for _, load in service.cold_loads)
+        movable_load = movable_cold_load(service.demand, reachable) - cold
         return LostHolders(
-            holders=self._manager.holders.unreachable(), movable_load=movable_load
+            holders=self._grant_manager.holders.unreachable(), movable_load=movable_load
         )
 
-    def _is_changed(self, row: _Service) -> bool:
-        return row.planned_for != self._reached(row) or not row.table.spans
+    def _is_changed(self, service: _Service) -> bool:
+        return (
+            service.planned_for != self._reachable(service) or not service.table.spans
+        )
 
-    def _reached(self, row: _Service) -> list[Candidate]:
-        """Return the candidates but those that this host can't reach.
+    def _reachable(self, service: _Service) -> list[Candidate]:
+        """Return the candidates except those that this host can't reach.
 
-        When it can't reach most of them, this host is the one that is cut off: then
-        nothing moves, and somebody else should lead.
+        If it can't reach most of them, this host is the one that is cut off. It then
+        moves nothing, and another host should lead.
         """
-        lost = self._manager.holders.unreachable()
-        reached = [one for one in row.candidates if one.holder not in lost]
-        if len(reached) * 2 > len(row.candidates):
-            return reached
-        if row.candidates:
+        lost = self._grant_manager.holders.unreachable()
+        reachable = [
+            candidate
+            for candidate in service.candidates
+            if candidate.holder not in lost
+        ]
+        if len(reachable) * 2 > len(service.candidates):
+            return reachable
+        if service.candidates:
             self.on_isolated()
-        return list(row.candidates)
+        return list(service.candidates)
 
-    def _is_clean_up_due(self, row: _Service, now_s: float) -> bool:
-        if row.moved_s is None:
-            row.moved_s = now_s
-        return now_s >= row.moved_s + CLEAN_UP_AFTER_S
+    def _is_clean_up_due(self, service: _Service, now_s: float) -> bool:
+        if service.moves_finished_s is None:
+            service.moves_finished_s = now_s
+        return now_s >= service.moves_finished_s + CLEAN_UP_AFTER_S
 
-    def _write(self, row: _Service, table: KeyTable) -> None:
-        row.writing = True
-        running = Deferred.fromCoroutine(self._send(row, table))
+    def _write(self, service: _Service, table: KeyTable) -> None:
+        service.writing = True
+        running = Deferred.fromCoroutine(self._send(service, table))
         running.addErrback(_log_fault)
-        running.addCallback(lambda _: setattr(row, "writing", False))
+        running.addCallback(lambda _: setattr(service, "writing", False))
 
-    async def _send(self, row: _Service, table: KeyTable) -> None:
+    async def _send(self, service: _Service, table: KeyTable) -> None:
         term = self._leadership.term
         if term is None:
             return
         value = encode_table(table)
         change = Change(
-            expected={self._leader_key: term.revision, row.key: row.revision},
-            puts=(Put(key=row.key, value=value),),
+            expected={self._leader_key: term.revision, service.key: service.revision},
+            puts=(Put(key=service.key, value=value),),
         )
         try:
             revision = await self._store.change(change)
         except PeerUnavailableError as error:
-            self._note_failed(row, error)
+            self._note_failed(service, error)
         except (ConflictError, GentianwharfError) as error:
-            self._note_failed(row, error)
-            await self._read_back(row)
+            self._note_failed(service, error)
+            await self._read_back(service)
         else:
-            self._take(row, table, revision)
+            self._accept(service, table, revision)
 
-    def _note_failed(self, row: _Service, error: GentianwharfError) -> None:
-        row.due_s = self._now_s() + WRITE_AGAIN_S
-        row.planned_for = None
+    def _note_failed(self, service: _Service, error: GentianwharfError) -> None:
+        service.due_s = self._now_s() + RETRY_WRITE_S
+        service.planned_for = None
         log.info(
             "table not written: {}",
             error.message,
-            extra={"service": row.name, "step": error.step, "peer": error.peer},
+            extra={"service": service.name, "step": error.step, "peer": error.peer},
         )
 
-    async def _read_back(self, row: _Service) -> None:
-        """Learn what stands in the store after a write with unknown outcome.
+    async def _read_back(self, service: _Service) -> None:
+        """Read the stored table after a write with an unknown outcome.
 
-        The write may still take effect later; it has the same condition as the next
-        one, so that only one of them does.
+        The write may still take effect later. It has the same condition as the next
+        write, so only one of the two does.
         """
         try:
-            item = await self._store.item(row.key)
+            item = await self._store.item(service.key)
         except GentianwharfError as error:
-            log.info("table not read back: {}", error.message)
+            log.info("table not read back from the store: {}", error.message)
             return
         if item is not None:
             self.note_table(item)
 
-    def _take(self, row: _Service, table: KeyTable, revision: int) -> None:
-        if revision <= row.revision:
+    def _accept(self, service: _Service, table: KeyTable, revision: int) -> None:
+        if revision <= service.revision:
             return
-        row.table, row.revision = table, revision
-        self._manager.follow(table)
+        service.table, service.revision = table, revision
+        self._grant_manager.follow(table)
         self.on_table(table)
 
 
 def _log_fault(failure: Failure) -> None:
-    log.error("planning failed: {}", failure.getTraceback())
+    log.error("planning failed unexpectedly: {}", failure.getTraceback())
--- a/src/gentianwharf/keyspace/_previous_leader.py
+++ b/src/gentianwharf/keyspace/_previous_leader.py
@@ -1,4 +1,4 @@
-"""What a leader leaves behind, for the next one to know which grants may still hold."""
+"""The record of a leader, which tells its successor which grants may still be valid."""
 
 from dataclasses import dataclass, field
 from typing import final
@@ -29,9 +29,9 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RemainingGrants:
-    """For how long the grants of a host hold that gives none any more.
+    """For how long the grants of a host that sends no more remain valid.
 
-    ``others_s`` counts for every holder that is not in ``by_holder_s``.
+    ``others_s`` applies to every holder that is not in ``by_holder_s``.
     """
 
     others_s: float
@@ -45,7 +45,7 @@
 
 
 def encode_previous_leader(leader: PreviousLeader) -> bytes:
-    """Return the word of a leader as it stands in the store."""
+    """Return the record of a leader as it is stored."""
     return msgspec.json.encode(
         _StoredPreviousLeader(
             leader.value, leader.earlier_grants_expired, leader.held_s
@@ -54,14 +54,14 @@
 
 
 def decode_previous_leader(item: Item | None) -> PreviousLeader | None:
-    """Return who led before; None if nobody did, or if its word can't be read."""
+    """Return the previous leader; None if there was none or it can't be decoded."""
     if item is None:
         return None
     try:
         stored = msgspec.json.decode(item.value, type=_StoredPreviousLeader)
     except msgspec.DecodeError as error:
         log.warning(
-            "a leader's word on its grants can't be read: {}",
+            "record of the previous leader can't be decoded: {}",
             error,
             extra={"peer": item.key, "revision": item.revision},
         )
--- a/src/gentianwharf/keyspace/_states.py
+++ b/src/gentianwharf/keyspace/_states.py
@@ -1,4 +1,4 @@
-"""What the manager knows of spans and of their holders, as rows of its tables."""
+"""The state that the grant manager keeps for each span and each holder."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 @final
 @dataclass(kw_only=True, slots=True, eq=False)
 class Row:
-    """One span and how far it is granted."""
+    """The state of one span's release and grant."""
 
     service: str
     span: Span
@@ -21,20 +21,20 @@
     handover: str | None = None
     granted: bool = False
     due_s: float = 0.0
-    ordering: bool = False
+    order_in_flight: bool = False
     waiting: bool = False
     release_tries: int = 0
-    failing: bool = False
-    gone: bool = False
+    is_failing: bool = False
+    is_obsolete: bool = False
 
 
 @final
 @dataclass(kw_only=True, slots=True)
 class HolderState:
-    """What one life of a server may hold, as far as this host knows."""
+    """Which grants one server instance may hold."""
 
     held_until_s: float
-    on_their_way_until_s: dict[int, float] = field(default_factory=dict)
+    in_flight_until_s: dict[int, float] = field(default_factory=dict)
     orders: set["Deferred[None]"] = field(default_factory=set)
     granting: bool = False
     waiting: deque[Row] = field(default_factory=deque)
@@ -43,6 +43,6 @@
     probe: Release | None = None
     probe_due_s: float = 0.0
 
-    def surely_until_s(self) -> float:
-        """Return when no grant that was sent can hold any more."""
-        return max([self.held_until_s, *self.on_their_way_until_s.values()])
+    def expire_by_s(self) -> float:
+        """Return the time by which every grant that was sent has expired."""
+        return max([self.held_until_s, *self.in_flight_until_s.values()])
--- a/tests/test_keyspace_keeper.py
+++ b/tests/test_keyspace_keeper.py
@@ -3,7 +3,7 @@
 import logbook
 from twisted.internet.task import Clock
 
-from gentianwharf.keyspace._grant_manager import MOST_ORDERS
+from gentianwharf.keyspace._grant_manager import MAX_ORDERS_IN_FLIGHT
 from tests.builders_keyspace import (
     GrantingServer,
     Servers,
@@ -292,7 +292,7 @@
     manager.follow(table(*spans))
     manager.note_store_contact(clock.seconds())
     manager.tick()
-    assert sum(len(servers[one].orders) for one in range(1, 86)) <= MOST_ORDERS
+    assert sum(len(servers[one].orders) for one in range(1, 86)) <= MAX_ORDERS_IN_FLIGHT
 
 
 def test_silent_servers_do_not_hold_up_the_others() -> None:
