--- a/src/gentianwharf/keyspace/__init__.py
+++ b/src/gentianwharf/keyspace/__init__.py
@@ -1,4 +1,4 @@
-"""Who holds which shards where backend servers enforce grants themselves."""
+"""Assignment of shards to backend servers that enforce grants themselves."""
 
 from ._demand import Demand, ObservedLoad
 from ._grant_manager import GrantManager
--- a/src/gentianwharf/keyspace/_capacity.py
+++ b/src/gentianwharf/keyspace/_capacity.py
@@ -1,4 +1,4 @@
-"""How much room servers have for shards that come without a handover."""
+"""The spare capacity of servers for shards that move without a handover."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -7,22 +7,22 @@
 from ._plan import Candidate
 
 COLD_COST = 3.0
-"""What a shard without a handover costs more than usual, while it warms up: servers are
-about four times as slow then."""
+"""Extra cost of a shard that moved without a handover while it warms up, relative to
+its usual cost: servers are about four times as slow for it."""
 
-FULL = 0.9
-"""Part of all slots in use at which there is no room for cold shards."""
+NO_SPARE_UTILIZATION = 0.9
+"""Share of all slots in use from which there is no spare capacity for cold shards."""
 
-UNKNOWN_USED = 0.5
-LEAST_USED = 0.05
+DEFAULT_UTILIZATION = 0.5
+MIN_UTILIZATION = 0.05
 
-LEAST_COLD, MOST_COLD = 0.06, 0.5
-"""Least and most load that may move without a handover at a time: one server's part of
-sixteen always may, and no more than half ever."""
+MIN_COLD_LOAD, MAX_COLD_LOAD = 0.06, 0.5
+"""Bounds of the load that may move without a handover at a time. The lower one is one
+server's share of sixteen; the upper one keeps at least half of the load warm."""
 
 
-def movable_cold_load(demand: Demand, reached: Sequence[Candidate]) -> float:
-    """Return how much of all load may be cold, by the slots that are free.
+def movable_cold_load(demand: Demand, candidates: Sequence[Candidate]) -> float:
+    """Return the share of all load that may be cold, given the number of free slots.
 
     >>> from twisted.internet.task import Clock
     >>> from ._demand import ObservedLoad
@@ -34,22 +34,25 @@
     >>> round(movable_cold_load(demand, candidates), 3)
     0.267
     """
-    part = utilization(demand, reached)
-    return min(MOST_COLD, max(LEAST_COLD, (FULL - part) / (COLD_COST * part)))
+    used = utilization(demand, candidates)
+    return min(
+        MAX_COLD_LOAD,
+        max(MIN_COLD_LOAD, (NO_SPARE_UTILIZATION - used) / (COLD_COST * used)),
+    )
 
 
-def utilization(demand: Demand, reached: Sequence[Candidate]) -> float:
-    """Return the part of all slots in use, a half while nothing is known."""
+def utilization(demand: Demand, candidates: Sequence[Candidate]) -> float:
+    """Return the share of all slots in use, a default if nothing is known."""
     slots = used = 0.0
-    for one in reached:
-        running = demand.running(one.holder.server_id)
+    for candidate in candidates:
+        running = demand.running(candidate.holder.server_id)
         if running is not None:
-            slots += one.capacity
-            used += min(one.capacity, running)
-    return max(used / slots, LEAST_USED) if slots else UNKNOWN_USED
+            slots += candidate.capacity
+            used += min(candidate.capacity, running)
+    return max(used / slots, MIN_UTILIZATION) if slots else DEFAULT_UTILIZATION
 
 
 def scale_by_speed(candidate: Candidate, demand: Demand) -> Candidate:
-    """Return a server with the capacity that its learnt speed gives it."""
+    """Return a candidate with its capacity scaled by its measured speed."""
     speed = demand.speed(candidate.holder.server_id)
     return replace(candidate, capacity=candidate.capacity * speed)
--- a/src/gentianwharf/keyspace/_demand.py
+++ b/src/gentianwharf/keyspace/_demand.py
@@ -1,14 +1,14 @@
-"""How busy shards and their holders are, from what all hosts saw lately.
+"""The load of shards and of their holders, as recently reported by all hosts.
 
-Load pattern: a few hundred keys side by side become hot within a second, and others a
-few seconds later. What is counted fades within seconds, so that the hot ones stand out
-soon and are forgotten soon.
+Load pattern: a few hundred adjacent keys become hot within a second, and others a few
+seconds later. Counts decay within seconds, so that hot shards stand out soon and stop
+counting as hot soon after.
 
-How fast a server works follows from how long it took for what it did not let wait, and
-for one that is full from how much it finishes: servers of one service differ by more
-than two times, and an equal part fills the slow ones while the fast ones idle. One that
-became so slow that nobody waits for its answers says nothing of itself any more; the
-answers that it owes speak for it.
+The speed of a server is derived from the service time of requests that it did not
+queue, and, for a server that is full, from its throughput. Servers of one service
+differ in speed by more than a factor of two; with equal shares the slow ones are full
+while the fast ones are idle. A server that is so slow that requests reach their
+deadline first reports no times; it is recognised by the number of unanswered requests.
 """
 
 from collections.abc import Callable, Mapping
@@ -18,35 +18,36 @@
 
 from ._shard_load import ShardLoad
 
-MEMORY_S = 2.0
-"""Time constant of what is counted: some hundred requests of a service of hundreds a
-second, of which a hot key's part is seen within half a second."""
+DECAY_S = 2.0
+"""Time constant of the decay. It covers about a hundred requests of a service with
+hundreds a second, among which a hot key's share shows within half a second."""
 
 SPEED_SMOOTHING = 0.4
-"""Of one comparison in a second: speeds change more slowly than keys become hot."""
+"""Weight of one comparison: speeds change more slowly than keys become hot."""
 
-FORGET_BELOW = 0.02
-"""Counts that have faded to this are dropped, so that the table stays small."""
+MIN_COUNT = 0.02
+"""Counts that have decayed below this are dropped, so that the table stays small."""
 
-LEAST_ANSWERS = 8.0
-"""Below this many answers nothing is said of a server's speed."""
+MIN_ANSWERS = 8.0
+"""A server's speed is not estimated from fewer answers than this."""
 
-LEAST_UNANSWERED = 3.0
-"""Requests that were given up after their whole time; fewer may be lost packets."""
+MIN_UNANSWERED = 3.0
+"""Requests that reached their deadline unanswered; fewer may be due to lost packets."""
 
-STUCK_PART = 0.3
-"""Of what ran there in time. Where more is given up than this, a server is stuck; one
-whose answers are lost now and then is not."""
+STUCK_RATIO = 0.3
+"""Ratio of unanswered to executed requests above which a server counts as stuck; a
+server that occasionally loses an answer stays below it."""
 
-STUCK_FACTOR = 0.6
-"""By comparison, twice a second: a third of the mean speed is reached in one second."""
+STUCK_SLOWDOWN = 0.6
+"""Factor on a stuck server's speed for each comparison. With two comparisons a second,
+the speed drops to about a third of the mean within one second."""
 
-FULL_WAITING = 0.5
-"""Requests that wait there on the average, from which on a server counts as full."""
+FULL_QUEUE = 0.5
+"""Mean number of queued requests above which a server counts as full."""
 
-MOST_SPEED = 3.0
-"""Times the mean speed of all servers, and its inverse the least: what seems further
-off is chance, or a fault that others deal with."""
+MAX_SPEED = 3.0
+"""Limit of the ratio between a server's speed and the mean, and of its inverse. Larger
+deviations are chance, or faults that are handled elsewhere."""
 
 Clock = Callable[[], float]
 
@@ -85,116 +86,121 @@
     is_measured: bool = False
 
     def is_stuck(self) -> bool:
-        """Whether much of what it was sent was given up."""
-        if self.unanswered < LEAST_UNANSWERED:
+        """Whether a large share of the requests to the server went unanswered."""
+        if self.unanswered < MIN_UNANSWERED:
             return False
-        return self.unanswered > self.executed * STUCK_PART
+        return self.unanswered > self.executed * STUCK_RATIO
 
-    def work_s(self) -> float | None:
-        """Return how long a request takes there without waiting, None if unknown.
+    def service_time_s(self) -> float | None:
+        """Return the service time of a request without queueing, None if unknown.
 
-        A full server lets nearly everything wait; what it runs at a time and how much
-        it finishes tell how long each takes (Little's law). Without that it would be
-        taken for as fast as any, and stay full.
+        A full server queues nearly every request. Its service time follows from its
+        concurrency and throughput (Little's law). Without that estimate a full server
+        would be assumed to have the mean speed, and would stay full.
         """
-        if self.unqueued >= LEAST_ANSWERS:
+        if self.unqueued >= MIN_ANSWERS:
             return self.unqueued_s / self.unqueued
-        if (
-            self.executed >= LEAST_ANSWERS
-            and self.waiting > self.answers * FULL_WAITING
-        ):
+        if self.executed >= MIN_ANSWERS and self.waiting > self.answers * FULL_QUEUE:
             running = self.running / self.answers
-            return running / (self.executed / MEMORY_S)
+            return running / (self.executed / DECAY_S)
         return None
 
 
 @final
 class Demand:
-    """One service's demand, as all hosts report it."""
+    """The demand for one service, as reported by all hosts."""
 
     def __init__(self, *, now_s: Clock) -> None:
         self._now_s = now_s
-        self._faded_s = now_s()
+        self._decayed_s = now_s()
         self._counts: dict[int, float] = {}
         self._servers: dict[str, _ServerLoad] = {}
 
     def note_requests(self, counts: Mapping[int, float]) -> None:
-        """Count requests by their shards."""
-        self._fade()
+        """Count requests by shard."""
+        self._decay()
         known = self._counts
         for shard, count in counts.items():
             known[shard] = known.get(shard, 0.0) + count
 
-    def note_load(self, server_id: str, seen: ObservedLoad) -> None:
-        """Note what a server said of its load."""
-        self._fade()
-        row = self._servers.setdefault(server_id, _ServerLoad())
-        row.running += seen.running
-        row.waiting += seen.waiting
-        row.answers += seen.answers
-        row.executed += seen.executed
-        row.unqueued += seen.unqueued
-        row.unqueued_s += seen.unqueued_s
-        row.unanswered += seen.unanswered
+    def note_load(self, server_id: str, observed: ObservedLoad) -> None:
+        """Add the load that a server reported."""
+        self._decay()
+        server = self._servers.setdefault(server_id, _ServerLoad())
+        server.running += observed.running
+        server.waiting += observed.waiting
+        server.answers += observed.answers
+        server.executed += observed.executed
+        server.unqueued += observed.unqueued
+        server.unqueued_s += observed.unqueued_s
+        server.unanswered += observed.unanswered
 
     def load(self, shards: int) -> ShardLoad:
-        """Return how busy the shards are."""
-        self._fade()
+        """Return the current load by shard."""
+        self._decay()
         return ShardLoad(counts=self._counts, shards=shards)
 
     def update_speeds(self) -> None:
-        """Compare how long the servers take; to be called once in a while."""
-        stuck = {name for name, row in self._servers.items() if row.is_stuck()}
-        for name in stuck:
-            row = self._servers[name]
-            row.speed = max(1 / MOST_SPEED, row.speed * STUCK_FACTOR)
+        """Compare the servers' service times; to be called at regular intervals."""
+        stuck = {
+            server_id
+            for server_id, server in self._servers.items()
+            if server.is_stuck()
+        }
+        for server_id in stuck:
+            server = self._servers[server_id]
+            server.speed = max(1 / MAX_SPEED, server.speed * STUCK_SLOWDOWN)
         known = {
-            name: row.work_s()
-            for name, row in self._servers.items()
-            if name not in stuck
+            server_id: server.service_time_s()
+            for server_id, server in self._servers.items()
+            if server_id not in stuck
+        }
+        times = {
+            server_id: time_s
+            for server_id, time_s in known.items()
+            if time_s is not None
         }
-        times = {name: time_s for name, time_s in known.items() if time_s is not None}
         if len(times) < 2:
             return
         mean_s = sum(times.values()) / len(times)
-        for name, time_s in times.items():
-            row = self._servers[name]
-            speed = min(MOST_SPEED, max(1 / MOST_SPEED, mean_s / time_s))
-            # What is measured first replaces a guess: with equal parts, a slow server
-            # is full from the first second on.
-            part = SPEED_SMOOTHING if row.is_measured else 1.0
-            row.speed += (speed - row.speed) * part
-            row.is_measured = True
+        for server_id, time_s in times.items():
+            server = self._servers[server_id]
+            speed = min(MAX_SPEED, max(1 / MAX_SPEED, mean_s / time_s))
+            # The first measurement replaces the default speed at once: with an equal
+            # share, a slow server is full from the first second.
+            weight = SPEED_SMOOTHING if server.is_measured else 1.0
+            server.speed += (speed - server.speed) * weight
+            server.is_measured = True
 
     def speed(self, server_id: str) -> float:
-        """Return a server's speed relative to the mean, 1 while nothing is known."""
-        row = self._servers.get(server_id)
-        return row.speed if row is not None else 1.0
+        """Return a server's speed relative to the mean, 1 if it is unknown."""
+        server = self._servers.get(server_id)
+        return server.speed if server is not None else 1.0
 
     def running(self, server_id: str) -> float | None:
-        """Return how many requests a server runs on the average, None if unknown."""
-        row = self._servers.get(server_id)
-        if row is None or row.answers < 1.0:
+        """Return a server's mean number of running requests, None if unknown."""
+        server = self._servers.get(server_id)
+        if server is None or server.answers < 1.0:
             return None
-        return row.running / row.answers
+        return server.running / server.answers
 
-    def _fade(self) -> None:
+    def _decay(self) -> None:
         now_s = self._now_s()
-        passed_s = now_s - self._faded_s
-        if passed_s < 0.1:
+        elapsed_s = now_s - self._decayed_s
+        if elapsed_s < 0.1:
             return
-        self._faded_s = now_s
-        left = exp(-passed_s / MEMORY_S)
+        self._decayed_s = now_s
+        factor = exp(-elapsed_s / DECAY_S)
         self._counts = {
-            shard: count * left
+            shard: count * factor
             for shard, count in self._counts.items()
-            if count * left > FORGET_BELOW
+            if count * factor > MIN_COUNT
         }
-        for row in self._servers.values():
-            row.running *= left
-            row.waiting *= left
-            row.answers *= left
-            row.executed *= left
-            row.unqueued *= left
-            row.unqueued_s *= left
-            row.unanswered *= left
+        for server in self._servers.values():
+            server.running *= factor
+            server.waiting *= factor
+            server.answers *= factor
+            server.executed *= factor
+            server.unqueued *= factor
+            server.unqueued_s *= factor
+            server.unanswered *= factor
--- a/src/gentianwharf/keyspace/_moves.py
+++ b/src/gentianwharf/keyspace/_moves.py
@@ -1,31 +1,31 @@
-"""Spans by what names them, and moves that are done."""
+"""Identity of spans, and removal of finished moves from a table."""
 
 from collections.abc import Iterable
 
 from ._table import KeyTable, Span
 
 SpanKey = tuple[str, int, int, int]
-"""A span by its service, both ends and its token."""
+"""Identifies a span by its service, both ends and its token."""
 
 
 def key_of(service: str, span: Span) -> SpanKey:
-    """Return what names a span as long as its holder has it."""
+    """Return the key that identifies a span while it has the same holder."""
     return service, span.first, span.last, span.token
 
 
 def without_finished_moves(
-    table: KeyTable, moved: Iterable[SpanKey]
+    table: KeyTable, finished: Iterable[SpanKey]
 ) -> KeyTable | None:
-    """Return the table without the former holders of spans that have moved.
+    """Return the table without the former holders of spans whose move is finished.
 
-    None where nothing changes.
+    None if nothing changes.
     """
-    finished = set(moved)
+    finished_keys = set(finished)
     spans = [
-        Span(first=one.first, last=one.last, holder=one.holder, token=one.token)
-        if one.former_holders and key_of(table.service, one) in finished
-        else one
-        for one in table.spans
+        Span(first=span.first, last=span.last, holder=span.holder, token=span.token)
+        if span.former_holders and key_of(table.service, span) in finished_keys
+        else span
+        for span in table.spans
     ]
     if tuple(spans) == table.spans:
         return None
--- a/src/gentianwharf/keyspace/_orders.py
+++ b/src/gentianwharf/keyspace/_orders.py
@@ -1,4 +1,4 @@
-"""What is ordered of backend servers that enforce grants themselves."""
+"""Orders to backend servers that enforce grants themselves."""
 
 from dataclasses import dataclass
 from typing import Protocol, final
@@ -11,10 +11,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Grant:
-    """Lets a server run requests of some shards for ``duration_s`` from its arrival.
+    """Allows a server to execute requests of some shards, ``duration_s`` from arrival.
 
-    ``handover`` comes from the shards' last holder; without it the server is slow at
-    first. The same grant once more renews it.
+    ``handover`` comes from the previous holder of the shards; without it the server is
+    slow at first. Sending the same grant again renews it.
     """
 
     first: int
@@ -27,7 +27,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Release:
-    """Takes shards back and, with ``token``, shuts out every grant below it."""
+    """Withdraws shards; ``token`` invalidates every grant with a lower one."""
 
     first: int
     last: int
@@ -35,21 +35,22 @@
 
 
 class HolderEndedError(GentianwharfError):
-    """Another server has the holder's address: its grants have ended with it."""
+    """Another server has the holder's address, so the holder's grants have ended."""
 
 
 class Orders(Protocol):
-    """Gives orders to servers, each to one life of a server and to no other.
+    """Sends orders to servers, each to one instance of a server and to no other.
 
-    ``PeerUnavailableError``: not received. ``RefusedError``: the server has seen a
-    higher token. ``HolderEndedError``: another server has the address, and has done
-    nothing. ``OutcomeUnknownError``: it may be carried out, perhaps later.
+    Raises ``PeerUnavailableError`` if the order was not received, ``RefusedError`` if
+    the server has seen a higher token, ``HolderEndedError`` if another server has the
+    address (it has ignored the order), and ``OutcomeUnknownError`` if the order may be
+    carried out, possibly later.
     """
 
     async def grant(self, holder: Holder, grant: Grant, *, timeout_s: float) -> None:
-        """Give shards to a server, or renew its grant."""
+        """Grant shards to a server, or renew its grant."""
 
     async def release(
         self, holder: Holder, release: Release, *, timeout_s: float
     ) -> str | None:
-        """Take shards back; returns the handover for their next holder."""
+        """Withdraw shards; return the handover for their next holder."""
--- a/src/gentianwharf/keyspace/_shard_load.py
+++ b/src/gentianwharf/keyspace/_shard_load.py
@@ -1,4 +1,4 @@
-"""How busy shards are."""
+"""The distribution of load over the shards of a service."""
 
 from bisect import bisect_left, bisect_right
 from collections.abc import Mapping
@@ -6,13 +6,13 @@
 from typing import final
 
 IDLE_SHARE = 0.25
-"""The part of all load that is taken as even over all shards: what was not sampled
-lately may be asked for next."""
+"""Share of all load that is distributed evenly over all shards: a shard without recent
+requests may get some next."""
 
 
 @final
 class ShardLoad:
-    """How busy shards are: part sampled, part even.
+    """The load by shard, partly counted and partly assumed to be even.
 
     >>> load = ShardLoad(counts={5: 3, 9: 1}, shards=100)
     >>> round(load.share(0, 99), 3), round(load.share(5, 5), 3), load.count(0, 8)
@@ -23,7 +23,7 @@
 
     def __init__(self, *, counts: Mapping[int, float], shards: int) -> None:
         self._shards = sorted(counts)
-        # The sum of all counts before each place.
+        # The sum of all counts before each position.
         self._sums = [0.0, *accumulate(float(counts[shard]) for shard in self._shards)]
         self._hottest = max(counts, key=lambda shard: counts[shard], default=None)
         self.total = self._sums[-1]
@@ -32,22 +32,22 @@
         self._share_per_count = (1.0 - idle) / (self.total or 1.0)
 
     def count(self, first: int, last: int) -> float:
-        """Return how many requests for these shards were counted lately."""
+        """Return the decayed number of recent requests for these shards."""
         start = bisect_left(self._shards, first)
         end = bisect_right(self._shards, last)
         return self._sums[end] - self._sums[start]
 
     def share(self, first: int, last: int) -> float:
-        """Return the part of all load that these shards have, 0 to 1."""
+        """Return the share of all load on these shards, 0 to 1."""
         even = (last - first + 1) * self._share_per_shard
         return even + self.count(first, last) * self._share_per_count
 
     def hottest(self) -> int | None:
-        """Return the shard that was asked for most often, None if none was."""
+        """Return the shard with the most requests, None if there were none."""
         return self._hottest
 
     def cut(self, first: int, last: int, wanted: float) -> int:
-        """Return the last shard of the shortest part from ``first`` with that load."""
+        """Return the last shard of the shortest range from ``first`` with this load."""
         low, high = first, last
         while low < high:
             middle = (low + high) // 2
--- a/src/gentianwharf/keyspace/_table.py
+++ b/src/gentianwharf/keyspace/_table.py
@@ -13,7 +13,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Holder:
-    """One life of a server: one that is born again under its id holds nothing."""
+    """One server instance; after a restart under the same id it is another holder."""
 
     server_id: str
     born_ms: int
@@ -46,7 +46,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyTable:
-    """The spans of one service in order, and the highest token ever used.
+    """The spans of one service in order, and the highest token that was ever used.
 
     >>> holder = Holder(server_id="s1", born_ms=1, address="10.0.0.1:80")
     >>> table = KeyTable(service="roster", highest_token=3, spans=(
@@ -67,7 +67,7 @@
         object.__setattr__(self, "_firsts", firsts)
 
     def span_of(self, shard: int) -> Span | None:
-        """Return the span that a shard stands in."""
+        """Return the span that contains a shard, None if no span does."""
         index = bisect_right(self._firsts, shard) - 1
         if index < 0 or self.spans[index].last < shard:
             return None
@@ -75,17 +75,17 @@
 
 
 def merged_in_order(spans: Iterable[Span]) -> Sequence[Span]:
-    """Return spans by their shards; neighbours that are alike become one."""
-    joined: list[Span] = []
-    for span in sorted(spans, key=lambda one: one.first):
-        last = joined[-1] if joined else None
+    """Return the spans sorted by shard, with equivalent neighbours merged."""
+    merged: list[Span] = []
+    for span in sorted(spans, key=lambda span: span.first):
+        last = merged[-1] if merged else None
         if last is not None and _continues(last, span):
-            joined[-1] = Span(
+            merged[-1] = Span(
                 first=last.first, last=span.last, holder=span.holder, token=span.token
             )
         else:
-            joined.append(span)
-    return joined
+            merged.append(span)
+    return merged
 
 
 def _continues(last: Span, span: Span) -> bool:
@@ -107,7 +107,7 @@
 class _StoredSpan(msgspec.Struct, array_like=True):
     first: int
     last: int
-    # Places in the table's list of holders: a server's words stand there once.
+    # Indexes into the table's list of holders, where each holder is stored once.
     holder: int
     token: int
     former_holders: tuple[int, ...]
@@ -121,21 +121,22 @@
 
 
 def encode_table(table: KeyTable) -> bytes:
-    """Return a table as it stands in the store."""
-    places = {holder: place for place, holder in enumerate(_holders(table))}
+    """Return a table in its stored form."""
+    indexes = {holder: index for index, holder in enumerate(_holders(table))}
     stored = _StoredTable(
         service=table.service,
         highest_token=table.highest_token,
         holders=tuple(
-            _StoredHolder(one.server_id, one.born_ms, one.address) for one in places
+            _StoredHolder(holder.server_id, holder.born_ms, holder.address)
+            for holder in indexes
         ),
         spans=tuple(
             _StoredSpan(
                 span.first,
                 span.last,
-                places[span.holder],
+                indexes[span.holder],
                 span.token,
-                tuple(places[one] for one in span.former_holders),
+                tuple(indexes[holder] for holder in span.former_holders),
             )
             for span in table.spans
         ),
@@ -148,22 +149,26 @@
     try:
         stored = msgspec.json.decode(value, type=_StoredTable)
         holders = [
-            Holder(server_id=one.server_id, born_ms=one.born_ms, address=one.address)
-            for one in stored.holders
+            Holder(
+                server_id=holder.server_id,
+                born_ms=holder.born_ms,
+                address=holder.address,
+            )
+            for holder in stored.holders
         ]
         spans = tuple(
             Span(
-                first=one.first,
-                last=one.last,
-                holder=holders[one.holder],
-                token=one.token,
-                former_holders=tuple(holders[place] for place in one.former_holders),
+                first=span.first,
+                last=span.last,
+                holder=holders[span.holder],
+                token=span.token,
+                former_holders=tuple(holders[index] for index in span.former_holders),
             )
-            for one in stored.spans
+            for span in stored.spans
         )
     except (msgspec.DecodeError, IndexError) as error:
         raise InputError(
-            f"the table of keys can't be read: {error}", step="read-table", peer=peer
+            f"the key table can't be decoded: {error}", step="read-table", peer=peer
         ) from error
     return KeyTable(
         service=stored.service, highest_token=stored.highest_token, spans=spans
@@ -171,12 +176,15 @@
 
 
 def _holders(table: KeyTable) -> list[Holder]:
-    """Return the holders in an order that moves between them do not change.
+    """Return the holders in an order that does not depend on the order of the spans.
 
-    By the order in which they appear, one move would shift the places in most spans,
-    and the whole table would be told to all hosts as changed.
+    If holders were listed in the order of their first span, a single move could change
+    the indexes in most spans, and the whole table would be sent to all hosts as
+    changed.
     """
     holders = {
-        one for span in table.spans for one in (span.holder, *span.former_holders)
+        holder for span in table.spans for holder in (span.holder, *span.former_holders)
     }
-    return sorted(holders, key=lambda one: (one.server_id, one.born_ms, one.address))
+    return sorted(
+        holders, key=lambda holder: (holder.server_id, holder.born_ms, holder.address)
+    )
--- a/src/gentianwharf/keyspace/_timing.py
+++ b/src/gentianwharf/keyspace/_timing.py
@@ -1,64 +1,66 @@
-"""For how long grants hold, and how long it takes to be sure that they don't."""
+"""The durations of grants, and the time after which they have certainly expired."""
 
 from dataclasses import dataclass
 from typing import final
 
 GRANT_S = 2.5
-"""How long a grant holds while the store answers. A server that is lost keeps its keys
-from being served for so long at the most; a new leader must be found and must have
-renewed all grants within it (last renewal 0.5 s, lease 1.2 s, election and renewal
-below 0.4 s)."""
+"""Duration of a grant while the store answers. It bounds how long the keys of a lost
+server are not served. Within it a new leader has to be elected and to renew all grants:
+last renewal 0.5 s, lease 1.2 s, election and renewal below 0.4 s."""
 
 RENEW_EVERY_S = 0.5
-"""A fifth of a grant: three renewals may be lost."""
+"""A fifth of a grant, so that three renewals may be lost."""
 
-MOST_RENEWALS_PER_S = 200.0
-"""More spans than a hundred are renewed less often. A renewal takes half a millisecond
-of a core, and the smallest hosts have four tenths of one for everything."""
+MAX_RENEWALS_PER_S = 200.0
+"""Beyond a hundred spans each is renewed less often. A renewal takes 0.5 ms of CPU
+time, and the smallest hosts have 0.4 of a core for everything."""
 
 NEXT_LEADER_S = 2.0
-"""Beyond one renewal a grant has to bridge the loss of a leader: lease 1.2 s, election
-and renewal 0.4 s, and some tenths for a store that is slow."""
+"""In addition to one renewal interval a grant has to last through the loss of a leader:
+lease 1.2 s, election and renewal 0.4 s, and some tenths of a second for a slow
+store."""
 
 UNREACHABLE_S = 1.2
-"""A holder that leaves every order for so long without an answer is taken for lost,
-before its entry lapses: two renewals and a try on a new connection."""
+"""A holder that answers no order for this time counts as lost before its entry expires.
+It covers two renewals and one attempt on a new connection."""
 
 PROBE_EVERY_S = 0.8
-"""An unreachable holder that is still listed is asked for a sign of life so often."""
+"""Interval of the probes of an unreachable holder that is still listed."""
 
 RETRY_EVERY_S = 0.3
-"""When a server did not answer an order: soon enough for a lost packet, and four
-tries before the next renewal is due."""
+"""Delay before an unanswered order is sent again: short enough to make up for a lost
+packet, with four tries before the next renewal is due."""
 
 LEADER_LEASE_S = 1.2
-"""The leader's lease in the store. Shorter, and a store that takes half a second for
-an answer would end it; longer, and grants run out before a new leader renews them."""
+"""The leader's lease in the store. If it were shorter, a store that takes 0.5 s for an
+answer would let it expire; if it were longer, grants would expire before a new leader
+renews them."""
 
 RENEW_LEASE_EVERY_S = 0.3
-"""The next renewal does not wait for an answer to the one before: three answers in a
+"""A renewal does not wait for the answer to the one before, so that three answers in a
 row may be lost."""
 
 STORE_SILENT_S = 1.0
-"""Without an answer for so long, grants are given for as long as servers take them."""
+"""If the store does not answer for this time, grants get the longest duration that the
+servers accept."""
 
 RENEW_WITHOUT_STORE_S = 5.0
-"""For how long a leader that does not hear from the store goes on renewing grants, each
-then for as long as servers take: together they bridge an outage of some 15 s. A next
-leader waits for so long before it takes a server that can't be reached for one without
-a grant."""
+"""For how long a leader without contact to the store goes on renewing grants, each for
+the longest duration that the servers accept; together this covers an outage of about
+15 s. The next leader waits for this time before it assumes that an unreachable server
+has no grant."""
 
 CLOCK_DRIFT = 1.02
-"""A server's clock that measures a grant may run 2 % slow."""
+"""A server's clock may run 2 % slow while it measures a grant."""
 
 MARGIN_S = 0.1
-"""Beside the drift, for an order's way from the kernel's buffer to the server."""
+"""Added to the drift, for the time from the kernel's send buffer to the server."""
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GrantTiming:
-    """The figures of a deployment; ``longest_grant_s`` is what its servers take."""
+    """Durations of a deployment; ``longest_grant_s`` is the longest accepted grant."""
 
     longest_grant_s: float
     grant_s: float = GRANT_S
@@ -67,18 +69,18 @@
     renew_without_store_s: float = RENEW_WITHOUT_STORE_S
 
     def renew_after_s(self, spans: int) -> float:
-        """Return how often to renew so many spans.
+        """Return the renewal interval for a number of spans.
 
         >>> timing = GrantTiming(longest_grant_s=10.0)
         >>> timing.renew_after_s(40), timing.renew_after_s(300)
         (0.5, 1.5)
         """
-        return max(self.renew_every_s, spans / MOST_RENEWALS_PER_S)
+        return max(self.renew_every_s, spans / MAX_RENEWALS_PER_S)
 
     def duration_s(self, *, store_silent_s: float, spans: int = 0) -> float:
-        """Return for how long to grant when the store was last heard of then.
+        """Return the duration of a grant, given the time since contact with the store.
 
-        While it is not heard, nobody may be able to renew for a while.
+        Without contact to the store, no host may be able to renew for a while.
 
         >>> timing = GrantTiming(longest_grant_s=10.0)
         >>> timing.duration_s(store_silent_s=0.0, spans=40)
@@ -94,15 +96,15 @@
         return min(max(self.grant_s, needed_s), self.longest_grant_s)
 
     def grant_expiry_s(self, *, ended_s: float, duration_s: float) -> float:
-        """Return when a grant has surely run out whose call ended at ``ended_s``."""
+        """Return when a grant whose call ended at ``ended_s`` has certainly expired."""
         return ended_s + duration_s * CLOCK_DRIFT + MARGIN_S
 
     def latest_grant_expiry_s(self, *, stopped_s: float) -> float:
-        """Return when no grant can hold any more of a process that has ended."""
+        """Return when all grants to a server that stopped have certainly expired."""
         return self.grant_expiry_s(ended_s=stopped_s, duration_s=self.longest_grant_s)
 
     def earlier_grants_expiry_s(self, *, took_over_s: float) -> float:
-        """Return when no grant of an earlier leader can hold any more."""
+        """Return when all grants of earlier leaders have certainly expired."""
         return self.latest_grant_expiry_s(
             stopped_s=took_over_s + self.renew_without_store_s
         )
