--- a/src/gentianwharf/store/__init__.py
+++ b/src/gentianwharf/store/__init__.py
@@ -1,4 +1,4 @@
-"""The store in which hosts agree on what must last, and a mirror of it on each host."""
+"""The store of the hosts' shared, lasting state, and a local mirror of it."""
 
 from ._mirror import (
     FULL_READ_AFTER_S,
--- a/src/gentianwharf/store/_mirror.py
+++ b/src/gentianwharf/store/_mirror.py
@@ -1,8 +1,9 @@
-"""A host's copy of the store's items, kept current by a watch or by another host's.
+"""A host's copy of the items in the store, updated by a watch or by another host.
 
-Load pattern: every change ends the watch of every host, and each next watch is paid. A
-host that is told the changes by one that watches lets its own watch rest. It goes back
-to it as soon as the other falls silent or has told of something that it never got.
+Load pattern: every change ends the watch of every host, and each new watch has a cost.
+A host that receives the changes from another host that watches therefore does not watch
+itself. It watches again as soon as the other host stops sending, or has sent a change
+that follows one which this host lacks.
 """
 
 from collections import deque
@@ -21,30 +22,30 @@
 from ._types import Events, HistoryGoneError, Item, Page, Removal, Store
 
 IDLE_CHECK_S = 0.1
-"""How often a host that is told the changes looks whether it still is."""
+"""Interval at which a host that receives changes checks whether it still does."""
 
 REISSUE_AFTER_S = 1.0
-"""How long a watch may leave out what another host has told of before it is asked anew:
-a store that is slow takes half a second. As long waits the watch that is asked then."""
+"""How long a watch may fail to return a change that another host has forwarded before
+it is issued again; a slow store takes 0.5 s. The new watch waits no longer either."""
 
 FULL_READ_AFTER_S = 1.5
-"""Beyond a watch's wait. Unheard for so long, a host reads what stands in the store: a
-watch brings every version of each value since then, and none of it can be used before
-its last byte has come over the host's link."""
+"""Added to the wait of a watch. Without contact for this time, a host reads all items
+instead: a watch returns every version of each value since then, and no change is usable
+before the last byte has arrived over the host's link."""
 
 MAX_REMOVALS = 1_000
-"""Kept to be told to hosts that lack them; one that lacks more is told everything."""
+"""Removals kept for hosts that lack them; a host that lacks more is sent all items."""
 
 FIRST_RETRY_DELAY_S = 0.2
 MAX_RETRY_DELAY_S = 0.7
-"""Between tries while the store fails, since what changed meanwhile has to be in force
-within two seconds of its return."""
+"""Delay between tries while the store fails. What changed in the meantime has to be in
+force within two seconds of the store's return."""
 
 EventsListener = Callable[[int, Events], None]
-"""Told what a watch brought, and the revision after which it was asked to begin."""
+"""Called with the revision after which a watch began, and what the watch returned."""
 
 Listener = Callable[[str, Item | None], None]
-"""Told of a key and its item, None when that is gone."""
+"""Called with a key and its item, None if the item was removed."""
 
 
 @final
@@ -68,7 +69,7 @@
         self.items: dict[str, Item] = {}
         self.is_current = False
         self.last_contact_s = float("-inf")
-        self._began_s = float(reactor.seconds())
+        self._created_s = float(reactor.seconds())
         self.lost_s: float | None = reactor.seconds()
         self.regained_s = float("-inf")
         self._store = store
@@ -82,49 +83,50 @@
         self._removals_after = 0
         self._failures = 0
         self._listeners: list[Listener] = []
-        self._running: Deferred[None] | None = None
-        self._watching: Deferred[Events] | None = None
+        self._following: Deferred[None] | None = None
+        self._pending_watch: Deferred[Events] | None = None
         self._full_wait_watch: Deferred[Events] | None = None
-        """The watch on its way, while it may wait for as long as it was asked to."""
+        """The pending watch, while it may still wait for as long as requested."""
 
     def add_listener(self, listener: Listener) -> None:
-        """Tell ``listener`` of every change from now on."""
+        """Call ``listener`` for every change from now on."""
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Begin to follow the store."""
-        self._running = Deferred.fromCoroutine(self._follow())
-        self._running.addErrback(_log_end)
+        """Start to follow the store."""
+        self._following = Deferred.fromCoroutine(self._follow())
+        self._following.addErrback(_log_end)
 
     def stop(self) -> None:
-        """Follow it no more."""
-        if self._running is not None:
-            self._running.cancel()
+        """Stop following the store."""
+        if self._following is not None:
+            self._following.cancel()
 
     def silent_s(self) -> float:
-        """Return for how long the store has not been heard, 0 while it is."""
+        """Return for how long the store has been out of contact, 0 if it is not."""
         if self.lost_s is None:
             return 0.0
         return float(self._reactor.seconds() - self.lost_s)
 
     def age_s(self) -> float:
-        """Return how old what is known may be: since the store or its teller was heard.
+        """Return the time since the last contact with the store or a forwarding host.
 
-        ``silent_s`` stays 0 for as long as a watch may still be answered.
+        This bounds the age of the copy, while ``silent_s`` is 0 for as long as a watch
+        may still be answered.
         """
-        since_s = max(self.last_contact_s, self._began_s)
+        since_s = max(self.last_contact_s, self._created_s)
         return float(self._reactor.seconds() - since_s)
 
     def apply_item(self, key: str, item: Item | None) -> None:
-        """Take what this host has itself written or read, ahead of the watch."""
+        """Apply an item that this host has written or read itself, before the watch."""
         known = self.items.get(key)
         if item is not None and (known is None or known.revision < item.revision):
             self._set(key, item)
 
     def apply_forwarded(self, events: Events, *, after_revision: int) -> None:
-        """Take the changes that another host's watch brought after a revision.
+        """Apply the changes that another host's watch returned after a revision.
 
-        If some are missing in between, the next watch fetches them from the store.
+        If changes in between are missing, the next watch fetches them from the store.
         """
         was_behind = self._is_behind()
         self._forwarded_revision = max(self._forwarded_revision, events.revision)
@@ -134,19 +136,19 @@
         if not was_behind:
             self._behind_since_s = self._reactor.seconds()
         if self._is_behind() and self._full_wait_watch is not None:
-            # The answer of a watch that was asked before may be lost. This host would
-            # wait for it, and for what it was told of, until that watch runs out.
+            # The answer to a watch that was issued earlier may be lost. Without this
+            # call the host would lack the change until that watch times out.
             watching, self._full_wait_watch = self._full_wait_watch, None
-            self._reactor.callLater(REISSUE_AFTER_S, self._give_up, watching)
+            self._reactor.callLater(REISSUE_AFTER_S, self._cancel_watch, watching)
 
     def apply_forwarded_page(self, page: Page) -> None:
-        """Take all that stands in the store, as another host has it."""
+        """Apply all items of the store, as forwarded by another host."""
         if self._is_newer(page):
             self._note_contact()
-            self._take_page(page)
+            self._apply_page(page)
 
     def page(self) -> Page | None:
-        """Return all that is known to stand in the store, None if that isn't sure."""
+        """Return all items of the store, None if the copy may be outdated."""
         if not self.is_current:
             return None
         return Page(items=tuple(self.items.values()), revision=self.revision)
@@ -154,27 +156,27 @@
     def _is_behind(self) -> bool:
         return self._forwarded_revision > self.revision
 
-    def _give_up(self, watching: "Deferred[Events]") -> None:
-        if self._is_behind() and watching is self._watching:
-            self._watching = None
+    def _cancel_watch(self, watching: "Deferred[Events]") -> None:
+        if self._is_behind() and watching is self._pending_watch:
+            self._pending_watch = None
             watching.cancel()
 
     def behind_s(self) -> float:
-        """Return for how long this mirror has lacked what it was told of, 0 if not."""
+        """Return for how long a forwarded change has been missing, 0 if none is."""
         if not self._is_behind():
             return 0.0
         return float(self._reactor.seconds() - self._behind_since_s)
 
     def changes_after(self, revision: int) -> Events | None:
-        """Return what a mirror lacks that knows a revision, None if that isn't known.
+        """Return the changes after a revision, None if they are not all known.
 
-        Of an item that changed several times only the last change is told.
+        Only the last change of each item is included.
         """
         if not self.is_current or revision < self._removals_after:
             return None
         known: list[Item | Removal] = [*self.items.values(), *self._removals]
-        changes = [one for one in known if one.revision > revision]
-        changes.sort(key=lambda one: one.revision)
+        changes = [change for change in known if change.revision > revision]
+        changes.sort(key=lambda change: change.revision)
         return Events(changes=tuple(changes), revision=self.revision)
 
     async def _follow(self) -> None:
@@ -197,9 +199,9 @@
             except CancelledError:
                 raise
             except Exception:
-                # A fault in reading one answer would end the copy: the host would
-                # learn nothing any more and go on as if nothing had changed.
-                log.exception("reading the store failed")
+                # An error in processing one answer must not end the copy: the host
+                # would get no more changes and go on as if nothing had changed.
+                log.exception("processing an answer of the store failed")
                 self._failures += 1
                 await deferLater(self._reactor, self._retry_delay_s())
 
@@ -207,40 +209,41 @@
         return self.age_s() > self.pace().wait_s + FULL_READ_AFTER_S
 
     async def _read(self) -> None:
-        silent_s, asked_s = self.silent_s(), self._reactor.seconds()
+        silent_s, requested_s = self.silent_s(), self._reactor.seconds()
         page = await self._store.items(self._prefix)
         self._note_contact()
         if silent_s > 0:
             events = Events(changes=page.items, revision=page.revision)
-            self._log_caught_up(events, asked_s=asked_s, superseded=0)
+            self._log_caught_up(events, requested_s=requested_s, superseded=0)
         if self._is_newer(page):
-            self._take_page(page)
+            self._apply_page(page)
 
     def _is_newer(self, page: Page) -> bool:
-        """Whether a page tells more than what is known.
+        """Whether a page is newer than this copy.
 
-        What another host has told meanwhile and the page not yet would be undone.
+        Applying an older page would undo changes that another host has forwarded in the
+        meantime.
         """
         return not self.is_current or page.revision > self.revision
 
-    def _take_page(self, page: Page) -> None:
+    def _apply_page(self, page: Page) -> None:
         found = {item.key: item for item in page.items}
         for key in [key for key in self.items if key not in found]:
-            # An item that was written after the first page is not gone.
+            # An item that was written after the page was read has not been removed.
             if self.items[key].revision <= page.revision:
                 self._set(key, None)
         for key, item in found.items():
             self.apply_item(key, item)
         self.revision = page.revision
-        # What went before this reading left no mark.
+        # Removals before this page are not known.
         self._removals.clear()
         self._removals_after = page.revision
         self.is_current = True
-        _guarded(self.on_read, peer=self._prefix, revision=page.revision)
+        _call_guarded(self.on_read, peer=self._prefix, revision=page.revision)
 
     async def _watch(self) -> None:
         after_revision, pace = self.revision, self.pace()
-        silent_s, asked_s = self.silent_s(), self._reactor.seconds()
+        silent_s, requested_s = self.silent_s(), self._reactor.seconds()
         events = await self._request(after_revision, pace)
         if events is None:
             return
@@ -248,11 +251,11 @@
         newest = _newest(events)
         if silent_s > 0:
             superseded = len(events.changes) - len(newest.changes)
-            self._log_caught_up(events, asked_s=asked_s, superseded=superseded)
+            self._log_caught_up(events, requested_s=requested_s, superseded=superseded)
         if newest.changes:
-            # Before this host uses them itself: a long list of rules takes tenths of a
-            # second, and every other host would learn of it that much later.
-            _guarded(
+            # This precedes the use of the changes on this host: processing a long list
+            # of rules takes tenths of a second, which would delay all other hosts.
+            _call_guarded(
                 lambda: self.on_events(after_revision, newest),
                 peer=self._prefix,
                 revision=events.revision,
@@ -262,60 +265,60 @@
             await deferLater(self._reactor, pace.batch_s)
 
     def _log_caught_up(
-        self, events: Events, *, asked_s: float, superseded: int
+        self, events: Events, *, requested_s: float, superseded: int
     ) -> None:
-        values = [one.value for one in events.changes if isinstance(one, Item)]
+        values = [change.value for change in events.changes if isinstance(change, Item)]
         log.info(
             "caught up with the store",
             extra={
                 "revision": events.revision,
-                "took_s": round(self._reactor.seconds() - asked_s, 3),
+                "took_s": round(self._reactor.seconds() - requested_s, 3),
                 "changes": len(events.changes),
                 "superseded": superseded,
-                "value_bytes": sum(len(one) for one in values),
+                "value_bytes": sum(len(value) for value in values),
             },
         )
 
     async def _request(self, after_revision: int, pace: WatchPace) -> Events | None:
-        """Return what a watch brings, None if it was given up to be asked anew."""
+        """Return the answer to a watch, None if it was cancelled to be issued again."""
         waits_in_full = not self._is_behind()
         call = self._store.watch(
             self._prefix,
             after_revision=after_revision,
             wait_s=pace.wait_s if waits_in_full else min(REISSUE_AFTER_S, pace.wait_s),
         )
-        watching = self._watching = Deferred.fromCoroutine(call)
+        watching = self._pending_watch = Deferred.fromCoroutine(call)
         self._full_wait_watch = watching if waits_in_full else None
         try:
             return await watching
         except (CancelledError, GentianwharfError):
-            if self._watching is watching:
+            if self._pending_watch is watching:
                 raise
             return None
         finally:
-            self._watching = self._full_wait_watch = None
+            self._pending_watch = self._full_wait_watch = None
 
     def _apply(self, events: Events) -> None:
         known_revision = self.revision
         self.revision = max(known_revision, events.revision)
         for change in events.changes:
             if change.revision <= known_revision:
-                # Told twice, by a watch and by another host: an item that was removed
-                # in between would come back.
+                # The change came twice, from a watch and from another host. Applied
+                # again, it would restore an item that was removed in between.
                 continue
             if isinstance(change, Item):
                 self.apply_item(change.key, change)
                 continue
-            self._keep_removal(change)
-            if self._is_known_before(change.key, change.revision):
+            self._record_removal(change)
+            if self._has_older(change.key, change.revision):
                 self._set(change.key, None)
 
-    def _keep_removal(self, removal: Removal) -> None:
+    def _record_removal(self, removal: Removal) -> None:
         if len(self._removals) == MAX_REMOVALS:
             self._removals_after = self._removals.popleft().revision
         self._removals.append(removal)
 
-    def _is_known_before(self, key: str, revision: int) -> bool:
+    def _has_older(self, key: str, revision: int) -> bool:
         known = self.items.get(key)
         return known is not None and known.revision < revision
 
@@ -325,7 +328,7 @@
         else:
             self.items[key] = item
         for listener in self._listeners:
-            _guarded(
+            _call_guarded(
                 partial(listener, key, item),
                 peer=key,
                 revision=item.revision if item is not None else None,
@@ -359,36 +362,37 @@
 
 
 def _newest(events: Events) -> Events:
-    """Return the last change of each key alone.
+    """Return only the last change of each key.
 
-    Operators may write many versions within one watch. Each of some thousand rules
-    holds a host for 0.3 s: ten kept it from its callers and its lease for 3.6 s.
+    Operators may write many versions within one watch. Processing one version with a
+    thousand rules blocks a host for 0.3 s; ten versions kept a host from answering
+    callers and from renewing its lease for 3.6 s.
     """
     latest: dict[str, Item | Removal] = {}
     for change in events.changes:
         known = latest.get(change.key)
-        # Not the last one in the answer: nothing promises their order.
+        # The order of changes within an answer is not guaranteed.
         if known is None or known.revision < change.revision:
             latest[change.key] = change
-    changes = sorted(latest.values(), key=lambda one: one.revision)
+    changes = sorted(latest.values(), key=lambda change: change.revision)
     return Events(changes=tuple(changes), revision=events.revision)
 
 
-def _guarded(call: Callable[[], None], *, peer: str, revision: int | None) -> None:
-    """Call a listener; an error of its own costs it this one call.
+def _call_guarded(call: Callable[[], None], *, peer: str, revision: int | None) -> None:
+    """Call a listener; an error in it affects only this call.
 
-    Raised from here, its error would pass over the other changes that came along, which
-    no later watch brings again, and could end the copy of every key.
+    If the error were raised here, the other changes of the same answer would be
+    skipped, which no later watch returns again, and the copy could end for every key.
     """
     try:
         call()
     except Exception:
         log.exception(
-            "what the store told could not be used",
+            "listener failed on a change in the store",
             extra={"step": "note-change", "peer": peer, "revision": revision},
         )
 
 
 def _log_end(failure: Any) -> None:
     if not failure.check(CancelledError):
-        log.error("the mirror of the store ended: {}", failure.getTraceback())
+        log.error("mirror of the store stopped: {}", failure.getTraceback())
--- a/src/gentianwharf/store/_pace.py
+++ b/src/gentianwharf/store/_pace.py
@@ -1,4 +1,4 @@
-"""How long a watch waits for something to change, and how soon the next one follows."""
+"""How long a watch waits for a change, and how soon the next watch follows."""
 
 from dataclasses import dataclass
 from typing import final
@@ -7,10 +7,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WatchPace:
-    """For how long a watch waits, and the pause after one that brought something.
+    """The wait of a watch, and the pause after a watch that returned changes.
 
-    Each watch is paid, whatever it brings; changes come in groups, one entry after
-    another.
+    Each watch has a cost, whatever it returns. Changes come in groups, one item after
+    another, so the pause lets the next watch return several of them.
     """
 
     wait_s: float
@@ -18,22 +18,22 @@
 
 
 MIN_WATCH_S = 0.8
-"""A store may leave a watch without an answer for good and still take other calls; only
-answers show that nothing was missed. A host that hears no other, or tells the others,
-is behind by this and by the time of an answer at the most."""
+"""A store may leave a watch unanswered for good and still serve other calls; only an
+answer shows that no change was missed. A host that receives no changes from another
+host, or forwards them, is behind by at most this time and the time of an answer."""
 
 FORWARDING_PACE = WatchPace(wait_s=MIN_WATCH_S, batch_s=0.05)
-"""Of the one that tells the others."""
+"""The pace of the host that forwards changes to the others."""
 
 MAX_WATCHES_PER_S = 250.0
-"""Of all hosts together while none tells the others. The store takes a few thousand
-calls a second, and this is the time when it has most to answer."""
+"""Watches of all hosts together while no host forwards changes. The store handles a few
+thousand calls a second, and its load is highest during this time."""
 
 MAX_WATCH_S = 20.0
 
 
 def default_pace(hosts: int) -> WatchPace:
-    """Return the pace of a host that watches for itself alone, as so many do.
+    """Return the pace of each of ``hosts`` hosts that watch only for themselves.
 
     >>> default_pace(9).wait_s, default_pace(2_000).wait_s
     (0.8, 8.0)
--- a/src/gentianwharf/store/_types.py
+++ b/src/gentianwharf/store/_types.py
@@ -1,4 +1,4 @@
-"""What a store with revisions, conditions, leases and watches says and is told."""
+"""The interface of a store with revisions, conditional writes, leases and watches."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -8,11 +8,11 @@
 
 
 class HistoryGoneError(GentianwharfError):
-    """The store no longer knows what happened after the revision asked for."""
+    """The store no longer has the changes after the requested revision."""
 
 
 class LeaseEndedError(GentianwharfError):
-    """The store knows no such lease any more."""
+    """The store has no such lease, or no longer has it."""
 
 
 @final
@@ -29,7 +29,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Removal:
-    """An item that is gone since ``revision``."""
+    """An item that was removed at ``revision``."""
 
     key: str
     revision: int
@@ -38,7 +38,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Page:
-    """What stands below a prefix; ``revision`` is the store's when it answered."""
+    """All items below a prefix; ``revision`` is the store's revision at the time."""
 
     items: tuple[Item, ...]
     revision: int
@@ -47,7 +47,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Events:
-    """Changes in their order; a next watch goes on after ``revision``."""
+    """Changes in order; the next watch continues after ``revision``."""
 
     changes: tuple[Item | Removal, ...]
     revision: int
@@ -66,9 +66,9 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """A change that takes effect whole, if every key has the revision given for it.
+    """A change that is made as a whole if every expected key has its given revision.
 
-    A revision of 0 says that there is no such key.
+    An expected revision of 0 means that the key must not exist.
     """
 
     expected: Mapping[str, int] = field(default_factory=dict)
@@ -77,32 +77,33 @@
 
 
 class Store(Protocol):
-    """Calls to the store, each bounded in time.
+    """Calls to the store, each with a bounded duration.
 
-    ``PeerUnavailableError``: the store did nothing. ``OutcomeUnknownError``: the call
-    may have taken effect, or may still do so seconds later.
+    All of them raise ``PeerUnavailableError`` if the store did nothing, and
+    ``OutcomeUnknownError`` if the call may have taken effect or may still take effect
+    seconds later.
     """
 
     async def items(self, prefix: str) -> Page:
-        """Return all items below a prefix, as of the revision that is returned."""
+        """Return all items below a prefix, as of the returned revision."""
 
     async def item(self, key: str) -> Item | None:
-        """Return an item, None if there is none."""
+        """Return an item, None if it does not exist."""
 
     async def watch(self, prefix: str, *, after_revision: int, wait_s: float) -> Events:
-        """Return what changed below a prefix, waiting ``wait_s`` for something.
+        """Return the changes below a prefix, waiting up to ``wait_s`` for the first.
 
-        Raises ``HistoryGoneError`` when the items have to be read anew.
+        Raises ``HistoryGoneError`` if all items have to be read again.
         """
 
     async def change(self, change: Change) -> int:
-        """Make a change and return its revision; ``ConflictError`` on a condition."""
+        """Make a change, return its revision; ``ConflictError`` if a check fails."""
 
     async def open_lease(self, duration_s: float) -> int:
-        """Open a lease that lasts so long from the arrival of the call."""
+        """Open a lease that lasts ``duration_s`` from the arrival of the call."""
 
     async def renew_lease(self, lease_id: int) -> float:
-        """Let a lease begin anew; ``LeaseEndedError`` when it is over."""
+        """Restart the duration of a lease; ``LeaseEndedError`` if it has ended."""
 
     async def end_lease(self, lease_id: int) -> None:
-        """End a lease; its items go at once."""
+        """End a lease; its items are removed at once."""
--- a/src/gentianwharf/topology/__init__.py
+++ b/src/gentianwharf/topology/__init__.py
@@ -1,4 +1,4 @@
-"""What there is: failure domains, hosts, services and backend servers."""
+"""The configured entities: failure domains, hosts, services and backend servers."""
 
 from ._entities import BackendServer, Domain, Host, Service
 
--- a/src/gentianwharf/topology/_entities.py
+++ b/src/gentianwharf/topology/_entities.py
@@ -1,4 +1,4 @@
-"""Entities as plain frozen data; tables of them belong to the systems using them."""
+"""Entities as plain frozen data; each subsystem keeps its own tables of them."""
 
 from dataclasses import dataclass, field
 from typing import final
@@ -7,7 +7,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Domain:
-    """A failure domain and the data centre (``site``) that it stands in."""
+    """A failure domain and the data centre (``site``) that it is located in."""
 
     name: str
     site: str
@@ -16,7 +16,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Host:
-    """An entry host; ``peer_address`` is ``ip:port`` for its fellow hosts."""
+    """An entry host; other hosts reach it at ``peer_address``, an ``ip:port``."""
 
     id: str
     domain: str
@@ -28,8 +28,8 @@
 class BackendServer:
     """A backend server of one service.
 
-    ``checks_giver``, ``knows_validity`` and ``gives_stamp`` are the capabilities
-    that its adapter declares; the weakest server has none and knows tokens alone.
+    ``checks_giver``, ``knows_validity`` and ``gives_stamp`` are the capabilities that
+    its adapter declares. A server with none of them checks fencing tokens only.
     """
 
     id: str
@@ -46,9 +46,9 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Service:
-    """A service and its backend servers; only a keyed one is divided by key.
+    """A service and its backend servers; only a keyed service is sharded.
 
-    ``shards`` is fixed for the life of a keyed service, 0 for the others.
+    ``shards`` is fixed for the lifetime of a keyed service, and 0 for other services.
     """
 
     name: str
