--- a/src/gentianwharf/keyspace/_plan.py
+++ b/src/gentianwharf/keyspace/_plan.py
@@ -54,8 +54,8 @@
 """Share of a server's fair load from which a single shard counts as hot."""
 
 MIN_SPEED_RATIO = 1.2
-"""Ratio of speeds from which a hot shard moves to a faster server. Speeds are known to
-within about a tenth, and each move makes the shard unavailable for a moment."""
+"""Ratio of speeds from which a hot shard moves to a faster server. Speeds are measured
+to within about a tenth, and each move makes the shard unavailable for a moment."""
 
 MAX_PIECE_RATIO = 1.2
 """Ratio by which a piece may exceed the wanted load."""
--- a/src/gentianwharf/keyspace/_previous_leader.py
+++ b/src/gentianwharf/keyspace/_previous_leader.py
@@ -1,4 +1,4 @@
-"""The record of a leader, which tells its successor which grants may still be valid."""
+"""The record of a leader for its successor: which grants may still be valid."""
 
 from dataclasses import dataclass, field
 from typing import final
--- a/tests/builders_keyspace.py
+++ b/tests/builders_keyspace.py
@@ -202,7 +202,7 @@
     clock: Clock,
     duration_s: float,
     *,
-    look: Callable[[], None] = lambda: None,
+    check: Callable[[], None] = lambda: None,
     store_contact: bool = True,
 ) -> None:
     """Let a manager work, with the store heard all the while unless told otherwise."""
@@ -210,5 +210,5 @@
         if store_contact:
             manager.note_store_contact(clock.seconds())
         manager.tick()
-        look()
+        check()
         clock.advance(0.05)
--- a/tests/builders_keyspace_hosts.py
+++ b/tests/builders_keyspace_hosts.py
@@ -268,12 +268,12 @@
     clock: Clock,
     duration_s: float,
     *hosts: LeadingHost,
-    look: Callable[[], None] = lambda: None,
+    check: Callable[[], None] = lambda: None,
 ) -> None:
     """Let hosts work side by side."""
     for _ in range(round(duration_s / 0.05)):
         for one in hosts:
             one.store.expire()
             one.tick()
-        look()
+        check()
         clock.advance(0.05)
--- a/tests/test_keyspace_demand.py
+++ b/tests/test_keyspace_demand.py
@@ -1,4 +1,4 @@
-"""What hosts report becomes how busy shards are and how fast servers work."""
+"""Tests of ``Demand``: the load of shards and the speeds of servers from reports."""
 
 from twisted.internet.task import Clock
 
@@ -32,7 +32,7 @@
     assert load.share(500, 500) > 0.1
 
 
-def test_key_that_is_hot_no_more_is_forgotten_within_seconds() -> None:
+def test_key_that_is_no_longer_hot_decays_within_seconds() -> None:
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     demand.note_requests({500: 100})
@@ -42,7 +42,7 @@
     assert demand.load(SHARDS).share(500, 500) < 0.02
 
 
-def test_faster_server_is_found_by_how_long_its_answers_take() -> None:
+def test_faster_server_is_detected_by_its_service_time() -> None:
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     for _ in range(10):
@@ -55,11 +55,11 @@
     assert demand.speed("unknown") == 1.0
 
 
-def test_server_that_is_full_is_not_taken_for_slow() -> None:
-    """A hot key's server is slow because it is full, not because it is slow.
+def test_full_server_is_not_measured_as_slow() -> None:
+    """A hot key's server answers late because it is full, not because it is slow.
 
-    It runs six at a time and finishes sixty a second, each within a tenth of a second,
-    though its callers wait for half a second.
+    It runs six requests at a time and finishes sixty a second, each within 0.1 s,
+    although callers wait for 0.5 s.
     """
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
@@ -73,10 +73,10 @@
     assert 0.85 < demand.speed("full") < 1.15
 
 
-def test_slow_server_that_is_full_is_found() -> None:
-    """Families at a slow server wait for a second, and nothing is moved off it.
+def test_slow_server_that_is_full_is_detected() -> None:
+    """Guards against a slow server that stays full since no load moves off it.
 
-    All of its answers waited, so none of them says how long the work takes by itself.
+    All of its answers were queued, so none of them contains a plain service time.
     """
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
@@ -91,7 +91,7 @@
     assert demand.speed("slow") < 0.75
 
 
-def test_refusals_are_no_work() -> None:
+def test_rejected_requests_do_not_count_as_executed() -> None:
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     for _ in range(100):
@@ -103,10 +103,10 @@
     assert 0.85 < demand.speed("full") < 1.15
 
 
-def test_first_measure_replaces_the_guess_at_once() -> None:
-    """A slow server is full from the first second, and its callers wait.
+def test_first_measurement_replaces_the_default_speed() -> None:
+    """A slow server would be full from the first second until its speed is measured.
 
-    Its shards are a part like all others', until its speed is known.
+    Until then its share of the shards is the same as that of other servers.
     """
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
@@ -116,11 +116,11 @@
     assert demand.speed("slow") < 0.8
 
 
-def test_server_that_owes_its_answers_counts_as_slow() -> None:
-    """Secretaries wait a second for nothing, and their club's keys stay where they are.
+def test_server_with_unanswered_requests_counts_as_slow() -> None:
+    """Guards against a slow server that keeps its keys because it reports no times.
 
-    Its server takes five times as long. Whoever asks has given up before the answer
-    comes, so that no answer tells how long it takes.
+    It takes five times as long as other servers, so callers give up before the answer
+    and no answer shows how long it takes.
     """
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
@@ -136,7 +136,7 @@
     assert demand.speed("other") == 1.0
 
 
-def test_answers_that_are_lost_now_and_then_make_no_server_slow() -> None:
+def test_occasionally_lost_answers_do_not_count_as_slow() -> None:
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     for _ in range(20):
@@ -150,7 +150,7 @@
     assert demand.speed("lossy") > 0.9
 
 
-def test_server_that_answers_again_is_taken_for_what_it_is() -> None:
+def test_speed_of_a_server_that_answers_again_recovers() -> None:
     clock = Clock()
     demand = Demand(now_s=clock.seconds)
     for second in range(60):
--- a/tests/test_keyspace_interleavings.py
+++ b/tests/test_keyspace_interleavings.py
@@ -1,9 +1,10 @@
-"""No shard has two holders, whatever fails together and in whichever order.
+"""No shard has two holders, whichever faults coincide and in whichever order.
 
-Each seed is a minute of three hosts and four servers on a virtual clock: hosts are cut
-off from the store, stand still, come back and resign; servers fall silent, can't be
-reached, lose answers, carry grants out late, are slow to release, leave and return; the
-store is down or loses answers. A seed that ever failed stays in the list as it is.
+Each seed simulates three hosts and four servers on a virtual clock, with faults for 45
+seconds. Hosts are cut off from the store, are suspended, come back and resign. Servers
+stop answering, become unreachable, lose answers, execute grants late, are slow to
+release, leave and return. The store is down or loses answers. A seed that has ever
+failed stays in the list.
 """
 
 import random
@@ -19,11 +20,11 @@
 STEP_S = 0.05
 FAULTY_S = 45.0
 CALM_S = 30.0
-LOOKED_AT = range(0, SHARDS, 37)
+CHECKED_SHARDS = range(0, SHARDS, 37)
 SERVERS = (1, 2, 3, 4)
 
 
-class Minute:
+class Simulation:
     """Hosts, servers and a store, with faults drawn from a seed."""
 
     def __init__(self, seed: int) -> None:
@@ -47,7 +48,7 @@
             self.servers[number].drift = self.rng.choice([1.0, 1.02])
 
     def run(self, duration_s: float, *, faulty: bool) -> None:
-        """Let the hosts work, and look at every step."""
+        """Let the hosts work, and check every step."""
         for _ in range(round(duration_s / STEP_S)):
             if faulty and self.rng.random() < 0.06:
                 self.rng.choice(self._faults())()
@@ -56,11 +57,11 @@
                 if self.paused.get(host.name, 0.0) <= self.clock.seconds():
                     host.tick()
             self.clock.advance(STEP_S)
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Check that no shard has two holders."""
-        for shard in LOOKED_AT:
+        for shard in CHECKED_SHARDS:
             holders = self.servers.holders(shard)
             assert len(holders) <= 1, f"{self.clock.seconds():.2f}: {shard} {holders}"
 
@@ -131,15 +132,15 @@
 
 @pytest.mark.parametrize("seed", range(120))
 def test_no_shard_has_two_holders_and_all_are_served_in_the_end(seed: int) -> None:
-    """Two servers change one member's record, and one of the changes is lost.
+    """Guards against a lost change of a record that two servers change at a time.
 
-    It takes several faults at a time: a leader that stands still while another takes
-    over, an order that arrives after the one that undoes it.
+    It takes several faults at a time: a suspended leader while another host takes over,
+    or an order that arrives after the one that revokes it.
     """
-    minute = Minute(seed)
-    minute.run(3.0, faulty=False)
-    minute.run(FAULTY_S, faulty=True)
-    minute.heal()
-    minute.run(CALM_S, faulty=False)
-    for shard in LOOKED_AT:
-        assert minute.servers.holders(shard), f"shard {shard} is served nowhere"
+    simulation = Simulation(seed)
+    simulation.run(3.0, faulty=False)
+    simulation.run(FAULTY_S, faulty=True)
+    simulation.heal()
+    simulation.run(CALM_S, faulty=False)
+    for shard in CHECKED_SHARDS:
+        assert simulation.servers.holders(shard), f"no server holds shard {shard}"
--- a/tests/test_keyspace_keeper.py
+++ b/tests/test_keyspace_keeper.py
@@ -1,4 +1,4 @@
-"""No shard has two holders, whatever becomes of orders and of those who give them."""
+"""Tests of ``GrantManager``: no shard has two holders, whatever fails."""
 
 import logbook
 from twisted.internet.task import Clock
@@ -21,7 +21,7 @@
     manager = manager_of(servers)
     manager.follow(table(span(0, 9, 1)))
     run_manager(manager, clock, 0.1)
-    run_manager(manager, clock, 20.0, look=lambda: _assert_holds(servers[1], 5))
+    run_manager(manager, clock, 20.0, check=lambda: _assert_holds(servers[1], 5))
 
 
 def _assert_holds(server: GrantingServer, shard: int) -> None:
@@ -29,10 +29,11 @@
 
 
 def test_move_waits_for_the_work_on_its_shards() -> None:
-    """Two servers change one member's record at the same time.
+    """The next holder is granted a shard only after the work on it has finished.
 
-    The former holder still works on the shard when it is told to release it; it
-    answers when that work has ended. Only then may the next one be granted it.
+    A former holder still executes requests when it gets the release, and answers when
+    they have ended. Granted earlier, two servers would change the same record at a
+    time.
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
@@ -59,21 +60,22 @@
 
 
 def test_silent_holder_is_waited_out() -> None:
-    """A dues posting runs on two servers, each of which thinks that it has the key.
+    """A former holder that does not answer keeps the shard until its grant expires.
 
-    The holder is cut off from us, but not from others: it goes on until its last
-    grant has run out by its own clock, which is two in a hundred slow.
+    It is cut off from the leader, but not from callers, and goes on until its last
+    grant has expired by its own clock, which is 2 % slow. Until then no other server
+    may hold the shard.
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
     servers[1].drift = 1.02
     manager = manager_of(servers)
     manager.follow(table(span(0, 9, 1)))
-    # Past the time in which an earlier leader's grants may still hold.
+    # By then all grants of an earlier leader have expired.
     run_manager(manager, clock, 16.0)
     servers[1].is_silent = True
     manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
-    run_manager(manager, clock, 8.0, look=lambda: _assert_one(servers, 5))
+    run_manager(manager, clock, 8.0, check=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
 
 
@@ -81,11 +83,12 @@
     assert len(servers.holders(shard)) <= 1
 
 
-def test_new_leader_waits_for_what_an_earlier_one_may_have_granted() -> None:
+def test_new_leader_waits_for_grants_of_an_earlier_leader() -> None:
     """The leader is lost together with a server, and the server comes back.
 
-    The next leader knows nothing of the last renewals. The earlier one may go on
-    renewing for a while without the store, for as long as servers take.
+    The new leader does not have the times of the last renewals. The earlier leader may
+    have renewed without the store for a while, for the longest duration that servers
+    accept.
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
@@ -98,8 +101,8 @@
     assert servers[2].holds(5)
 
 
-def test_renewal_that_arrives_after_the_release_is_shut_out() -> None:
-    """A renewal overtaken by the release gives the former holder its keys again."""
+def test_renewal_that_arrives_after_the_release_is_refused() -> None:
+    """A renewal that is overtaken by the release must not give the keys back."""
     clock = Clock()
     servers = Servers(clock, 1, 2)
     manager = manager_of(servers)
@@ -116,9 +119,9 @@
 
 
 def test_leader_without_the_store_stops_renewing_in_time() -> None:
-    """A leader that is cut off from the store renews grants for ever.
+    """A leader that is cut off from the store must not renew grants for ever.
 
-    Another host leads by now, and waits until the last of them has run out.
+    Another host leads by then, and waits until the last of these grants has expired.
     """
     clock = Clock()
     servers = Servers(clock, 1)
@@ -133,7 +136,7 @@
 
 
 def test_grants_bridge_an_outage_of_the_store() -> None:
-    """The store is away for ten seconds, and no key is served for most of them."""
+    """Keys stay served while the store is down for ten seconds."""
     clock = Clock()
     servers = Servers(clock, 1)
     manager = manager_of(servers)
@@ -144,15 +147,15 @@
         clock,
         12.0,
         store_contact=False,
-        look=lambda: _assert_holds(servers[1], 5),
+        check=lambda: _assert_holds(servers[1], 5),
     )
 
 
-def test_server_that_can_t_be_reached_runs_out_of_its_grants() -> None:
-    """A failure domain is cut off, and its keys are served nowhere for seven seconds.
+def test_grants_of_an_unreachable_server_expire() -> None:
+    """Guards against keys that are not served for seconds after a domain is cut off.
 
-    Each try to renew a grant counted as if it had arrived, so that the wait for the
-    last grant began anew with each, though no connection was made.
+    Each attempt to renew a grant counted as if it had arrived, so that the wait for the
+    last grant started again with each, although no connection was made.
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
@@ -162,12 +165,12 @@
     servers[1].is_unreachable = True
     run_manager(manager, clock, 3.0)
     manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
-    run_manager(manager, clock, 1.0, look=lambda: _assert_one(servers, 5))
+    run_manager(manager, clock, 1.0, check=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
 
 
-def test_server_that_was_born_again_is_not_waited_for() -> None:
-    """A server was born again, and answers at its address for its former life."""
+def test_restarted_server_is_not_waited_for() -> None:
+    """A server was restarted under its id, and answers for its former instance."""
     clock = Clock()
     servers = Servers(clock, 1, 2)
     manager = manager_of(servers)
@@ -178,11 +181,11 @@
     assert servers[2].holds(5)
 
 
-def test_server_whose_address_another_has_is_not_waited_for() -> None:
-    """A lost server's keys wait for a grant that nobody has any more.
+def test_server_whose_address_was_reassigned_is_not_waited_for() -> None:
+    """Guards against a wait for a grant that no server has any more.
 
-    Its machine was given to a server of another service, which answers that it is not
-    the one that is meant: so the first one has ended, and its grant with it.
+    The machine of a lost server was assigned to a server of another service, which
+    answers that it is not the intended one: the first server and its grant have ended.
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
@@ -193,11 +196,11 @@
     assert servers[2].holds(5)
 
 
-def test_address_of_an_ended_server_gets_no_grant_for_its_successor() -> None:
-    """Two servers of one service have had the same keys under the same token.
+def test_successor_at_an_address_gets_no_grant_of_the_ended_server() -> None:
+    """Guards against two servers that hold the same keys under the same token.
 
-    One ends and another starts at its address before its entry lapses. The renewal
-    meant for the first one goes to the second.
+    A server ends, and another one starts at its address before its entry expires. The
+    renewal for the first server would reach the second one.
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
@@ -209,7 +212,7 @@
     run_manager(manager, clock, 2.0)
     assert not successor.orders
     assert manager.holders.unreachable() == {holder(1)}
-    # The first one has ended, and nobody has to wait for its grant.
+    # The first server has ended, so its grant is not waited for.
     manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 0.5)
     assert servers[2].holds(5)
@@ -228,10 +231,11 @@
 
 
 def test_holder_that_answers_nothing_is_unreachable_until_it_answers() -> None:
-    """A server is cut off, and its keys are served again a second late.
+    """A server that is cut off counts as unreachable before its entry expires.
 
-    Its entry lapses only after three heartbeats. When the way is open again it must
-    be asked for a sign of life, or it would never get keys any more.
+    The entry expires only after three missed heartbeats, which would leave its keys
+    unserved for a second longer. Once the server can be reached again, it has to be
+    probed, or it would never get keys again.
     """
     clock = Clock()
     servers = Servers(clock, 1, 2)
@@ -244,14 +248,14 @@
     run_manager(manager, clock, 2.0)
     assert manager.holders.unreachable() == {holder(1)}
     manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
-    run_manager(manager, clock, 2.0, look=lambda: _assert_one(servers, 5))
+    run_manager(manager, clock, 2.0, check=lambda: _assert_one(servers, 5))
     assert servers[2].holds(5)
     servers[1].is_unreachable = False
     run_manager(manager, clock, 1.0)
     assert not manager.holders.unreachable()
 
 
-def test_host_that_leads_no_more_gives_no_orders() -> None:
+def test_host_that_no_longer_leads_sends_no_orders() -> None:
     clock = Clock()
     servers = Servers(clock, 1)
     manager = manager_of(servers)
@@ -263,8 +267,8 @@
     assert len(servers[1].orders) == orders
 
 
-def test_refusal_that_lasts_is_one_line_in_the_log() -> None:
-    """An on-call engineer looks for a cause among a thousand equal lines."""
+def test_lasting_refusal_is_logged_once() -> None:
+    """A refusal that is repeated with each retry must not flood the log."""
     clock = Clock()
     servers = Servers(clock, 1)
     servers[1].tokens = dict.fromkeys(range(10), 9)
@@ -272,30 +276,36 @@
     manager.follow(table(span(0, 9, 1)))
     with logbook.TestHandler(level="INFO") as handler:
         run_manager(manager, clock, 10.0)
-    refused = [one for one in handler.records if one.message == "grant refused"]
+    refused = [
+        record for record in handler.records if record.message == "grant refused"
+    ]
     assert len(refused) == 1
     assert len(servers[1].orders) > 10
 
 
-def test_new_leader_of_many_servers_gives_its_orders_in_turns() -> None:
-    """A host with four tenths of a core takes the lead over 85 servers.
+def test_new_leader_of_many_servers_limits_orders_in_flight() -> None:
+    """A host with 0.4 of a core becomes the leader of 85 servers.
 
-    It gave 300 grants at once, which took it longer than an answer may take: every
-    server seemed out of reach, it gave the lead up, and so did the next one.
+    It sent 300 grants at once, which took it longer than the timeout of an answer:
+    every server appeared to be unreachable, the host gave up the leadership, and the
+    next leader did the same.
     """
     clock = Clock()
     servers = Servers(clock, *range(1, 86))
     manager = manager_of(servers)
     spans = [span(3 * n, 3 * n + 2, 1 + n % 85) for n in range(300)]
-    for one in range(1, 86):
-        servers[one].late_s = 0.01
+    for number in range(1, 86):
+        servers[number].late_s = 0.01
     manager.follow(table(*spans))
     manager.note_store_contact(clock.seconds())
     manager.tick()
-    assert sum(len(servers[one].orders) for one in range(1, 86)) <= MAX_ORDERS_IN_FLIGHT
+    assert (
+        sum(len(servers[number].orders) for number in range(1, 86))
+        <= MAX_ORDERS_IN_FLIGHT
+    )
 
 
-def test_silent_servers_do_not_hold_up_the_others() -> None:
+def test_unanswered_orders_do_not_delay_other_servers() -> None:
     """A failure domain with a third of the servers is lost at once."""
     clock = Clock()
     servers = Servers(clock, *range(1, 86))
@@ -303,18 +313,18 @@
     spans = [span(3 * n, 3 * n + 2, 1 + n % 85) for n in range(300)]
     manager.follow(table(*spans))
     run_manager(manager, clock, 3.0)
-    for one in range(1, 30):
-        servers[one].is_silent = True
+    for number in range(1, 30):
+        servers[number].is_silent = True
     run_manager(manager, clock, 1.0)
 
-    def look() -> None:
-        for one in spans[40:85]:
-            assert servers.by_address[one.holder.address].holds(one.first)
+    def check() -> None:
+        for granted in spans[40:85]:
+            assert servers.by_address[granted.holder.address].holds(granted.first)
 
-    run_manager(manager, clock, 10.0, look=look)
+    run_manager(manager, clock, 10.0, check=check)
 
 
-def test_silent_server_that_answers_again_gets_all_its_shards_back() -> None:
+def test_server_that_answers_again_gets_all_its_shards_back() -> None:
     clock = Clock()
     servers = Servers(clock, 1, 2)
     manager = manager_of(servers)
@@ -325,4 +335,4 @@
     run_manager(manager, clock, 5.0)
     servers[1].is_silent = False
     run_manager(manager, clock, 5.0)
-    assert all(servers[1].holds(one.first) for one in spans[::2])
+    assert all(servers[1].holds(granted.first) for granted in spans[::2])
--- a/tests/test_keyspace_leadership.py
+++ b/tests/test_keyspace_leadership.py
@@ -44,7 +44,7 @@
 def test_first_leader_deals_out_all_shards() -> None:
     clock = Clock()
     store, servers, hosts = make_hosts(clock, "a", "b")
-    run_hosts(clock, 2.0, *hosts, look=lambda: one_each(servers))
+    run_hosts(clock, 2.0, *hosts, check=lambda: one_each(servers))
     assert served(servers)
     assert [host.leads for host in hosts].count(True) == 1
     item = store.items_by_key[TABLE_KEY]
@@ -62,7 +62,7 @@
     leader, other = (first, second) if first.leads else (second, first)
     before = store.items_by_key[TABLE_KEY].revision
     leader.hears_store = False
-    run_hosts(clock, 15.0, other, look=lambda: _assert_served(servers))
+    run_hosts(clock, 15.0, other, check=lambda: _assert_served(servers))
     assert other.leads
     assert store.items_by_key[TABLE_KEY].revision == before
 
@@ -81,13 +81,13 @@
     run_hosts(clock, 3.0, first, second)
     leader, other = (first, second) if first.leads else (second, first)
     leader.hears_store = False
-    run_hosts(clock, 6.0, other, look=lambda: one_each(servers))
+    run_hosts(clock, 6.0, other, check=lambda: one_each(servers))
     other.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
-    run_hosts(clock, 3.0, other, look=lambda: one_each(servers))
+    run_hosts(clock, 3.0, other, check=lambda: one_each(servers))
     orders = sum(len(servers[number].orders) for number in (1, 2, 3))
     leader.tick()
     assert sum(len(servers[number].orders) for number in (1, 2, 3)) == orders
-    run_hosts(clock, 3.0, leader, other, look=lambda: one_each(servers))
+    run_hosts(clock, 3.0, leader, other, check=lambda: one_each(servers))
     assert not leader.leads
     assert served(servers)
 
@@ -99,7 +99,7 @@
     run_hosts(clock, 3.0, first, second)
     lease_id = store.items_by_key[LEADER_KEY].lease_id
     del store.leases[lease_id]
-    run_hosts(clock, 3.0, first, second, look=lambda: one_each(servers))
+    run_hosts(clock, 3.0, first, second, check=lambda: one_each(servers))
     assert [first.leads, second.leads].count(True) == 1
     assert store.items_by_key[LEADER_KEY].lease_id != lease_id
     assert served(servers)
@@ -127,7 +127,7 @@
     # The last renewal is half a second old at the most, and may be on its way.
     assert TIMING.grant_s * 0.75 < held_s < TIMING.grant_s * 1.02 + 0.6
     Deferred.fromCoroutine(leader.leadership.resign(held_s, campaign_pause_s=10.0))
-    run_hosts(clock, 0.3, first, second, look=lambda: one_each(servers))
+    run_hosts(clock, 0.3, first, second, check=lambda: one_each(servers))
     assert other.leads
 
 
@@ -146,7 +146,7 @@
         leader.leadership.resign(leader.manager.holders.held_s(), campaign_pause_s=60.0)
     )
     other.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
-    run_hosts(clock, 5.0, other, look=lambda: one_each(servers))
+    run_hosts(clock, 5.0, other, check=lambda: one_each(servers))
     assert served(servers)
     word = decode_previous_leader(store.items_by_key[PREVIOUS_LEADER_KEY])
     assert word is not None
@@ -191,10 +191,10 @@
     # It goes on renewing for all it is worth, cut off from the store.
     servers[1].is_silent = True
     last.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
-    run_hosts(clock, 12.0, last, look=lambda: one_each(servers))
+    run_hosts(clock, 12.0, last, check=lambda: one_each(servers))
     assert last.leads
     assert not served(servers)
-    run_hosts(clock, 8.0, last, look=lambda: one_each(servers))
+    run_hosts(clock, 8.0, last, check=lambda: one_each(servers))
     assert served(servers)
 
 
@@ -208,9 +208,9 @@
     run_hosts(clock, 3.0, host)
     store.loses_answers = True
     host.planner.set_candidates(SERVICE, [candidate(1), candidate(2)])
-    run_hosts(clock, 2.0, host, look=lambda: one_each(servers))
+    run_hosts(clock, 2.0, host, check=lambda: one_each(servers))
     store.loses_answers = False
-    run_hosts(clock, 8.0, host, look=lambda: one_each(servers))
+    run_hosts(clock, 8.0, host, check=lambda: one_each(servers))
     assert served(servers)
     assert not servers[3].holds(0)
 
@@ -220,9 +220,9 @@
     store, servers, hosts = make_hosts(clock, "a", "b")
     run_hosts(clock, 3.0, *hosts)
     store.is_down = True
-    run_hosts(clock, 10.0, *hosts, look=lambda: _assert_served(servers))
+    run_hosts(clock, 10.0, *hosts, check=lambda: _assert_served(servers))
     store.is_down = False
-    run_hosts(clock, 4.0, *hosts, look=lambda: _assert_served(servers))
+    run_hosts(clock, 4.0, *hosts, check=lambda: _assert_served(servers))
     assert [host.leads for host in hosts].count(True) == 1
 
 
--- a/tests/test_keyspace_order_of_news.py
+++ b/tests/test_keyspace_order_of_news.py
@@ -80,7 +80,7 @@
     news = {"living": case.living, "former": case.former}
     manager.note_listed([*(news[one] for one in case.listed), other])
     manager.follow(_table(other, 2, former_holders=(case.living,)))
-    run_manager(manager, clock, 5.0, look=lambda: _assert_one(addresses))
+    run_manager(manager, clock, 5.0, check=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
 
@@ -105,7 +105,7 @@
     assert addresses.holders(SHARD) == [next_life]
     manager.note_listed([next_life, other])
     manager.follow(_table(other, 2, former_holders=(first_life,)))
-    run_manager(manager, clock, 1.0, look=lambda: _assert_one(addresses))
+    run_manager(manager, clock, 1.0, check=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
 
@@ -138,7 +138,7 @@
     run_manager(former, clock, 1.0, store_contact=False)
     addresses.start("a", X)
     run_manager(
-        former, clock, 1.5, store_contact=False, look=lambda: _assert_one(addresses)
+        former, clock, 1.5, store_contact=False, check=lambda: _assert_one(addresses)
     )
 
 
@@ -157,7 +157,7 @@
         addresses.end(X)
         addresses.start(f"next-{number}", X)
     manager.follow(_table(other, 2, former_holders=(ended,)))
-    run_manager(manager, clock, 0.2, look=lambda: _assert_one(addresses))
+    run_manager(manager, clock, 0.2, check=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
 
