--- a/tests/test_keyspace_leadership.py
+++ b/tests/test_keyspace_leadership.py
@@ -1,4 +1,4 @@
-"""One host leads, another follows it soon, and no shard has two holders meanwhile."""
+"""Leader election: one host leads at a time, and no shard has two holders."""
 
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
@@ -37,14 +37,14 @@
     return all(len(servers.holders(shard)) == 1 for shard in ALL)
 
 
-def one_each(servers: Servers) -> None:
+def check_one_holder(servers: Servers) -> None:
     assert all(len(servers.holders(shard)) <= 1 for shard in ALL)
 
 
-def test_first_leader_deals_out_all_shards() -> None:
+def test_first_leader_assigns_all_shards() -> None:
     clock = Clock()
     store, servers, hosts = make_hosts(clock, "a", "b")
-    run_hosts(clock, 2.0, *hosts, check=lambda: one_each(servers))
+    run_hosts(clock, 2.0, *hosts, check=lambda: check_one_holder(servers))
     assert served(servers)
     assert [host.leads for host in hosts].count(True) == 1
     item = store.items_by_key[TABLE_KEY]
@@ -52,9 +52,9 @@
 
 
 def test_next_leader_keeps_every_holder_and_every_grant() -> None:
-    """The leader's process is killed, and for a while no key is served.
+    """The leader's process is killed; its keys must stay served.
 
-    The next leader must renew before the grants run out, and move nothing.
+    The next leader has to renew the grants before they expire, and to move nothing.
     """
     clock = Clock()
     store, servers, (first, second) = make_hosts(clock, "a", "b")
@@ -71,42 +71,42 @@
     assert served(servers)
 
 
-def test_paused_leader_gives_no_order_after_its_lease() -> None:
-    """The leader's machine stands still and wakes after another host has taken over.
+def test_suspended_leader_sends_no_order_after_its_lease() -> None:
+    """The leader's machine is suspended, and resumes after another host has taken over.
 
-    It must not go on where it stopped: its lease has ended, and shards have moved.
+    It must not continue where it stopped: its lease has expired and shards have moved.
     """
     clock = Clock()
     store, servers, (first, second) = make_hosts(clock, "a", "b")
     run_hosts(clock, 3.0, first, second)
     leader, other = (first, second) if first.leads else (second, first)
     leader.hears_store = False
-    run_hosts(clock, 6.0, other, check=lambda: one_each(servers))
+    run_hosts(clock, 6.0, other, check=lambda: check_one_holder(servers))
     other.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
-    run_hosts(clock, 3.0, other, check=lambda: one_each(servers))
+    run_hosts(clock, 3.0, other, check=lambda: check_one_holder(servers))
     orders = sum(len(servers[number].orders) for number in (1, 2, 3))
     leader.tick()
     assert sum(len(servers[number].orders) for number in (1, 2, 3)) == orders
-    run_hosts(clock, 3.0, leader, other, check=lambda: one_each(servers))
+    run_hosts(clock, 3.0, leader, other, check=lambda: check_one_holder(servers))
     assert not leader.leads
     assert served(servers)
 
 
-def test_leader_steps_down_when_its_item_is_gone() -> None:
-    """The store takes the leader's item away although its lease has not run out."""
+def test_leader_steps_down_when_its_item_is_removed() -> None:
+    """The store removes the leader's item although its lease has not expired."""
     clock = Clock()
     store, servers, (first, second) = make_hosts(clock, "a", "b")
     run_hosts(clock, 3.0, first, second)
     lease_id = store.items_by_key[LEADER_KEY].lease_id
     del store.leases[lease_id]
-    run_hosts(clock, 3.0, first, second, check=lambda: one_each(servers))
+    run_hosts(clock, 3.0, first, second, check=lambda: check_one_holder(servers))
     assert [first.leads, second.leads].count(True) == 1
     assert store.items_by_key[LEADER_KEY].lease_id != lease_id
     assert served(servers)
 
 
-def test_campaign_whose_answer_was_lost_is_won_all_the_same() -> None:
-    """Nobody leads until the lease of a host that doesn't know that it leads ends."""
+def test_campaign_succeeds_although_its_answer_was_lost() -> None:
+    """Otherwise no host would lead until the lease of the unaware leader expires."""
     clock = Clock()
     store, servers, (host,) = make_hosts(clock, "a")
     run_hosts(clock, 0.1, host)
@@ -124,18 +124,19 @@
     run_hosts(clock, 3.0, first, second)
     leader, other = (first, second) if first.leads else (second, first)
     held_s = leader.manager.holders.held_s()
-    # The last renewal is half a second old at the most, and may be on its way.
+    # The last renewal is at most 0.5 s old, and may be in flight.
     assert TIMING.grant_s * 0.75 < held_s < TIMING.grant_s * 1.02 + 0.6
     Deferred.fromCoroutine(leader.leadership.resign(held_s, campaign_pause_s=10.0))
-    run_hosts(clock, 0.3, first, second, check=lambda: one_each(servers))
+    run_hosts(clock, 0.3, first, second, check=lambda: check_one_holder(servers))
     assert other.leads
 
 
-def test_leader_s_word_on_its_grants_spares_the_next_one_a_wait() -> None:
-    """Hosts are restarted one after the other while a server is lost.
+def test_record_of_a_resigned_leader_shortens_the_wait_of_the_next() -> None:
+    """Guards against keys that are not served for 15 s during rolling restarts.
 
-    Its keys are not served for a quarter of a minute: the next leader does not know
-    for how long the one before had granted them, and waits for the worst.
+    A server is lost meanwhile. Without the record the next leader does not have the
+    time by which its predecessor's grants expire, and waits for the longest possible
+    one.
     """
     clock = Clock()
     store, servers, (first, second) = make_hosts(clock, "a", "b")
@@ -146,19 +147,21 @@
         leader.leadership.resign(leader.manager.holders.held_s(), campaign_pause_s=60.0)
     )
     other.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
-    run_hosts(clock, 5.0, other, check=lambda: one_each(servers))
+    run_hosts(clock, 5.0, other, check=lambda: check_one_holder(servers))
     assert served(servers)
-    word = decode_previous_leader(store.items_by_key[PREVIOUS_LEADER_KEY])
-    assert word is not None
-    assert word.value == other.leadership.value, "the first one's word is gone"
-    assert word.held_s is None
+    record = decode_previous_leader(store.items_by_key[PREVIOUS_LEADER_KEY])
+    assert record is not None
+    assert record.value == other.leadership.value, (
+        "the record of the first leader was replaced"
+    )
+    assert record.held_s is None
 
 
-def test_resigning_leader_tells_of_an_earlier_one_s_grants_too() -> None:
-    """The leader is lost, the next one resigns soon, and the third trusts its word.
+def test_record_of_a_resigned_leader_covers_grants_of_an_earlier_one() -> None:
+    """The leader is lost, the next one resigns, and the third relies on its record.
 
-    The first may go on renewing for seconds, cut off from the store. Were its grants
-    left out of the second one's word, two servers would have the same keys.
+    The first may go on renewing for seconds while it is cut off from the store. If the
+    record of the second left its grants out, two servers would hold the same keys.
     """
     clock = Clock()
     store, servers, hosts = make_hosts(clock, "a", "b")
@@ -170,10 +173,11 @@
     assert other.manager.holders.held_s() > TIMING.longest_grant_s
 
 
-def test_word_of_a_leader_before_the_last_one_counts_no_more() -> None:
-    """A resigned leader is followed by one that is lost in the middle of a grant.
+def test_record_of_a_leader_before_the_last_one_is_not_used() -> None:
+    """A resigned leader is followed by one that is lost while its grants are valid.
 
-    Taken for the lost one's, the word of the first would let two servers have a key.
+    If the record of the first were attributed to the second, two servers could hold a
+    key.
     """
     clock = Clock()
     store, servers, (first, second, third) = make_hosts(clock, "a", "b", "c")
@@ -188,34 +192,35 @@
     lost = next(host for host in others if host.leads)
     last = next(host for host in others if host is not lost)
     lost.hears_store = False
-    # It goes on renewing for all it is worth, cut off from the store.
+    # It goes on renewing for the longest duration, cut off from the store.
     servers[1].is_silent = True
     last.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
-    run_hosts(clock, 12.0, last, check=lambda: one_each(servers))
+    run_hosts(clock, 12.0, last, check=lambda: check_one_holder(servers))
     assert last.leads
     assert not served(servers)
-    run_hosts(clock, 8.0, last, check=lambda: one_each(servers))
+    run_hosts(clock, 8.0, last, check=lambda: check_one_holder(servers))
     assert served(servers)
 
 
 def test_write_that_takes_effect_late_does_no_harm() -> None:
-    """A table that was written without an answer appears seconds later.
+    """A table whose write was not answered appears seconds later.
 
-    The leader has planned anew meanwhile. Only one of both writes meets its condition.
+    The leader has planned again in the meantime. Only one of the two writes meets its
+    condition.
     """
     clock = Clock()
     store, servers, (host,) = make_hosts(clock, "a")
     run_hosts(clock, 3.0, host)
     store.loses_answers = True
     host.planner.set_candidates(SERVICE, [candidate(1), candidate(2)])
-    run_hosts(clock, 2.0, host, check=lambda: one_each(servers))
+    run_hosts(clock, 2.0, host, check=lambda: check_one_holder(servers))
     store.loses_answers = False
-    run_hosts(clock, 8.0, host, check=lambda: one_each(servers))
+    run_hosts(clock, 8.0, host, check=lambda: check_one_holder(servers))
     assert served(servers)
     assert not servers[3].holds(0)
 
 
-def test_store_outage_moves_nothing_and_serves_on() -> None:
+def test_store_outage_moves_nothing_and_keeps_shards_served() -> None:
     clock = Clock()
     store, servers, hosts = make_hosts(clock, "a", "b")
     run_hosts(clock, 3.0, *hosts)
@@ -226,8 +231,8 @@
     assert [host.leads for host in hosts].count(True) == 1
 
 
-def test_small_host_leaves_the_lead_to_a_larger_one() -> None:
-    """The smallest hosts of a large deployment take the lead and can't keep up."""
+def test_small_host_leaves_the_leadership_to_a_larger_one() -> None:
+    """The smallest hosts of a large deployment are too slow to lead."""
     for _ in range(5):
         clock = Clock()
         store, _, hosts = make_hosts(clock, "small", "large")
--- a/tests/test_keyspace_order_of_news.py
+++ b/tests/test_keyspace_order_of_news.py
@@ -1,4 +1,4 @@
-"""Who has ended is told by servers and by time, never by the order of news."""
+"""The order in which entries arrive is no evidence that a server has ended."""
 
 from dataclasses import dataclass
 
@@ -58,12 +58,13 @@
         ),
     ],
 )
-def test_living_server_is_not_taken_for_ended_by_an_old_entry(case: Case) -> None:
-    """Two servers run bookings of one key for seconds.
+def test_old_entry_does_not_mark_a_live_server_as_ended(case: Case) -> None:
+    """Guards against two servers that execute requests of one key for seconds.
 
-    A server ended and another got its address. Then the ended one's entry appears once
-    more: it was written late, or told late. The manager took the living one for ended,
-    neither told it to release its keys nor waited, and granted them to a third.
+    A server ended and another one got its address. Then the entry of the ended server
+    appeared again, written or delivered late. The grant manager considered the live
+    server as ended, neither released its keys nor waited, and granted them to a third
+    server.
     """
     clock = Clock()
     addresses = Addresses(clock)
@@ -75,21 +76,21 @@
     manager.follow(_table(case.living, 1))
     run_manager(manager, clock, 20.0)
     assert addresses.holders(SHARD) == [case.living]
-    # Told to release, it would answer late; its grant lasts for as long.
+    # It would answer a release late, and its grant stays valid until then.
     addresses.living[X].is_silent = True
-    news = {"living": case.living, "former": case.former}
-    manager.note_listed([*(news[one] for one in case.listed), other])
+    entries = {"living": case.living, "former": case.former}
+    manager.note_listed([*(entries[name] for name in case.listed), other])
     manager.follow(_table(other, 2, former_holders=(case.living,)))
     run_manager(manager, clock, 5.0, check=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
 
-def test_next_life_that_got_the_former_ones_renewal_is_asked_to_release() -> None:
-    """A booking runs twice after a server was born again under its id.
+def test_restarted_server_that_accepted_a_renewal_is_released() -> None:
+    """Guards against a request that is executed twice after a server restarted.
 
-    Its renewal reached the new life, which knows nothing of tokens and took it. Then
-    the list told of the new life, the former one was taken for ended, and its keys
-    went to another server at once.
+    A renewal reached the new instance under the same id, which has no tokens and
+    accepted it. Then the list contained the new instance, the former one was considered
+    as ended, and its keys were granted to another server at once.
     """
     clock = Clock()
     addresses = Addresses(clock)
@@ -109,12 +110,12 @@
     assert addresses.holders(SHARD) == [other]
 
 
-def test_replaced_leader_renews_nothing_of_a_server_that_has_failed() -> None:
-    """A server born again holds keys that the new leader gave to another one.
+def test_replaced_leader_renews_no_grant_of_a_failed_server() -> None:
+    """Guards against a restarted server that holds keys granted to another one.
 
-    The former leader hears the store no more and goes on renewing for a while. The
-    server has released the keys, ends and is born again under its id; it has seen no
-    tokens, and took a renewal that was meant for its former life.
+    The former leader lost contact to the store and goes on renewing for a while. The
+    server has released the keys, ends and restarts under its id. It has no tokens then,
+    and would accept a renewal that was meant for its former instance.
     """
     clock = Clock()
     addresses = Addresses(clock)
@@ -142,9 +143,9 @@
     )
 
 
-@pytest.mark.parametrize("passed_on", [1, 2], ids=["once", "twice"])
-def test_server_whose_address_was_passed_on_is_not_waited_for(passed_on: int) -> None:
-    """Keys of a server that has ended stay unserved although its address answers."""
+@pytest.mark.parametrize("reuses", [1, 2], ids=["once", "twice"])
+def test_server_whose_address_was_reused_is_not_waited_for(reuses: int) -> None:
+    """Keys of an ended server must not stay unserved because its address answers."""
     clock = Clock()
     addresses = Addresses(clock)
     ended = addresses.start("a", X)
@@ -153,7 +154,7 @@
     manager.take_over(clock.seconds())
     manager.follow(_table(ended, 1))
     run_manager(manager, clock, 1.0)
-    for number in range(passed_on):
+    for number in range(reuses):
         addresses.end(X)
         addresses.start(f"next-{number}", X)
     manager.follow(_table(other, 2, former_holders=(ended,)))
--- a/tests/test_keyspace_plan.py
+++ b/tests/test_keyspace_plan.py
@@ -1,4 +1,4 @@
-"""Shards go where there is room, and stay where they are without a reason to move."""
+"""Planning: shards go to servers with spare capacity, and move only for a reason."""
 
 import random
 from collections import Counter
@@ -32,22 +32,22 @@
 
 def shards_of(after: KeyTable, number: int) -> int:
     name = candidate(number).holder.server_id
-    return sum(one.shards for one in after.spans if one.holder.server_id == name)
+    return sum(piece.shards for piece in after.spans if piece.holder.server_id == name)
 
 
-def check_whole(after: KeyTable) -> None:
+def check_coverage(after: KeyTable) -> None:
     next_first = 0
-    for one in after.spans:
-        assert one.first == next_first
-        next_first = one.last + 1
+    for piece in after.spans:
+        assert piece.first == next_first
+        next_first = piece.last + 1
     assert next_first == SHARDS
 
 
-def test_first_plan_gives_each_server_by_its_capacity() -> None:
+def test_first_plan_assigns_shards_by_capacity() -> None:
     after = planned(
         KeyTable(service="roster"), candidate(1), candidate(2, capacity=3.0)
     )
-    check_whole(after)
+    check_coverage(after)
     assert shards_of(after, 1) == 250
     assert shards_of(after, 2) == 750
 
@@ -62,19 +62,19 @@
     assert planned(before) is before
 
 
-def test_lost_server_s_shards_are_dealt_out_to_all() -> None:
+def test_shards_of_a_lost_server_are_distributed_to_all() -> None:
     before = table(span(0, 332, 1), span(333, 665, 2), span(666, 999, 3))
     after = planned(before, candidate(1), candidate(2))
-    check_whole(after)
+    check_coverage(after)
     assert abs(shards_of(after, 1) - shards_of(after, 2)) < 120
-    moved = [one for one in after.spans if one.former_holders]
-    assert all(one.former_holders[0].server_id == "s3" for one in moved)
-    assert all(one.token > before.highest_token for one in moved)
-    kept = [one for one in after.spans if not one.former_holders]
-    assert {one.token for one in kept} == {1}
+    moved = [piece for piece in after.spans if piece.former_holders]
+    assert all(piece.former_holders[0].server_id == "s3" for piece in moved)
+    assert all(piece.token > before.highest_token for piece in moved)
+    kept = [piece for piece in after.spans if not piece.former_holders]
+    assert {piece.token for piece in kept} == {1}
 
 
-def test_server_lost_in_the_middle_of_a_move_is_former_too() -> None:
+def test_server_lost_during_a_move_is_a_former_holder_too() -> None:
     before = table(
         span(0, 499, 1),
         span(500, 999, 2, token=2, former_holders=(3,)),
@@ -83,20 +83,20 @@
     after = planned(before, candidate(1))
     moved = after.span_of(700)
     assert moved is not None
-    assert [one.server_id for one in moved.former_holders] == ["s3", "s2"]
+    assert [former.server_id for former in moved.former_holders] == ["s3", "s2"]
 
 
-def test_server_that_joins_is_sent_its_part() -> None:
+def test_server_that_joins_is_sent_its_share() -> None:
     before = table(span(0, 499, 1), span(500, 999, 2))
     after = planned(before, candidate(1), candidate(2), candidate(3), rebalance=True)
-    check_whole(after)
+    check_coverage(after)
     assert 200 < shards_of(after, 3) < 400
 
 
-def test_busy_shards_close_together_are_parted() -> None:
-    """A faculty's open day: two hundred keys side by side get a third of all requests.
+def test_adjacent_busy_shards_are_separated() -> None:
+    """Two hundred adjacent keys get a third of all requests.
 
-    Their server is full and turns families away, while the others have room.
+    Their server is full and rejects requests, while other servers have spare capacity.
     """
     rng = random.Random(3)
     samples = [rng.randrange(300, 320) for _ in range(100)]
@@ -104,20 +104,20 @@
     load = ShardLoad(counts=Counter(samples), shards=SHARDS)
     servers = [candidate(number) for number in range(1, 9)]
     before = planned(KeyTable(service="roster"), *servers)
-    busiest = max(load.share(one.first, one.last) for one in before.spans)
+    busiest = max(load.share(piece.first, piece.last) for piece in before.spans)
     assert busiest > 0.3
     after = planned(before, *servers, load=load, rebalance=True)
     after = planned(after, *servers, load=load, rebalance=True)
-    check_whole(after)
-    loads = {one.holder: 0.0 for one in servers}
-    for one in after.spans:
-        loads[one.holder] += load.share(one.first, one.last)
+    check_coverage(after)
+    loads = {server.holder: 0.0 for server in servers}
+    for piece in after.spans:
+        loads[piece.holder] += load.share(piece.first, piece.last)
     assert max(loads.values()) < 0.2
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_every_plan_is_whole_and_tokens_only_grow(seed: int) -> None:
-    """Servers come and go, some in the middle of moves; keys change their load."""
+def test_every_plan_covers_all_shards_and_tokens_only_grow(seed: int) -> None:
+    """Servers join and leave, some of them during moves; the load of keys changes."""
     rng = random.Random(seed)
     current = KeyTable(service="roster")
     for _ in range(12):
@@ -129,7 +129,7 @@
         samples = [rng.randrange(hot, hot + 30) for _ in range(rng.randint(0, 200))]
         load = ShardLoad(counts=Counter(samples), shards=SHARDS)
         lost = [candidate(number).holder for number in rng.sample(range(1, 9), 2)]
-        known = {one.holder for one in servers}
+        known = {server.holder for server in servers}
         lost_holders = LostHolders(
             holders=frozenset(lost) - known, movable_load=rng.random() / 4
         )
@@ -140,9 +140,11 @@
             rebalance=rng.random() < 0.7,
             lost_holders=lost_holders,
         )
-        check_whole(after)
-        holders = {one.holder for one in servers}
-        assert all(one.holder in holders | lost_holders.holders for one in after.spans)
+        check_coverage(after)
+        holders = {server.holder for server in servers}
+        assert all(
+            piece.holder in holders | lost_holders.holders for piece in after.spans
+        )
         _check_moves(current, after)
         current = after
 
@@ -154,36 +156,39 @@
         if old is None or old.holder == new.holder:
             continue
         assert new.token > old.token
-        # Whoever may still hold the shard is waited for.
+        # Every server that may still hold the shard is a former holder.
         assert {old.holder, *old.former_holders} - {new.holder} <= set(
             new.former_holders
         )
 
 
-def test_shard_that_fills_a_server_goes_to_the_fastest_and_has_it_alone() -> None:
-    """One club's roster is asked for by a third of all callers, for some seconds.
+def test_shard_that_fills_a_server_gets_the_fastest_for_itself() -> None:
+    """One key gets a third of all requests for some seconds.
 
-    A single key can't be parted. On a slow server, beside the keys that this one has
-    anyhow, most of its callers are turned away.
+    A single key can't be split. On a slow server that also holds other keys, most of
+    its requests would be rejected.
     """
     samples = [777] * 120 + list(range(0, SHARDS, 5))
     load = ShardLoad(counts=Counter(samples), shards=SHARDS)
-    servers = [candidate(1, capacity=1.7), *(candidate(one) for one in range(2, 9))]
+    servers = [
+        candidate(1, capacity=1.7),
+        *(candidate(number) for number in range(2, 9)),
+    ]
     current = planned(KeyTable(service="roster"), *servers)
     for _ in range(3):
         current = planned(current, *servers, load=load, rebalance=True)
-    check_whole(current)
+    check_coverage(current)
     hot = current.span_of(777)
     assert hot is not None
     assert hot.holder.server_id == "s1"
     assert shards_of(current, 1) < 30
 
 
-def test_hot_shard_does_not_move_between_servers_that_are_alike() -> None:
-    """A hot key moves every second, and each time nobody is served for a moment."""
+def test_hot_shard_does_not_move_between_similar_servers() -> None:
+    """A hot key that moved every second would be unavailable for a moment each time."""
     samples = [777] * 120 + list(range(0, SHARDS, 5))
     load = ShardLoad(counts=Counter(samples), shards=SHARDS)
-    servers = [candidate(one, capacity=1 + one / 50) for one in range(1, 9)]
+    servers = [candidate(number, capacity=1 + number / 50) for number in range(1, 9)]
     current = planned(KeyTable(service="roster"), *servers)
     before = current.span_of(777)
     for _ in range(6):
@@ -194,11 +199,11 @@
     assert after.holder == before.holder
 
 
-def test_shards_of_lost_servers_move_only_as_there_is_room_for_cold_ones() -> None:
-    """A failure domain is cut off for five seconds, and then nobody is served well.
+def test_shards_of_lost_servers_move_as_spare_capacity_allows() -> None:
+    """Guards against overload after a failure domain is cut off for five seconds.
 
-    A third of all shards moved at once, without what their holders knew of them. Each
-    took four times the work, and the servers that were left were full.
+    A third of all shards moved at once, without a handover. Each took four times the
+    usual work, and the remaining servers were full.
     """
     before = table(*(span(100 * n, 100 * n + 99, n + 1) for n in range(9)))
     before = table(*before.spans, span(900, 999, 9))
@@ -207,16 +212,16 @@
     after = planned(
         before, *rest, lost_holders=LostHolders(holders=lost, movable_load=0.15)
     )
-    check_whole(after)
-    moved = sum(one.shards for one in after.spans if one.former_holders)
+    check_coverage(after)
+    moved = sum(piece.shards for piece in after.spans if piece.former_holders)
     assert 140 <= moved <= 160
-    kept = [one for one in after.spans if one.holder in lost]
-    assert sum(one.shards for one in kept) == 400 - moved
-    # The next round goes on where there is room again.
+    kept = [piece for piece in after.spans if piece.holder in lost]
+    assert sum(piece.shards for piece in kept) == 400 - moved
+    # The next round continues once there is spare capacity again.
     later = planned(
         after, *rest, lost_holders=LostHolders(holders=lost, movable_load=0.5)
     )
-    assert not [one for one in later.spans if one.holder in lost]
+    assert not [piece for piece in later.spans if piece.holder in lost]
 
 
 def test_servers_that_hand_over_are_emptied_at_once() -> None:
@@ -225,10 +230,10 @@
     assert shards_of(after, 2) == SHARDS
 
 
-def test_nothing_is_evened_out_while_no_server_is_full() -> None:
-    """On a calm day shards move every second, and each move costs a call of each host.
+def test_nothing_is_rebalanced_while_no_server_is_full() -> None:
+    """Guards against moves every second at low load, each with a call by every host.
 
-    Chance makes some servers busier than others; none of them is full.
+    Some servers are busier than others by chance, but none of them is full.
     """
     before = table(span(0, 699, 1), span(700, 999, 2))
     servers = [candidate(1), candidate(2)]
@@ -240,24 +245,24 @@
     assert shards_of(after, 1) < 600
 
 
-def test_newcomer_gets_shards_on_a_calm_day_too() -> None:
+def test_new_server_gets_shards_at_low_load_too() -> None:
     before = table(span(0, 499, 1), span(500, 999, 2))
     servers = [candidate(1), candidate(2), candidate(3)]
     after = planned(before, *servers, rebalance=True, utilization=0.2)
     assert shards_of(after, 3) > 150
 
 
-def test_what_moves_is_as_few_shards_as_will_do() -> None:
-    """Half of all keys change hands on a calm day to take a fifth off one server.
+def test_as_few_shards_as_possible_move() -> None:
+    """Guards against moving half of all keys for a fifth of one server's load.
 
-    The busy server has as much to do for a hundred shards side by side as for ten
-    somewhere else; what it knows of each key has to be handed over.
+    A hundred shards of the busy server may have as much load as ten others, but the
+    state of each key that moves has to be handed over.
     """
     counts = dict.fromkeys(range(400), 1.0)
     counts |= dict.fromkeys(range(700, 740), 10.0)
     load = ShardLoad(counts=counts, shards=SHARDS)
     before = table(span(0, 399, 1), span(400, 699, 2), span(700, 999, 1))
     after = planned(before, candidate(1), candidate(2), load=load, rebalance=True)
-    moved = [one for one in after.spans if one.former_holders]
-    assert sum(one.shards for one in moved) <= 200
-    check_whole(after)
+    moved = [piece for piece in after.spans if piece.former_holders]
+    assert sum(piece.shards for piece in moved) <= 200
+    check_coverage(after)
--- a/tests/test_keyspace_renewals.py
+++ b/tests/test_keyspace_renewals.py
@@ -1,4 +1,4 @@
-"""How the leader renews many spans of few servers."""
+"""Renewals of many spans of few servers."""
 
 from twisted.internet.task import Clock
 
@@ -10,11 +10,11 @@
 ANSWER_S = 0.006
 
 
-def test_grants_of_one_server_are_given_in_turn() -> None:
-    """Servers run out of connections for requests, and spend their time on handshakes.
+def test_grants_of_one_server_are_sent_in_turn() -> None:
+    """Guards against servers that run out of connections and spend time on handshakes.
 
-    A dozen spans of each server are renewed every half second, side by side: each takes
-    a connection, of which all but one are dropped when they are answered.
+    A dozen spans of each server are renewed every half second. Sent concurrently, each
+    renewal takes a connection, and all but one are closed after the answer.
     """
     clock = Clock()
     addresses = Addresses(clock)
@@ -34,11 +34,11 @@
     for _ in range(100):
         run_manager(manager, clock, 0.05)
         assert all(addresses.holders(n) for n in range(3 * SPANS))
-    assert {one.most_granting for one in addresses.living.values()} == {1}
+    assert {server.most_granting for server in addresses.living.values()} == {1}
 
 
-def test_grant_that_is_left_unanswered_does_not_end_the_others() -> None:
-    """One lost answer, and a server's other spans are served nowhere."""
+def test_unanswered_grant_does_not_end_the_other_grants() -> None:
+    """One lost answer must not leave the other spans of a server unserved."""
     clock = Clock()
     addresses = Addresses(clock)
     server = addresses.start("s1", "10.0.0.1:80")
--- a/tests/test_keyspace_table.py
+++ b/tests/test_keyspace_table.py
@@ -1,4 +1,4 @@
-"""A service's table of keys as it stands in the store."""
+"""The key table of a service in its stored form."""
 
 from random import Random
 
@@ -9,8 +9,8 @@
 SPANS = 300
 
 
-def dealt(rng: Random) -> list[Span]:
-    """Return spans that are dealt out at random."""
+def random_spans(rng: Random) -> list[Span]:
+    """Return spans with random holders."""
     return [
         span(10 * number, 10 * number + 9, rng.randrange(SERVERS), token=number + 1)
         for number in range(SPANS)
@@ -21,14 +21,15 @@
     return set(encode_table(of).split(b"],["))
 
 
-def test_move_of_few_spans_leaves_the_others_as_they_stand() -> None:
-    """Hosts learn late that a server leaves, while keys move all the time.
+def test_move_of_few_spans_leaves_the_rest_of_the_encoding_unchanged() -> None:
+    """Guards against large updates that delay the notice of a leaving server.
 
-    Each move is told to 86 hosts by what changed in the table. Holders stood in the
-    order in which they appear, and one move changed the places of most of them.
+    Each move is sent to 86 hosts as the part of the table that changed. Holders were
+    listed in the order of their first span, so one move changed the indexes in most
+    spans.
     """
     rng = Random(1)
-    spans = dealt(rng)
+    spans = random_spans(rng)
     before = table(*spans, highest_token=1000)
     for number in rng.sample(range(SPANS), 8):
         moved = spans[number]
@@ -40,8 +41,8 @@
     assert decode_table(encode_table(after), peer="x") == after
 
 
-def test_order_of_spans_does_not_change_how_holders_stand() -> None:
-    spans = dealt(Random(2))
+def test_order_of_spans_does_not_change_the_order_of_holders() -> None:
+    spans = random_spans(Random(2))
     holders = [
         encode_table(table(*order)).partition(b'"spans"')[0]
         for order in (spans, spans[::-1])
