--- a/tests/builders_keyspace.py
+++ b/tests/builders_keyspace.py
@@ -34,7 +34,7 @@
 
 
 def holder(number: int, *, born_ms: int = 1) -> Holder:
-    """Return one life of a server."""
+    """Return one server instance."""
     return Holder(
         server_id=f"s{number}", born_ms=born_ms, address=f"10.0.0.{number}:80"
     )
@@ -59,7 +59,7 @@
         last=last,
         holder=holder(number),
         token=token,
-        former_holders=tuple(holder(one) for one in former_holders),
+        former_holders=tuple(holder(former) for former in former_holders),
     )
 
 
@@ -70,10 +70,10 @@
 
 @dataclass
 class GrantingServer:
-    """A server that runs requests of a shard only while it has a grant for it.
+    """A server that executes requests of a shard only while it has a grant for it.
 
-    ``tokens`` are the highest seen, ``held`` when the grant of a shard runs out, by
-    this server's own clock, which may run slow.
+    ``tokens`` are the highest ones seen, by shard. ``held`` is when the grant of each
+    shard expires by this server's own clock, which may run slow.
     """
 
     clock: Clock
@@ -89,36 +89,36 @@
     orders: list[Grant | Release] = field(default_factory=list)
 
     def holds(self, shard: int) -> bool:
-        """Whether it would run a request of this shard now."""
+        """Whether it would execute a request of this shard now."""
         _, until_s = self.held.get(shard, (0, 0.0))
         return self.clock.seconds() < until_s
 
-    def take_grant(self, grant: Grant, arrived_s: float | None = None) -> None:
-        """Carry a grant out, or refuse it; its time counts from its arrival."""
+    def apply_grant(self, grant: Grant, arrived_s: float | None = None) -> None:
+        """Apply a grant, or refuse it; its duration counts from its arrival."""
         shards = range(grant.first, grant.last + 1)
-        if any(self.tokens.get(one, 0) > grant.token for one in shards):
+        if any(self.tokens.get(shard, 0) > grant.token for shard in shards):
             raise RefusedError("higher token", step="grant", peer="server")
         if arrived_s is None:
             arrived_s = self.clock.seconds()
         until_s = arrived_s + grant.duration_s * self.drift
-        for one in shards:
-            self.tokens[one] = grant.token
-            self.held[one] = (grant.token, until_s)
+        for shard in shards:
+            self.tokens[shard] = grant.token
+            self.held[shard] = (grant.token, until_s)
 
-    def take_release(self, release: Release) -> None:
+    def apply_release(self, release: Release) -> None:
         """Stop new work on some shards."""
-        for one in range(release.first, release.last + 1):
-            self.tokens[one] = max(release.token, self.tokens.get(one, 0))
-            self.held.pop(one, None)
+        for shard in range(release.first, release.last + 1):
+            self.tokens[shard] = max(release.token, self.tokens.get(shard, 0))
+            self.held.pop(shard, None)
 
 
 class Servers:
-    """Gives orders to ``GrantingServer``s, by their addresses."""
+    """Sends orders to ``GrantingServer``s, by their addresses."""
 
     def __init__(self, clock: Clock, *numbers: int) -> None:
         self.clock = clock
         self.by_address = {
-            holder(one).address: GrantingServer(clock=clock) for one in numbers
+            holder(number).address: GrantingServer(clock=clock) for number in numbers
         }
 
     def __getitem__(self, number: int) -> GrantingServer:
@@ -126,48 +126,52 @@
         return self.by_address[holder(number).address]
 
     def holders(self, shard: int) -> list[str]:
-        """Return the addresses of all servers that would run a shard's request."""
-        return [name for name, one in self.by_address.items() if one.holds(shard)]
+        """Return the addresses of all servers that hold a shard."""
+        return [
+            address
+            for address, server in self.by_address.items()
+            if server.holds(shard)
+        ]
 
     async def grant(self, holder: Holder, grant: Grant, *, timeout_s: float) -> None:
-        """Give the order, unless the server is silent."""
+        """Send a grant, unless the server is silent."""
         address = holder.address
         server = self._server(holder)
         if server.is_unreachable:
             raise PeerUnavailableError("no way", step="grant", peer=address)
         server.orders.append(grant)
         if server.is_silent:
-            await self._lose(timeout_s)
+            await self._lose_answer(timeout_s)
         if server.late_s:
             self.clock.callLater(
-                server.late_s, self._take_late, server, grant, self.clock.seconds()
+                server.late_s, self._apply_late, server, grant, self.clock.seconds()
             )
-            await self._lose(timeout_s)
-        server.take_grant(grant)
+            await self._lose_answer(timeout_s)
+        server.apply_grant(grant)
         if server.loses_answers:
-            await self._lose(timeout_s)
+            await self._lose_answer(timeout_s)
 
     async def release(
         self, holder: Holder, release: Release, *, timeout_s: float
     ) -> str | None:
-        """Give the order, unless the server is silent."""
+        """Send a release, unless the server is silent."""
         address = holder.address
         server = self._server(holder)
         if server.is_unreachable:
             raise PeerUnavailableError("no way", step="release", peer=address)
         server.orders.append(release)
         if server.is_silent:
-            await self._lose(timeout_s)
-        server.take_release(release)
+            await self._lose_answer(timeout_s)
+        server.apply_release(release)
         if server.release_takes_s:
             await self._pause(min(server.release_takes_s, timeout_s))
         return f"handover of {address}"
 
-    def _take_late(
+    def _apply_late(
         self, server: GrantingServer, grant: Grant, arrived_s: float
     ) -> None:
         with suppress(RefusedError):
-            server.take_grant(grant, arrived_s)
+            server.apply_grant(grant, arrived_s)
 
     def _server(self, holder: Holder) -> GrantingServer:
         server = self.by_address[holder.address]
@@ -175,7 +179,7 @@
             raise HolderEndedError("another server", step="order", peer=holder.address)
         return server
 
-    async def _lose(self, timeout_s: float) -> None:
+    async def _lose_answer(self, timeout_s: float) -> None:
         await self._pause(timeout_s)
         raise OutcomeUnknownError("no answer", step="order", peer="server")
 
@@ -188,7 +192,7 @@
 def manager_of(
     servers: Servers, *, granted: Callable[[str, Span], None] | None = None
 ) -> GrantManager:
-    """Return a manager that leads since now."""
+    """Return a grant manager that leads from now on."""
     clock = servers.clock
     manager = GrantManager(orders=servers, timing=TIMING, now_s=clock.seconds)
     if granted is not None:
@@ -205,7 +209,7 @@
     check: Callable[[], None] = lambda: None,
     store_contact: bool = True,
 ) -> None:
-    """Let a manager work, with the store heard all the while unless told otherwise."""
+    """Let a grant manager work, in contact with the store unless stated otherwise."""
     for _ in range(round(duration_s / 0.05)):
         if store_contact:
             manager.note_store_contact(clock.seconds())
--- a/tests/builders_keyspace_hosts.py
+++ b/tests/builders_keyspace_hosts.py
@@ -1,4 +1,4 @@
-"""A store in memory and hosts that lead by it, for tests of ``keyspace``."""
+"""An in-memory store and hosts that elect a leader by it, for tests of ``keyspace``."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -38,7 +38,7 @@
 
 
 class SimpleStore:
-    """A store in memory with leases, and faults that tests switch on."""
+    """An in-memory store with leases, and with faults that tests switch on."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -53,26 +53,26 @@
         self._last_lease_id = 100
 
     async def items(self, prefix: str) -> Page:
-        """Return what stands below a prefix."""
-        await self._begin("items")
+        """Return all items below a prefix."""
+        await self._on_call("items")
         found = [
-            one for key, one in self.items_by_key.items() if key.startswith(prefix)
+            item for key, item in self.items_by_key.items() if key.startswith(prefix)
         ]
         return Page(items=tuple(found), revision=self.revision)
 
     async def item(self, key: str) -> Item | None:
         """Return an item."""
-        await self._begin("item")
+        await self._on_call("item")
         return self.items_by_key.get(key)
 
     async def watch(self, prefix: str, *, after_revision: int, wait_s: float) -> Events:
-        """Bring nothing: tests use ``listeners``."""
-        await self._begin("watch")
+        """Return no changes; tests use ``listeners`` instead."""
+        await self._on_call("watch")
         return Events(changes=(), revision=after_revision)
 
     async def change(self, change: Change) -> int:
         """Make a change if its conditions hold."""
-        await self._begin("change")
+        await self._on_call("change")
         self._expire()
         for key, revision in change.expected.items():
             known = self.items_by_key.get(key)
@@ -90,46 +90,48 @@
         for key in change.removals:
             self._set(key, None)
         revision = self.revision
-        await self._end("change")
+        await self._on_answer("change")
         return revision
 
     async def open_lease(self, duration_s: float) -> int:
         """Open a lease."""
-        await self._begin("open_lease")
+        await self._on_call("open_lease")
         self._last_lease_id += 1
         self.leases[self._last_lease_id] = (
             duration_s,
             self.clock.seconds() + duration_s,
         )
-        await self._end("open_lease")
+        await self._on_answer("open_lease")
         return self._last_lease_id
 
     async def renew_lease(self, lease_id: int) -> float:
-        """Let a lease begin anew."""
-        await self._begin("renew_lease")
+        """Restart the duration of a lease."""
+        await self._on_call("renew_lease")
         self._expire()
         if lease_id not in self.leases:
             raise LeaseEndedError("no such lease", step="renew", peer="store")
         duration_s, _ = self.leases[lease_id]
         self.leases[lease_id] = (duration_s, self.clock.seconds() + duration_s)
-        await self._end("renew_lease")
+        await self._on_answer("renew_lease")
         return duration_s
 
     async def end_lease(self, lease_id: int) -> None:
         """End a lease and its items."""
-        await self._begin("end_lease")
+        await self._on_call("end_lease")
         self.leases.pop(lease_id, None)
         self._drop_unleased()
 
     def expire(self) -> None:
-        """End the leases whose time is over; hosts hear of it once the store is up."""
+        """End expired leases; hosts are notified once the store is up."""
         self._expire()
 
     def _expire(self) -> None:
         if self.is_down:
             return
         now_s = self.clock.seconds()
-        for lease_id in [one for one, (_, end) in self.leases.items() if end <= now_s]:
+        for lease_id in [
+            known for known, (_, end) in self.leases.items() if end <= now_s
+        ]:
             del self.leases[lease_id]
         self._drop_unleased()
 
@@ -147,41 +149,41 @@
         for listener in self.listeners:
             listener(key, item)
 
-    async def _begin(self, call: str) -> None:
+    async def _on_call(self, call: str) -> None:
         self.calls.append(call)
         if self.is_down:
             raise PeerUnavailableError("down", step=call, peer="store")
         if self.is_silent:
-            await self._lose(call)
+            await self._lose_answer(call)
 
-    async def _end(self, call: str) -> None:
+    async def _on_answer(self, call: str) -> None:
         if self.loses_answers:
-            await self._lose(call)
+            await self._lose_answer(call)
 
-    async def _lose(self, call: str) -> None:
+    async def _lose_answer(self, call: str) -> None:
         done: Deferred[None] = Deferred()
         self.clock.callLater(0.7, done.callback, None)
         await done
         raise OutcomeUnknownError("no answer", step=call, peer="store")
 
 
-class Middle:
-    """Chooses the middle of every range, where a program would ask for chance."""
+class FixedRandom:
+    """Returns the middle of every range instead of a random number."""
 
     def random(self) -> float:
-        """Return a half."""
+        """Return one half."""
         return 0.5
 
 
 class HostStore:
-    """One host's way to the store, which may be cut."""
+    """One host's connection to the store, which may be cut."""
 
     def __init__(self, store: SimpleStore) -> None:
         self.store = store
         self.is_cut = False
 
     def __getattr__(self, name: str) -> object:
-        """Return a call of the store's, or one that fails while the way is cut."""
+        """Return a method of the store, which fails while the connection is cut."""
         return self._refuse if self.is_cut else getattr(self.store, name)
 
     async def _refuse(self, *args: object, **kwargs: object) -> None:
@@ -190,24 +192,24 @@
 
 @dataclass
 class LeadingHost:
-    """One host's leadership, planner and manager, wired as an entry host does it."""
+    """One host's leadership, planner and grant manager, wired as in an entry host."""
 
     name: str
     store: SimpleStore
     servers: Servers
-    hears_store: bool = True
-    way: HostStore | None = None
+    receives_changes: bool = True
+    connection: HostStore | None = None
 
     def __post_init__(self) -> None:
         clock = self.store.clock
-        store = cast(Store, self.way or self.store)
+        store = cast(Store, self.connection or self.store)
         self.leadership = Leadership(
             store=store,
             key=LEADER_KEY,
             previous_leader_key=PREVIOUS_LEADER_KEY,
             value=self.name.encode(),
             now_s=clock.seconds,
-            rng=Middle(),  # type: ignore[arg-type]
+            rng=FixedRandom(),  # type: ignore[arg-type]
         )
         self.manager = GrantManager(
             orders=self.servers, timing=TIMING, now_s=clock.seconds
@@ -228,8 +230,8 @@
         self.leadership.note_item(self.store.items_by_key.get(LEADER_KEY))
 
     def note_item(self, key: str, item: Item | None) -> None:
-        """Hear of a change in the store, unless the host is cut off from it."""
-        if not self.hears_store:
+        """Receive a change in the store, unless the host is cut off from it."""
+        if not self.receives_changes:
             return
         if key == LEADER_KEY:
             self.leadership.note_item(item)
@@ -239,28 +241,28 @@
             self.planner.note_table(item)
 
     def cut(self) -> None:
-        """Lose the way to the store."""
-        assert self.way is not None
-        self.way.is_cut = True
-        self.hears_store = False
+        """Cut the connection to the store."""
+        assert self.connection is not None
+        self.connection.is_cut = True
+        self.receives_changes = False
 
     def heal(self) -> None:
-        """Find the way again, and learn what is there."""
-        assert self.way is not None
-        self.way.is_cut = False
-        self.hears_store = True
+        """Restore the connection, and read what is stored."""
+        assert self.connection is not None
+        self.connection.is_cut = False
+        self.receives_changes = True
         for key in (LEADER_KEY, PREVIOUS_LEADER_KEY, TABLE_KEY):
             self.note_item(key, self.store.items_by_key.get(key))
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Do the work that is due."""
         self.leadership.tick()
         self.planner.tick()
         self.manager.tick()
 
     @property
     def leads(self) -> bool:
-        """Whether this host takes itself for the leader."""
+        """Whether this host considers itself the leader."""
         return self.leadership.term is not None
 
 
@@ -272,8 +274,8 @@
 ) -> None:
     """Let hosts work side by side."""
     for _ in range(round(duration_s / 0.05)):
-        for one in hosts:
-            one.store.expire()
-            one.tick()
+        for host in hosts:
+            host.store.expire()
+            host.tick()
         check()
         clock.advance(0.05)
--- a/tests/builders_lives.py
+++ b/tests/builders_lives.py
@@ -1,4 +1,4 @@
-"""Addresses where one life of a server follows another, for tests of ``keyspace``."""
+"""Addresses where one server instance follows another, for tests of ``keyspace``."""
 
 from contextlib import suppress
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 @dataclass(kw_only=True)
 class Server:
-    """One life of a server; ``held`` ends with it, and so do the tokens it has seen."""
+    """One server instance; its grants and the tokens it has seen end with it."""
 
     holder: Holder
     grants: GrantingServer
@@ -33,51 +33,56 @@
 
 @dataclass
 class Addresses:
-    """What lives at each address now, and what ever said that it lives there.
+    """The server that runs at each address, and all entries that were ever written.
 
-    ``entries`` are in the order in which lives began; hosts may hear of them in any.
+    ``entries`` are in the order in which the instances started; hosts may receive them
+    in any order.
     """
 
     clock: Clock
-    living: dict[str, Server] = field(default_factory=dict)
+    running: dict[str, Server] = field(default_factory=dict)
     entries: list[Holder] = field(default_factory=list)
 
     def start(self, server_id: str, address: str, *, born_ms: int = 0) -> Holder:
-        """Begin a life at an address where nobody lives."""
-        assert address not in self.living
-        one = Holder(server_id=server_id, born_ms=born_ms, address=address)
-        self.living[address] = Server(
-            holder=one, grants=GrantingServer(clock=self.clock, drift=SLOW_CLOCK)
+        """Start a server instance at a free address."""
+        assert address not in self.running
+        holder = Holder(server_id=server_id, born_ms=born_ms, address=address)
+        self.running[address] = Server(
+            holder=holder, grants=GrantingServer(clock=self.clock, drift=SLOW_CLOCK)
         )
-        self.entries.append(one)
-        return one
+        self.entries.append(holder)
+        return holder
 
     def end(self, address: str) -> None:
-        """End what lives at an address."""
-        del self.living[address]
+        """End the server at an address."""
+        del self.running[address]
 
     def holders(self, shard: int) -> list[Holder]:
-        """Return all lives that would run a request of this shard now."""
-        return [one.holder for one in self.living.values() if one.grants.holds(shard)]
+        """Return all instances that would execute a request of this shard now."""
+        return [
+            server.holder
+            for server in self.running.values()
+            if server.grants.holds(shard)
+        ]
 
 
 @dataclass
-class Way:
-    """One host's way to every address: it may be cut to some of them."""
+class OrderSender:
+    """Sends one host's orders to servers; the path to an address may be cut."""
 
     addresses: Addresses
     cut: set[str] = field(default_factory=set)
 
     async def grant(self, holder: Holder, grant: Grant, *, timeout_s: float) -> None:
-        """Give a grant to the server at the holder's address, if it is the one."""
+        """Send a grant to the server at the holder's address, if it is the holder."""
         server = self._server(holder)
         clock = self.addresses.clock
         if server.is_silent:
             await self._lose(timeout_s)
         if server.late_s:
-            clock.callLater(server.late_s, _take_late, server, grant, clock.seconds())
+            clock.callLater(server.late_s, _apply_late, server, grant, clock.seconds())
             await self._lose(timeout_s)
-        server.grants.take_grant(grant)
+        server.grants.apply_grant(grant)
         if server.answer_s:
             server.granting += 1
             server.most_granting = max(server.most_granting, server.granting)
@@ -87,11 +92,11 @@
     async def release(
         self, holder: Holder, release: Release, *, timeout_s: float
     ) -> str | None:
-        """Take shards back from the server at the holder's address."""
+        """Withdraw shards from the server at the holder's address."""
         server = self._server(holder)
         if server.is_silent:
             await self._lose(timeout_s)
-        server.grants.take_release(release)
+        server.grants.apply_release(release)
         if server.release_takes_s > timeout_s:
             await self._lose(timeout_s)
         if server.release_takes_s:
@@ -99,7 +104,7 @@
         return "handover"
 
     def _server(self, holder: Holder) -> Server:
-        server = self.addresses.living.get(holder.address)
+        server = self.addresses.running.get(holder.address)
         if server is None or holder.address in self.cut:
             raise PeerUnavailableError("no way", step="order", peer=holder.address)
         if server.holder.server_id != holder.server_id:
@@ -116,6 +121,6 @@
         return done
 
 
-def _take_late(server: Server, grant: Grant, arrived_s: float) -> None:
+def _apply_late(server: Server, grant: Grant, arrived_s: float) -> None:
     with suppress(RefusedError):
-        server.grants.take_grant(grant, arrived_s)
+        server.grants.apply_grant(grant, arrived_s)
--- a/tests/builders_store.py
+++ b/tests/builders_store.py
@@ -1,4 +1,4 @@
-"""A store whose watches tests answer by hand, and links between hosts without a net."""
+"""A store whose watches are answered by tests, and in-memory links between hosts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,18 +13,18 @@
 
 
 def item(key: str, revision: int, value: bytes = b"") -> Item:
-    """Return an item as it was written."""
+    """Return an item as it is stored."""
     return Item(key=key, value=value, revision=revision)
 
 
 def events(revision: int, *changes: Item | Removal) -> Events:
-    """Return what a watch brings."""
+    """Return the answer to a watch."""
     return Events(changes=changes, revision=revision)
 
 
 @dataclass
 class WatchedStore:
-    """Answers readings at once, and watches when a test says so."""
+    """Answers reads at once, and watches when a test says so."""
 
     page: Page = Page(items=(), revision=10)
     watches: list[tuple[int, "Deferred[Events]"]] = field(default_factory=list)
@@ -33,7 +33,7 @@
     is_down: bool = False
 
     async def items(self, prefix: str) -> Page:
-        """Return what stands in the store."""
+        """Return all stored items."""
         self.readings += 1
         if self.is_down:
             raise PeerUnavailableError("down", step="items", peer="store")
@@ -46,19 +46,19 @@
         self.watches.append((after_revision, waiting))
         return await waiting
 
-    def bring(self, brought: Events) -> None:
+    def answer_watch(self, answer: Events) -> None:
         """Answer the newest watch."""
-        self.watches[-1][1].callback(brought)
+        self.watches[-1][1].callback(answer)
 
 
 def advance(clock: Clock, duration_s: float) -> None:
-    """Let time pass in steps in which everything gets its turn."""
+    """Advance the clock in steps, so that all pending calls run in order."""
     clock.pump([0.05] * round(duration_s / 0.05))
 
 
 def revisions(mirror: Mirror) -> dict[str, int]:
-    """Return the revision of each item that a mirror has."""
-    return {key: one.revision for key, one in mirror.items.items()}
+    """Return the revision of each item in a mirror."""
+    return {key: item.revision for key, item in mirror.items.items()}
 
 
 def mirror_of(store: WatchedStore, clock: Clock) -> Mirror:
@@ -67,14 +67,14 @@
 
 
 class LinkNet:
-    """Links between hosts that hand over at once, unless an address is cut off."""
+    """Links between hosts that deliver at once, unless an address is cut off."""
 
     def __init__(self) -> None:
         self.listeners: dict[str, Callable[[bytes], None]] = {}
         self.cut: set[str] = set()
         self.most_bytes = 0
 
-    def hand_over(self, address: str, data: bytes) -> None:
+    def deliver(self, address: str, data: bytes) -> None:
         """Deliver what was sent to an address, unless it is too large for it."""
         if len(data) <= self.most_bytes:
             self.listeners[address](data)
@@ -91,7 +91,7 @@
         on_data: Callable[[bytes], None],
         most_bytes: int,
     ) -> "LinkNetListener":
-        """Hand what comes for an address to a host."""
+        """Deliver to a host what is sent to an address."""
         self.listeners[address] = on_data
         self.most_bytes = most_bytes
         return LinkNetListener()
@@ -99,29 +99,29 @@
 
 @dataclass
 class LinkNetLink:
-    """One way to a host."""
+    """One link to a host."""
 
     net: LinkNet
     address: str
     is_closed: bool = False
 
     def send(self, data: bytes) -> bool:
-        """Hand over, or lose, what a host sends; a closed link takes nothing."""
+        """Deliver or lose what a host sends; a closed link accepts nothing."""
         assert not self.is_closed, "the real link raises an error"
         if self.address not in self.net.cut:
-            self.net.hand_over(self.address, data)
+            self.net.deliver(self.address, data)
         return True
 
     def close(self) -> None:
-        """Take no more."""
+        """Accept nothing from now on."""
         self.is_closed = True
 
 
 @final
 class UplinkNet(LinkNet):
-    """Links that share the way out of their host, which is slow.
+    """Links that share the slow uplink of their host.
 
-    What a host sends waits there behind all that it has sent to others.
+    What a host sends is queued there behind all that it has sent to others.
     """
 
     def __init__(self, *, clock: Clock, bytes_per_s: float) -> None:
@@ -130,17 +130,17 @@
         self._bytes_per_s = bytes_per_s
         self._busy_until_s = 0.0
 
-    def hand_over(self, address: str, data: bytes) -> None:
-        """Deliver when all before it has left."""
+    def deliver(self, address: str, data: bytes) -> None:
+        """Deliver once all earlier data has been sent."""
         now_s = self._clock.seconds()
         begun_s = max(self._busy_until_s, now_s)
         self._busy_until_s = begun_s + len(data) / self._bytes_per_s
-        deliver = super().hand_over
+        deliver = super().deliver
         self._clock.callLater(self._busy_until_s - now_s, deliver, address, data)
 
 
 class LinkNetListener:
-    """Nothing to close."""
+    """A listener that needs no closing."""
 
     def close(self) -> None:
         """Close nothing."""
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -25,7 +25,7 @@
 from gentianwharf.keyspace._timing import CLOCK_DRIFT, MARGIN_S
 from tests.builders_keyspace import SERVICE, TIMING, run_manager
 from tests.builders_keyspace_hosts import SimpleStore
-from tests.builders_lives import Addresses, Way
+from tests.builders_lives import Addresses, OrderSender
 from tests.builders_store import LinkNet
 
 SHARD = 5
@@ -75,7 +75,7 @@
             rng=Random(number),
         )
         keeper = GrantManager(
-            orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds
+            orders=OrderSender(self.addresses), timing=TIMING, now_s=clock.seconds
         )
         former = FormerLeader(
             name=name,
@@ -136,7 +136,7 @@
     former, leader = place.host(1), place.host(2)
     place.lead(former, revision=5)
     run_manager(former.keeper, place.clock, 20.0)
-    place.addresses.living[place.lost.address].is_silent = True
+    place.addresses.running[place.lost.address].is_silent = True
     return former, leader
 
 
--- a/tests/test_keyspace_interleavings.py
+++ b/tests/test_keyspace_interleavings.py
@@ -37,7 +37,7 @@
                 name=name,
                 store=self.store,
                 servers=self.servers,
-                way=HostStore(self.store),
+                connection=HostStore(self.store),
             )
             for name in ("a", "b", "c")
         ]
@@ -131,7 +131,9 @@
 
 
 @pytest.mark.parametrize("seed", range(120))
-def test_no_shard_has_two_holders_and_all_are_served_in_the_end(seed: int) -> None:
+def test_no_shard_has_two_holders_and_all_are_served_in_the_on_answer(
+    seed: int,
+) -> None:
     """Guards against a lost change of a record that two servers change at a time.
 
     It takes several faults at a time: a suspended leader while another host takes over,
--- a/tests/test_keyspace_keeper.py
+++ b/tests/test_keyspace_keeper.py
@@ -112,7 +112,7 @@
     manager.follow(table(span(0, 9, 2, token=2, former_holders=(1,))))
     run_manager(manager, clock, 0.2)
     try:
-        servers[1].take_grant(late)  # type: ignore[arg-type]
+        servers[1].apply_grant(late)  # type: ignore[arg-type]
     except Exception as error:
         assert "higher token" in str(error)
     assert servers.holders(5) == ["10.0.0.2:80"]
--- a/tests/test_keyspace_leadership.py
+++ b/tests/test_keyspace_leadership.py
@@ -61,7 +61,7 @@
     run_hosts(clock, 3.0, first, second)
     leader, other = (first, second) if first.leads else (second, first)
     before = store.items_by_key[TABLE_KEY].revision
-    leader.hears_store = False
+    leader.receives_changes = False
     run_hosts(clock, 15.0, other, check=lambda: _assert_served(servers))
     assert other.leads
     assert store.items_by_key[TABLE_KEY].revision == before
@@ -80,7 +80,7 @@
     store, servers, (first, second) = make_hosts(clock, "a", "b")
     run_hosts(clock, 3.0, first, second)
     leader, other = (first, second) if first.leads else (second, first)
-    leader.hears_store = False
+    leader.receives_changes = False
     run_hosts(clock, 6.0, other, check=lambda: check_one_holder(servers))
     other.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
     run_hosts(clock, 3.0, other, check=lambda: check_one_holder(servers))
@@ -167,7 +167,7 @@
     store, servers, hosts = make_hosts(clock, "a", "b")
     run_hosts(clock, 3.0, *hosts)
     lost, other = sorted(hosts, key=lambda host: not host.leads)
-    lost.hears_store = False
+    lost.receives_changes = False
     run_hosts(clock, 3.0, other)
     assert other.leads
     assert other.manager.holders.held_s() > TIMING.longest_grant_s
@@ -191,7 +191,7 @@
     run_hosts(clock, 3.0, *others)
     lost = next(host for host in others if host.leads)
     last = next(host for host in others if host is not lost)
-    lost.hears_store = False
+    lost.receives_changes = False
     # It goes on renewing for the longest duration, cut off from the store.
     servers[1].is_silent = True
     last.planner.set_candidates(SERVICE, [candidate(2), candidate(3)])
--- a/tests/test_keyspace_order_of_news.py
+++ b/tests/test_keyspace_order_of_news.py
@@ -7,7 +7,7 @@
 
 from gentianwharf.keyspace import GrantManager, Holder, KeyTable, Span
 from tests.builders_keyspace import SERVICE, TIMING, run_manager
-from tests.builders_lives import Addresses, Way
+from tests.builders_lives import Addresses, OrderSender
 
 X, Y, Z = "10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"
 SHARD = 5
@@ -70,14 +70,16 @@
     addresses = Addresses(clock)
     addresses.start(case.living.server_id, X, born_ms=case.living.born_ms)
     other = addresses.start("c", Y)
-    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager = GrantManager(
+        orders=OrderSender(addresses), timing=TIMING, now_s=clock.seconds
+    )
     manager.take_over(clock.seconds())
     manager.note_listed([case.living, other])
     manager.follow(_table(case.living, 1))
     run_manager(manager, clock, 20.0)
     assert addresses.holders(SHARD) == [case.living]
     # It would answer a release late, and its grant stays valid until then.
-    addresses.living[X].is_silent = True
+    addresses.running[X].is_silent = True
     entries = {"living": case.living, "former": case.former}
     manager.note_listed([*(entries[name] for name in case.listed), other])
     manager.follow(_table(other, 2, former_holders=(case.living,)))
@@ -96,7 +98,9 @@
     addresses = Addresses(clock)
     first_life = addresses.start("a", X, born_ms=10)
     other = addresses.start("c", Y)
-    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager = GrantManager(
+        orders=OrderSender(addresses), timing=TIMING, now_s=clock.seconds
+    )
     manager.take_over(clock.seconds())
     manager.follow(_table(first_life, 1))
     run_manager(manager, clock, 20.0)
@@ -122,7 +126,7 @@
     first_life = addresses.start("a", X)
     other = addresses.start("c", Y)
     managers = [
-        GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+        GrantManager(orders=OrderSender(addresses), timing=TIMING, now_s=clock.seconds)
         for _ in range(2)
     ]
     former, leader = managers
@@ -150,7 +154,9 @@
     addresses = Addresses(clock)
     ended = addresses.start("a", X)
     other = addresses.start("c", Y)
-    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager = GrantManager(
+        orders=OrderSender(addresses), timing=TIMING, now_s=clock.seconds
+    )
     manager.take_over(clock.seconds())
     manager.follow(_table(ended, 1))
     run_manager(manager, clock, 1.0)
--- a/tests/test_keyspace_renewals.py
+++ b/tests/test_keyspace_renewals.py
@@ -4,7 +4,7 @@
 
 from gentianwharf.keyspace import GrantManager, KeyTable, Span
 from tests.builders_keyspace import SERVICE, TIMING, run_manager
-from tests.builders_lives import Addresses, Way
+from tests.builders_lives import Addresses, OrderSender
 
 SPANS = 12
 ANSWER_S = 0.006
@@ -19,9 +19,11 @@
     clock = Clock()
     addresses = Addresses(clock)
     servers = [addresses.start(f"s{n}", f"10.0.0.{n}:80") for n in range(3)]
-    for address in addresses.living.values():
+    for address in addresses.running.values():
         address.answer_s = ANSWER_S
-    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager = GrantManager(
+        orders=OrderSender(addresses), timing=TIMING, now_s=clock.seconds
+    )
     manager.take_over(clock.seconds())
     spans = tuple(
         Span(first=n, last=n, holder=servers[n % 3], token=1) for n in range(3 * SPANS)
@@ -34,7 +36,7 @@
     for _ in range(100):
         run_manager(manager, clock, 0.05)
         assert all(addresses.holders(n) for n in range(3 * SPANS))
-    assert {server.most_granting for server in addresses.living.values()} == {1}
+    assert {server.most_granting for server in addresses.running.values()} == {1}
 
 
 def test_unanswered_grant_does_not_end_the_other_grants() -> None:
@@ -42,14 +44,16 @@
     clock = Clock()
     addresses = Addresses(clock)
     server = addresses.start("s1", "10.0.0.1:80")
-    manager = GrantManager(orders=Way(addresses), timing=TIMING, now_s=clock.seconds)
+    manager = GrantManager(
+        orders=OrderSender(addresses), timing=TIMING, now_s=clock.seconds
+    )
     manager.take_over(clock.seconds())
     spans = tuple(Span(first=n, last=n, holder=server, token=1) for n in range(SPANS))
     manager.follow(KeyTable(service=SERVICE, highest_token=1, spans=spans))
     run_manager(manager, clock, 1.0)
-    addresses.living[server.address].is_silent = True
+    addresses.running[server.address].is_silent = True
     run_manager(manager, clock, 0.6)
-    addresses.living[server.address].is_silent = False
+    addresses.running[server.address].is_silent = False
     for _ in range(100):
         run_manager(manager, clock, 0.05)
         assert all(addresses.holders(n) for n in range(SPANS))
--- a/tests/test_store_mirror.py
+++ b/tests/test_store_mirror.py
@@ -46,7 +46,7 @@
 def test_the_next_watch_goes_on_after_what_was_brought(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    store.bring(events(12, item("b", 12)))
+    store.answer_watch(events(12, item("b", 12)))
     advance(clock, 1)
     assert [after for after, _ in store.watches] == [10, 12]
     assert revisions(mirror) == {"a": 3, "b": 12}
@@ -57,7 +57,7 @@
 ) -> None:
     heard: list[tuple[str, Item | None]] = []
     mirror.add_listener(lambda key, found: heard.append((key, found)))
-    store.bring(events(12, Removal(key="a", revision=12)))
+    store.answer_watch(events(12, Removal(key="a", revision=12)))
     assert revisions(mirror) == {}
     assert heard == [("a", None)]
 
@@ -77,7 +77,7 @@
     # Twelve hosts that each watched everything paid twelve calls for each change: of
     # some 700 paid calls of a calm day, five in six were these.
     mirror.receives_changes = lambda: True
-    store.bring(events(11))
+    store.answer_watch(events(11))
     for revision in range(12, 20):
         mirror.apply_forwarded(
             events(revision, item("b", revision)), after_revision=revision - 1
@@ -94,7 +94,7 @@
     # The host that tells the others is lost. What changes after that would never be
     # heard of by those that rely on it.
     mirror.receives_changes = lambda: True
-    store.bring(events(11))
+    store.answer_watch(events(11))
     mirror.apply_forwarded(events(12, item("b", 12)), after_revision=11)
     advance(clock, 0.5)
     mirror.receives_changes = lambda: False
@@ -108,13 +108,13 @@
     # A message between hosts is lost. The next one tells of later changes only; taken
     # alone it would hide the lost ones for ever.
     mirror.receives_changes = lambda: True
-    store.bring(events(11))
+    store.answer_watch(events(11))
     advance(clock, 0.5)
     mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
     assert revisions(mirror) == {"a": 3}
     advance(clock, 0.5)
     assert store.watches[-1][0] == 11
-    store.bring(events(14, item("c", 12), item("b", 14)))
+    store.answer_watch(events(14, item("c", 12), item("b", 14)))
     assert revisions(mirror) == {"a": 3, "c": 12, "b": 14}
     advance(clock, 2)
     assert len(store.watches) == 2, "it is fed again, and misses nothing"
@@ -128,7 +128,7 @@
     mirror.apply_forwarded(
         events(12, item("b", 11), Removal(key="b", revision=12)), after_revision=10
     )
-    store.bring(events(11, item("b", 11)))
+    store.answer_watch(events(11, item("b", 11)))
     assert revisions(mirror) == {"a": 3}
     assert mirror.revision == 12
 
@@ -177,9 +177,9 @@
         heard.append(key)
 
     mirror.add_listener(read)
-    store.bring(events(13, item("b", 11), item("odd", 12), item("c", 13)))
+    store.answer_watch(events(13, item("b", 11), item("odd", 12), item("c", 13)))
     advance(clock, 1)
-    store.bring(events(14, item("d", 14)))
+    store.answer_watch(events(14, item("d", 14)))
     mirror.apply_forwarded(
         events(16, item("odd", 15), item("e", 16)), after_revision=14
     )
@@ -190,10 +190,10 @@
 def test_own_error_of_a_reader_is_not_the_store_s(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """A host drops the rest of what a watch brought, and takes the store for lost.
+    """A host drops the rest of what a watch answer, and takes the store for lost.
 
     A reader refuses one value with an error of the same family as the store's own. The
-    watch goes on after all that it brought, so that the rest is never looked at.
+    watch goes on after all that it answer, so that the rest is never looked at.
     """
     heard: list[str] = []
 
@@ -203,7 +203,7 @@
         heard.append(key)
 
     mirror.add_listener(read)
-    store.bring(events(12, item("odd", 11), item("c", 12)))
+    store.answer_watch(events(12, item("odd", 11), item("c", 12)))
     assert heard == ["c"]
     assert mirror.silent_s() == 0
 
@@ -242,7 +242,7 @@
     store.watches[-1][1].errback(ValueError("expected base64"))
     advance(clock, 1)
     assert [after for after, _ in store.watches] == [10, 10]
-    store.bring(events(12, item("b", 12)))
+    store.answer_watch(events(12, item("b", 12)))
     assert revisions(mirror) == {"a": 3, "b": 12}
 
 
@@ -251,11 +251,11 @@
 ) -> None:
     """The leader can't tell one change, and from then on hears no other one itself."""
 
-    def tell(after_revision: int, brought: Events) -> None:
+    def tell(after_revision: int, answer: Events) -> None:
         raise OverflowError("can't serialize")
 
     mirror.on_events = tell
-    store.bring(events(12, item("b", 12)))
+    store.answer_watch(events(12, item("b", 12)))
     advance(clock, 1)
     assert [after for after, _ in store.watches] == [10, 12]
 
@@ -283,7 +283,7 @@
     mirror.apply_forwarded(events(15, item("c", 15)), after_revision=14)
     advance(clock, REISSUE_AFTER_S)
     assert [after for after, _ in store.watches] == [10, 10]
-    store.bring(events(15, item("a", 12), item("b", 14), item("c", 15)))
+    store.answer_watch(events(15, item("a", 12), item("b", 14), item("c", 15)))
     assert revisions(mirror) == {"a": 12, "b": 14, "c": 15}
     assert mirror.silent_s() == 0
 
@@ -313,7 +313,7 @@
     mirror.receives_changes = lambda: True
     mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
     advance(clock, REISSUE_AFTER_S / 2)
-    store.bring(events(14, item("a", 12), item("b", 14)))
+    store.answer_watch(events(14, item("a", 12), item("b", 14)))
     advance(clock, 2 * REISSUE_AFTER_S)
     assert len(store.watches) == 1
     assert revisions(mirror) == {"a": 12, "b": 14}
@@ -335,9 +335,9 @@
 def test_mirror_tells_what_changed_after_a_revision(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    store.bring(events(12, item("b", 11), Removal(key="a", revision=12)))
+    store.answer_watch(events(12, item("b", 11), Removal(key="a", revision=12)))
     advance(clock, 1)
-    store.bring(events(14, item("c", 13), item("b", 14)))
+    store.answer_watch(events(14, item("c", 13), item("b", 14)))
     assert mirror.changes_after(10) == events(
         14, Removal(key="a", revision=12), item("c", 13), item("b", 14)
     )
@@ -377,7 +377,7 @@
     monkeypatch.setattr(log, "info", lambda line, extra: lines.append((line, extra)))
     store.watches[-1][1].errback(PeerUnavailableError("x", step="watch", peer="store"))
     advance(clock, 1)
-    store.bring(events(13, item("b", 12, b"123"), item("b", 13, b"4")))
+    store.answer_watch(events(13, item("b", 12, b"123"), item("b", 13, b"4")))
     assert lines[-1] == (
         "caught up with the store",
         {
--- a/tests/test_store_mirror_back.py
+++ b/tests/test_store_mirror_back.py
@@ -95,7 +95,7 @@
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
     mirror.receives_changes = lambda: True
-    store.bring(events(11))
+    store.answer_watch(events(11))
     for revision in range(12, 40):
         mirror.apply_forwarded(events(revision), after_revision=revision - 1)
         advance(clock, 0.4)
--- a/tests/test_store_mirror_versions.py
+++ b/tests/test_store_mirror_versions.py
@@ -44,7 +44,7 @@
     mirror.add_listener(
         lambda key, found: heard.append((key, found.revision if found else None))
     )
-    store.bring(
+    store.answer_watch(
         events(
             16,
             item("rules", 11),
@@ -70,10 +70,10 @@
     """
     order: list[str] = []
     mirror.add_listener(lambda key, found: order.append("used"))
-    mirror.on_events = lambda after_revision, brought: order.append(
-        f"told {len(brought.changes)}"
+    mirror.on_events = lambda after_revision, answer: order.append(
+        f"told {len(answer.changes)}"
     )
-    store.bring(events(13, item("rules", 12), item("rules", 13)))
+    store.answer_watch(events(13, item("rules", 12), item("rules", 13)))
     advance(clock, 1)
     assert order == ["told 1", "used"]
 
@@ -82,6 +82,6 @@
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
     """A host keeps to an older value for good, and says that it knows the newest."""
-    store.bring(events(15, item("rules", 15), item("rules", 13)))
+    store.answer_watch(events(15, item("rules", 15), item("rules", 13)))
     advance(clock, 1)
     assert revisions(mirror)["rules"] == 15
