--- a/tests/test_store_mirror.py
+++ b/tests/test_store_mirror.py
@@ -1,4 +1,4 @@
-"""What a host knows of the store, by its own watch and by another host's."""
+"""``Mirror``: a host's copy of the store, from its own watch and from another host."""
 
 import pytest
 from twisted.internet.task import Clock
@@ -43,7 +43,7 @@
     return mirror
 
 
-def test_the_next_watch_goes_on_after_what_was_brought(
+def test_next_watch_continues_after_the_last_answer(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
     store.answer_watch(events(12, item("b", 12)))
@@ -52,17 +52,17 @@
     assert revisions(mirror) == {"a": 3, "b": 12}
 
 
-def test_an_item_is_gone_once_it_was_removed(
+def test_removed_item_is_dropped(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    heard: list[tuple[str, Item | None]] = []
-    mirror.add_listener(lambda key, found: heard.append((key, found)))
+    received: list[tuple[str, Item | None]] = []
+    mirror.add_listener(lambda key, found: received.append((key, found)))
     store.answer_watch(events(12, Removal(key="a", revision=12)))
     assert revisions(mirror) == {}
-    assert heard == [("a", None)]
+    assert received == [("a", None)]
 
 
-def test_a_gone_history_is_read_again(
+def test_all_items_are_read_again_after_lost_history(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
     store.page = Page(items=(item("c", 40),), revision=40)
@@ -71,11 +71,11 @@
     assert store.watches[-1][0] == 40
 
 
-def test_a_fed_host_does_not_watch(
+def test_host_that_receives_changes_does_not_watch(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    # Twelve hosts that each watched everything paid twelve calls for each change: of
-    # some 700 paid calls of a calm day, five in six were these.
+    # When each of twelve hosts watched everything, each change cost twelve calls: five
+    # in six of about 700 paid calls at low load.
     mirror.receives_changes = lambda: True
     store.answer_watch(events(11))
     for revision in range(12, 20):
@@ -88,11 +88,11 @@
     assert mirror.revision == 19
 
 
-def test_a_host_watches_again_when_it_is_fed_no_more(
+def test_host_watches_again_when_it_receives_no_more_changes(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    # The host that tells the others is lost. What changes after that would never be
-    # heard of by those that rely on it.
+    # The host that forwards changes is lost. Without a watch of their own, the
+    # receivers would get no more changes.
     mirror.receives_changes = lambda: True
     store.answer_watch(events(11))
     mirror.apply_forwarded(events(12, item("b", 12)), after_revision=11)
@@ -102,11 +102,11 @@
     assert [after for after, _ in store.watches] == [10, 12]
 
 
-def test_what_was_not_told_is_fetched(
+def test_changes_that_were_not_forwarded_are_fetched(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    # A message between hosts is lost. The next one tells of later changes only; taken
-    # alone it would hide the lost ones for ever.
+    # A message between hosts is lost. The next one contains only later changes; applied
+    # alone, it would hide the lost ones for ever.
     mirror.receives_changes = lambda: True
     store.answer_watch(events(11))
     advance(clock, 0.5)
@@ -117,14 +117,14 @@
     store.answer_watch(events(14, item("c", 12), item("b", 14)))
     assert revisions(mirror) == {"a": 3, "c": 12, "b": 14}
     advance(clock, 2)
-    assert len(store.watches) == 2, "it is fed again, and misses nothing"
+    assert len(store.watches) == 2, "changes are received again, and none is missing"
 
 
-def test_a_removed_item_does_not_come_back_by_an_older_watch(
+def test_older_watch_does_not_restore_a_removed_item(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    # A watch from before is still on its way when another host tells that an item was
-    # written and removed. The watch's answer brings the writing alone, once more.
+    # An earlier watch is still pending when another host forwards that an item was
+    # written and removed. The watch then returns only the write.
     mirror.apply_forwarded(
         events(12, item("b", 11), Removal(key="b", revision=12)), after_revision=10
     )
@@ -133,11 +133,11 @@
     assert mirror.revision == 12
 
 
-def test_what_is_told_counts_as_heard_from_the_store(
+def test_forwarded_changes_count_as_contact_with_the_store(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    # The store turns one host away and serves the others. It would take itself for cut
-    # off and doubt its servers although the leader tells it everything.
+    # The store rejects one host and serves the others. That host would assume to be cut
+    # off, and doubt its servers, although the leader forwards all changes to it.
     error = PeerUnavailableError("turned away", step="watch", peer="store")
     store.watches[-1][1].errback(error)
     advance(clock, 0.05)
@@ -147,9 +147,9 @@
     assert revisions(mirror) == {"a": 3, "b": 11}
 
 
-def test_a_host_that_reads_anew_is_not_fed_meanwhile(clock: Clock) -> None:
-    # What is told before a host has read the store is told after changes that it does
-    # not know of.
+def test_forwarded_changes_are_not_applied_before_the_first_read(clock: Clock) -> None:
+    # Changes that are forwarded before a host has read the store follow changes that it
+    # does not have.
     store = WatchedStore(page=Page(items=(item("a", 3),), revision=10), is_down=True)
     mirror = mirror_of(store, clock)
     mirror.receives_changes = lambda: True
@@ -158,86 +158,88 @@
     assert revisions(mirror) == {}
     store.is_down = False
     advance(clock, 1)
-    assert store.watches[-1][0] == 10, "it fetches what lies between"
+    assert store.watches[-1][0] == 10, "the changes in between are fetched"
 
 
-def test_value_that_its_reader_can_t_bear_costs_its_key_alone(
+def test_error_in_a_listener_affects_only_its_key(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """Callers are sent to servers that have left, on every host, until a restart.
+    """Guards against callers that are sent to servers which have left, until a restart.
 
-    One odd value of any key makes its reader raise. That ends the copy of the store,
-    and of all that is written after it no host learns.
+    An unexpected value makes a listener raise an error. This ended the copy of the
+    store, so the host received no later change of any key.
     """
-    heard: list[str] = []
+    received: list[str] = []
 
-    def read(key: str, found: Item | None) -> None:
+    def listener(key: str, found: Item | None) -> None:
         if key == "odd":
             raise OverflowError("cannot convert float infinity to integer")
-        heard.append(key)
+        received.append(key)
 
-    mirror.add_listener(read)
+    mirror.add_listener(listener)
     store.answer_watch(events(13, item("b", 11), item("odd", 12), item("c", 13)))
     advance(clock, 1)
     store.answer_watch(events(14, item("d", 14)))
     mirror.apply_forwarded(
         events(16, item("odd", 15), item("e", 16)), after_revision=14
     )
-    assert heard == ["b", "c", "d", "e"]
+    assert received == ["b", "c", "d", "e"]
     assert revisions(mirror)["odd"] == 15
 
 
-def test_own_error_of_a_reader_is_not_the_store_s(
+def test_error_of_a_listener_is_not_attributed_to_the_store(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """A host drops the rest of what a watch answer, and takes the store for lost.
+    """Guards against a host that drops part of an answer and reports a lost store.
 
-    A reader refuses one value with an error of the same family as the store's own. The
-    watch goes on after all that it answer, so that the rest is never looked at.
+    A listener rejects a value with an error of the same base class as the store's
+    errors. The next watch begins after the whole answer, so the rest would never be
+    processed.
     """
-    heard: list[str] = []
+    received: list[str] = []
 
-    def read(key: str, found: Item | None) -> None:
+    def listener(key: str, found: Item | None) -> None:
         if key == "odd":
             raise InputError("odd", step="read", peer=key)
-        heard.append(key)
+        received.append(key)
 
-    mirror.add_listener(read)
+    mirror.add_listener(listener)
     store.answer_watch(events(12, item("odd", 11), item("c", 12)))
-    assert heard == ["c"]
+    assert received == ["c"]
     assert mirror.silent_s() == 0
 
 
-def test_host_that_starts_beside_an_odd_value_reads_all_others(clock: Clock) -> None:
-    """A host that is started again knows nothing at all, and answers 503.
+def test_unexpected_value_does_not_stop_the_first_read(clock: Clock) -> None:
+    """Guards against a restarted host that has no items and answers 503.
 
-    An odd value stands in the store; reading everything stops at it each time.
+    The store contains an unexpected value, at which each full read stopped.
     """
     store = WatchedStore(
         page=Page(items=(item("a", 3), item("odd", 4), item("z", 5)), revision=10)
     )
     mirror = mirror_of(store, clock)
-    heard: list[str] = []
+    received: list[str] = []
 
-    def read(key: str, found: Item | None) -> None:
+    def listener(key: str, found: Item | None) -> None:
         if key == "odd":
             raise KeyError(key)
-        heard.append(key)
+        received.append(key)
 
-    mirror.add_listener(read)
+    mirror.add_listener(listener)
     mirror.start()
     advance(clock, 1)
-    assert heard == ["a", "z"]
+    assert received == ["a", "z"]
     assert mirror.is_current
     assert [after for after, _ in store.watches] == [10]
 
 
-def test_fault_in_reading_an_answer_is_tried_again(
+def test_unexpected_error_in_an_answer_is_retried(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """An answer of the store meets a fault of the host's own, of no expected kind.
+    """An answer of the store causes an error of an unexpected type.
 
-    The copy ended with it, and the host kept to what it knew until its end.
+    The copy ended with that error, and the host used its old items until it was
+    restarted.
     """
     store.watches[-1][1].errback(ValueError("expected base64"))
     advance(clock, 1)
@@ -246,21 +248,21 @@
     assert revisions(mirror) == {"a": 3, "b": 12}
 
 
-def test_fault_in_telling_others_does_not_end_the_copy(
+def test_error_in_forwarding_does_not_end_the_copy(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """The leader can't tell one change, and from then on hears no other one itself."""
+    """The leader must receive later changes although it fails to forward one."""
 
-    def tell(after_revision: int, answer: Events) -> None:
+    def forward(after_revision: int, answer: Events) -> None:
         raise OverflowError("can't serialize")
 
-    mirror.on_events = tell
+    mirror.on_events = forward
     store.answer_watch(events(12, item("b", 12)))
     advance(clock, 1)
     assert [after for after, _ in store.watches] == [10, 12]
 
 
-def test_mirror_that_is_stopped_asks_no_more(
+def test_stopped_mirror_sends_no_requests(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
     mirror.stop()
@@ -268,14 +270,14 @@
     assert len(store.watches) == 1
 
 
-def test_watch_that_does_not_bring_what_was_told_is_asked_anew(
+def test_watch_that_lacks_a_forwarded_change_is_reissued(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """A host sends to a server that left up to 20 s ago; all others know of it.
+    """Guards against a host that sends to a server up to 20 s after it left.
 
-    The host was cut off, and its watch's answer is lost. Back again, it is told of
-    what changes now, after a change that it never got: it has to fetch that one, and
-    waits for the lost watch to run out instead.
+    The host was cut off and the answer to its watch was lost. Connected again, it
+    receives a change that follows one which it lacks, and would wait for the lost watch
+    to time out before it fetches the missing change.
     """
     mirror.receives_changes = lambda: True
     mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
@@ -288,12 +290,12 @@
     assert mirror.silent_s() == 0
 
 
-def test_watch_that_was_asked_for_what_was_told_gets_its_time(
+def test_reissued_watch_is_not_cancelled(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """A host on a slow link never gets a large value: it gives each answer up midway.
+    """Guards against a host on a slow link that cancels each large answer.
 
-    News come every 0.4 s and tell each time that something is missing.
+    A forwarded change every 0.4 s shows each time that something is missing.
     """
     mirror.receives_changes = lambda: True
     for _ in range(20):
@@ -302,14 +304,14 @@
     assert len(store.watches) == 2
     wait_s = default_pace(1).wait_s
     assert store.waits_s == [wait_s, min(wait_s, REISSUE_AFTER_S)], (
-        "it has to end by itself"
+        "the reissued watch ends by itself"
     )
 
 
-def test_watch_that_brings_what_was_told_is_left_alone(
+def test_watch_that_returns_the_forwarded_change_is_not_reissued(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    # News often come ahead of the host's own watch.
+    # Forwarded changes often arrive before the answer to the host's own watch.
     mirror.receives_changes = lambda: True
     mirror.apply_forwarded(events(14, item("b", 14)), after_revision=13)
     advance(clock, REISSUE_AFTER_S / 2)
@@ -319,7 +321,7 @@
     assert revisions(mirror) == {"a": 12, "b": 14}
 
 
-def test_mirror_knows_for_how_long_it_lacks_what_it_was_told_of(
+def test_mirror_measures_for_how_long_it_is_behind(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
     assert mirror.behind_s() == 0
@@ -332,7 +334,7 @@
     assert mirror.behind_s() == 0
 
 
-def test_mirror_tells_what_changed_after_a_revision(
+def test_mirror_returns_the_changes_after_a_revision(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
     store.answer_watch(events(12, item("b", 11), Removal(key="a", revision=12)))
@@ -344,13 +346,12 @@
     assert mirror.changes_after(12) == events(14, item("c", 13), item("b", 14))
 
 
-def test_mirror_does_not_tell_of_times_that_it_has_not_seen(
+def test_mirror_returns_no_changes_from_before_its_first_revision(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """A host sends to a server that has left: nobody told it that its entry went.
+    """Guards against a host that goes on sending to a server that was removed.
 
-    The one that tells it has read the store after that, and has no mark of what stood
-    there before.
+    The forwarding host has read all items after the removal, and has no record of it.
     """
     assert mirror.changes_after(9) is None
     for number in range(MAX_REMOVALS + 1):
@@ -366,13 +367,13 @@
     assert len(known.changes) == MAX_REMOVALS
 
 
-def test_what_a_host_missed_is_logged_once_the_store_is_back(
+def test_missed_changes_are_logged_once_the_store_is_back(
     store: WatchedStore,
     mirror: Mirror,
     clock: Clock,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing tells a host that is told late from one that fetches for long."""
+    """The log has to distinguish a late notification from a slow read."""
     lines: list[tuple[str, object]] = []
     monkeypatch.setattr(log, "info", lambda line, extra: lines.append((line, extra)))
     store.watches[-1][1].errback(PeerUnavailableError("x", step="watch", peer="store"))
--- a/tests/test_store_mirror_back.py
+++ b/tests/test_store_mirror_back.py
@@ -1,4 +1,4 @@
-"""A mirror that was out of reach of the store for long."""
+"""A mirror that had no contact with the store for a long time."""
 
 from random import Random
 from typing import cast
@@ -23,17 +23,17 @@
 
 
 class SlowPages(WatchedStore):
-    """A store whose pages, after the first one, come when a test says so."""
+    """A store whose pages, after the first one, are returned when a test says so."""
 
-    coming: "Deferred[Page] | None" = None
+    pending_page: "Deferred[Page] | None" = None
 
     async def items(self, prefix: str) -> Page:
-        """Wait for the test, but for the first page."""
+        """Wait for the test, except for the first page."""
         page = await super().items(prefix)
         if self.readings == 1:
             return page
-        self.coming = Deferred()
-        return await self.coming
+        self.pending_page = Deferred()
+        return await self.pending_page
 
 
 @pytest.fixture
@@ -63,35 +63,35 @@
         advance(clock, 0.1)
 
 
-def test_what_stands_is_read_after_a_long_outage(
+def test_all_items_are_read_after_a_long_outage(
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
-    """Hundreds of versions of tables come over a slow link before the newest rules."""
+    """A watch would first return hundreds of table versions over a slow link."""
     lose(store, clock, LONG_S + MAX_RETRY_DELAY_S)
-    assert store.coming is not None
-    store.coming.callback(Page(items=(item("a", 40),), revision=50))
+    assert store.pending_page is not None
+    store.pending_page.callback(Page(items=(item("a", 40),), revision=50))
     assert revisions(mirror) == {"a": 40}
     assert store.watches[-1][0] == 50
     assert mirror.silent_s() == 0
 
 
-def test_what_changed_is_watched_for_after_a_short_outage(
+def test_changes_are_watched_after_a_short_outage(
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
     lose(store, clock, LONG_S / 4)
     assert store.readings == 1
 
 
-def test_who_tells_others_watches_after_any_outage(
+def test_forwarding_host_watches_after_any_outage(
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
-    """Who is told what changed after a revision doesn't learn what went in between."""
+    """Hosts that receive changes would not get the removals before a full read."""
     mirror.forwards_changes = lambda: True
     lose(store, clock, 2 * LONG_S)
     assert store.readings == 1
 
 
-def test_host_that_is_told_everything_reads_nothing(
+def test_host_that_receives_all_changes_reads_nothing(
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
     mirror.receives_changes = lambda: True
@@ -102,14 +102,14 @@
     assert store.readings == 1
 
 
-def test_page_that_is_older_than_what_was_told_changes_nothing(
+def test_page_older_than_forwarded_changes_is_ignored(
     store: SlowPages, mirror: Mirror, clock: Clock
 ) -> None:
-    """A server that left is back on one host alone: it was read before, told after."""
+    """A server left after the page was read, and its removal is forwarded first."""
     lose(store, clock, LONG_S + MAX_RETRY_DELAY_S)
     mirror.apply_forwarded(events(60, Removal(key="b", revision=60)), after_revision=10)
-    assert store.coming is not None
-    store.coming.callback(Page(items=(item("a", 3), item("b", 4)), revision=59))
+    assert store.pending_page is not None
+    store.pending_page.callback(Page(items=(item("a", 3), item("b", 4)), revision=59))
     assert revisions(mirror) == {"a": 3}
     assert mirror.revision == 60
     assert store.watches[-1][0] == 60
--- a/tests/test_store_mirror_versions.py
+++ b/tests/test_store_mirror_versions.py
@@ -31,18 +31,18 @@
     return mirror
 
 
-def test_versions_that_a_newer_one_replaces_are_passed_over(
+def test_superseded_versions_are_skipped(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """New rules are answered 404 on a host for seconds, and a leader loses its lease.
+    """Guards against rules that take effect seconds late, and a lost leader lease.
 
-    Operators write ten versions of long rules, one after the other. They come in one
-    answer; a host took each in full, 0.3 s on its only thread, though only the last
-    one counts.
+    Operators write ten versions of long rules one after another, which arrive in one
+    answer. A host processed each of them, 0.3 s on its only thread, although only the
+    last one matters.
     """
-    heard: list[tuple[str, int | None]] = []
+    received: list[tuple[str, int | None]] = []
     mirror.add_listener(
-        lambda key, found: heard.append((key, found.revision if found else None))
+        lambda key, found: received.append((key, found.revision if found else None))
     )
     store.answer_watch(
         events(
@@ -56,32 +56,31 @@
         )
     )
     advance(clock, 1)
-    assert heard == [("rules", 15), ("a", 16)]
+    assert received == [("rules", 15), ("a", 16)]
     assert revisions(mirror) == {"a": 16, "rules": 15}
 
 
-def test_others_are_told_before_a_change_is_put_to_use(
+def test_changes_are_forwarded_before_they_are_applied(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """All hosts but one learn of new rules late: the leader takes them first.
+    """Guards against rules that are delayed because the leader applies them first.
 
-    That holds its only thread for as long as the list is long, and what it has to tell
-    the others waits.
+    Applying a long list occupies the leader's only thread and delays the forwarding.
     """
     order: list[str] = []
-    mirror.add_listener(lambda key, found: order.append("used"))
+    mirror.add_listener(lambda key, found: order.append("applied"))
     mirror.on_events = lambda after_revision, answer: order.append(
-        f"told {len(answer.changes)}"
+        f"forwarded {len(answer.changes)}"
     )
     store.answer_watch(events(13, item("rules", 12), item("rules", 13)))
     advance(clock, 1)
-    assert order == ["told 1", "used"]
+    assert order == ["forwarded 1", "applied"]
 
 
-def test_order_of_an_answer_s_changes_decides_nothing(
+def test_order_of_changes_in_an_answer_is_ignored(
     store: WatchedStore, mirror: Mirror, clock: Clock
 ) -> None:
-    """A host keeps to an older value for good, and says that it knows the newest."""
+    """Guards against a host that keeps an older value at the newest revision."""
     store.answer_watch(events(15, item("rules", 15), item("rules", 13)))
     advance(clock, 1)
     assert revisions(mirror)["rules"] == 15
