--- a/src/gentianwharf/keyspace/_grant_manager.py
+++ b/src/gentianwharf/keyspace/_grant_manager.py
@@ -178,7 +178,7 @@
         except GentianwharfError as error:
             log.debug("probe failed: {}", error)
             return
-            # This includes a holder that had ended and was restarted under its id.
+        # This includes a holder that had ended and was restarted under its id.
         state.failing_since_s = None
         state.has_ended = False
         log.info("server reached again", extra={"server": holder.server_id})
--- a/src/gentianwharf/keyspace/_leadership.py
+++ b/src/gentianwharf/keyspace/_leadership.py
@@ -233,7 +233,7 @@
             )
             return
         if self.term is term:
-            # The lease is renewed when the call arrives, which is after it was sent.
+            # The lease runs from the arrival of the call, which is never before now_s.
             self.lease_renewed_s = max(self.lease_renewed_s, now_s)
 
     def _gain(self, revision: int) -> None:
--- a/src/gentianwharf/store/_mirror.py
+++ b/src/gentianwharf/store/_mirror.py
@@ -253,8 +253,8 @@
             superseded = len(events.changes) - len(newest.changes)
             self._log_caught_up(events, requested_s=requested_s, superseded=superseded)
         if newest.changes:
-            # This precedes the use of the changes on this host: processing a long list
-            # of rules takes tenths of a second, which would delay all other hosts.
+            # Changes are forwarded before they are applied on this host: a long list of
+            # rules takes tenths of a second, which would delay all other hosts.
             _call_guarded(
                 lambda: self.on_events(after_revision, newest),
                 peer=self._prefix,
