--- a/tests/builders_keyspace.py
+++ b/tests/builders_keyspace.py
@@ -138,7 +138,7 @@
         address = holder.address
         server = self._server(holder)
         if server.is_unreachable:
-            raise PeerUnavailableError("no way", step="grant", peer=address)
+            raise PeerUnavailableError("unreachable", step="grant", peer=address)
         server.orders.append(grant)
         if server.is_silent:
             await self._lose_answer(timeout_s)
@@ -158,7 +158,7 @@
         address = holder.address
         server = self._server(holder)
         if server.is_unreachable:
-            raise PeerUnavailableError("no way", step="release", peer=address)
+            raise PeerUnavailableError("unreachable", step="release", peer=address)
         server.orders.append(release)
         if server.is_silent:
             await self._lose_answer(timeout_s)
--- a/tests/builders_lives.py
+++ b/tests/builders_lives.py
@@ -106,7 +106,7 @@
     def _server(self, holder: Holder) -> Server:
         server = self.addresses.running.get(holder.address)
         if server is None or holder.address in self.cut:
-            raise PeerUnavailableError("no way", step="order", peer=holder.address)
+            raise PeerUnavailableError("unreachable", step="order", peer=holder.address)
         if server.holder.server_id != holder.server_id:
             raise HolderEndedError("another", step="order", peer=holder.address)
         return server
--- a/tests/test_keyspace_order_of_news.py
+++ b/tests/test_keyspace_order_of_news.py
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True)
 class Case:
-    """``former`` lived at X before ``living``; hosts list ``listed`` in this order."""
+    """``former`` lived at X before ``current``; hosts list ``listed`` in this order."""
 
     former: Holder
-    living: Holder
+    current: Holder
     listed: tuple[str, ...]
 
 
 def _case(
-    *listed: str, former_born_ms: int = 0, born_ms: int = 0, living_id: str = "b"
+    *listed: str, former_born_ms: int = 0, born_ms: int = 0, current_id: str = "b"
 ) -> Case:
     return Case(
         former=Holder(server_id="a", born_ms=former_born_ms, address=X),
-        living=Holder(server_id=living_id, born_ms=born_ms, address=X),
+        current=Holder(server_id=current_id, born_ms=born_ms, address=X),
         listed=listed,
     )
 
@@ -35,26 +35,26 @@
 @pytest.mark.parametrize(
     "case",
     [
-        pytest.param(_case("living", "former"), id="older-entry-later"),
-        pytest.param(_case("former", "living"), id="older-entry-first"),
+        pytest.param(_case("current", "former"), id="older-entry-later"),
+        pytest.param(_case("former", "current"), id="older-entry-first"),
         pytest.param(_case("former"), id="older-entry-alone"),
-        pytest.param(_case("living"), id="newer-entry-alone"),
+        pytest.param(_case("current"), id="newer-entry-alone"),
         pytest.param(_case(), id="none-listed"),
         pytest.param(
-            _case("living", "former", former_born_ms=10, born_ms=20),
-            id="older-entry-later-both-births-known",
+            _case("current", "former", former_born_ms=10, born_ms=20),
+            id="older-entry-later-both-starts-known",
         ),
         pytest.param(
-            _case("living", "former", former_born_ms=10), id="newer-birth-unknown"
+            _case("current", "former", former_born_ms=10), id="newer-start-unknown"
         ),
-        pytest.param(_case("living", "former", born_ms=20), id="older-birth-unknown"),
+        pytest.param(_case("current", "former", born_ms=20), id="older-start-unknown"),
         pytest.param(
-            _case("former", former_born_ms=10, born_ms=20, living_id="a"),
-            id="older-life-of-the-same-id",
+            _case("former", former_born_ms=10, born_ms=20, current_id="a"),
+            id="older-instance-of-the-same-id",
         ),
         pytest.param(
-            _case("former", born_ms=20, living_id="a"),
-            id="older-life-of-the-same-id-birth-unknown",
+            _case("former", born_ms=20, current_id="a"),
+            id="older-instance-of-the-same-id-start-unknown",
         ),
     ],
 )
@@ -68,21 +68,21 @@
     """
     clock = Clock()
     addresses = Addresses(clock)
-    addresses.start(case.living.server_id, X, born_ms=case.living.born_ms)
+    addresses.start(case.current.server_id, X, born_ms=case.current.born_ms)
     other = addresses.start("c", Y)
     manager = GrantManager(
         orders=OrderSender(addresses), timing=TIMING, now_s=clock.seconds
     )
     manager.take_over(clock.seconds())
-    manager.note_listed([case.living, other])
-    manager.follow(_table(case.living, 1))
+    manager.note_listed([case.current, other])
+    manager.follow(_table(case.current, 1))
     run_manager(manager, clock, 20.0)
-    assert addresses.holders(SHARD) == [case.living]
+    assert addresses.holders(SHARD) == [case.current]
     # It would answer a release late, and its grant stays valid until then.
     addresses.running[X].is_silent = True
-    entries = {"living": case.living, "former": case.former}
+    entries = {"current": case.current, "former": case.former}
     manager.note_listed([*(entries[name] for name in case.listed), other])
-    manager.follow(_table(other, 2, former_holders=(case.living,)))
+    manager.follow(_table(other, 2, former_holders=(case.current,)))
     run_manager(manager, clock, 5.0, check=lambda: _assert_one(addresses))
     assert addresses.holders(SHARD) == [other]
 
