--- a/src/gentianwharf/cli/_logs.py
+++ b/src/gentianwharf/cli/_logs.py
@@ -5,7 +5,13 @@
 from pathlib import Path
 from typing import Any
 
-from gentianwharf.logs import Belief, LogLine, Story, read_log, story_of
+from gentianwharf.logs import (
+    ContextEntry,
+    LogLine,
+    RequestHistory,
+    read_log,
+    request_history,
+)
 
 from ._exits import Exit
 from ._terminal import Terminal
@@ -14,7 +20,7 @@
 def explain(request_id: str, files: Sequence[Path], shown: Terminal) -> Exit:
     """Print a request's lines in order, and what the hosts believed at its end."""
     lines = [line for file in files for line in read_log(file)]
-    story = story_of(request_id, lines)
+    story = request_history(request_id, lines)
     if shown.as_json:
         shown.json(_document(story))
     elif story.lines:
@@ -29,16 +35,16 @@
     return Exit.REFUSED
 
 
-def _print(story: Story, shown: Terminal) -> None:
+def _print(story: RequestHistory, shown: Terminal) -> None:
     begun_s = story.lines[0].at_s
     shown.line(f"request {story.request_id}, first line at {_time(begun_s)}")
     for line in story.lines:
         after_ms = (line.at_s - begun_s) * 1000
         shown.line(f"  +{after_ms:.0f} ms  {line.host}  {_text(line)}")
     shown.line("what was believed at its end")
-    for belief in story.beliefs:
+    for belief in story.context:
         shown.line(
-            f"  {belief.about}: {_text(belief.line)}"
+            f"  {belief.topic}: {_text(belief.line)}"
             f"  ({belief.age_s:.2f} s old, {belief.line.host})"
         )
 
@@ -56,11 +62,11 @@
     return datetime.fromtimestamp(at_s, UTC).isoformat(timespec="milliseconds")
 
 
-def _document(story: Story) -> Mapping[str, Any]:
+def _document(story: RequestHistory) -> Mapping[str, Any]:
     return {
         "request_id": story.request_id,
         "lines": [_line(one) for one in story.lines],
-        "beliefs": [_belief(one) for one in story.beliefs],
+        "beliefs": [_belief(one) for one in story.context],
     }
 
 
@@ -73,9 +79,9 @@
     }
 
 
-def _belief(belief: Belief) -> Mapping[str, Any]:
+def _belief(belief: ContextEntry) -> Mapping[str, Any]:
     return {
-        "about": belief.about,
+        "about": belief.topic,
         "age_s": round(belief.age_s, 3),
         "line": _line(belief.line),
     }
--- a/src/gentianwharf/logs/__init__.py
+++ b/src/gentianwharf/logs/__init__.py
@@ -2,17 +2,23 @@
 
 from ._bounded import BoundedWriter
 from ._json_lines import JsonLinesHandler, LogSetup, configure, log
-from ._story import Belief, LogLine, Story, read_log, story_of
+from ._request_history import (
+    ContextEntry,
+    LogLine,
+    RequestHistory,
+    read_log,
+    request_history,
+)
 
 __all__ = [
-    "Belief",
+    "ContextEntry",
     "BoundedWriter",
     "JsonLinesHandler",
     "LogLine",
     "LogSetup",
-    "Story",
+    "RequestHistory",
     "configure",
     "log",
     "read_log",
-    "story_of",
+    "request_history",
 ]
--- a/src/gentianwharf/logs/_story.py
+++ b/src/gentianwharf/logs/_request_history.py
@@ -32,22 +32,22 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Belief:
+class ContextEntry:
     """The last word on something before a request ended, and how old it was then."""
 
-    about: str
+    topic: str
     line: LogLine
     age_s: float
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Story:
+class RequestHistory:
     """A request's lines in order, and what held at the time of the last one."""
 
     request_id: str
     lines: tuple[LogLine, ...]
-    beliefs: tuple[Belief, ...]
+    context: tuple[ContextEntry, ...]
 
 
 def read_log(path: Path) -> list[LogLine]:
@@ -87,17 +87,19 @@
     )
 
 
-def story_of(request_id: str, lines: Iterable[LogLine]) -> Story:
+def request_history(request_id: str, lines: Iterable[LogLine]) -> RequestHistory:
     """Return what the lines tell of a request."""
     ordered = sorted(lines, key=lambda one: one.at_s)
     own = [one for one in ordered if one.fields.get("request_id") == request_id]
-    beliefs: Sequence[Belief] = ()
+    beliefs: Sequence[ContextEntry] = ()
     if own:
         beliefs = _beliefs(own, ordered)
-    return Story(request_id=request_id, lines=tuple(own), beliefs=tuple(beliefs))
+    return RequestHistory(
+        request_id=request_id, lines=tuple(own), context=tuple(beliefs)
+    )
 
 
-def _beliefs(own: Sequence[LogLine], ordered: Sequence[LogLine]) -> list[Belief]:
+def _beliefs(own: Sequence[LogLine], ordered: Sequence[LogLine]) -> list[ContextEntry]:
     until_s = own[-1].at_s
     latest: dict[str, LogLine] = {}
     for line in ordered:
@@ -107,7 +109,7 @@
         if about is not None:
             latest[about] = line
     return [
-        Belief(about=about, line=line, age_s=until_s - line.at_s)
+        ContextEntry(topic=about, line=line, age_s=until_s - line.at_s)
         for about, line in sorted(latest.items())
     ]
 
--- a/tests/test_logs_story.py
+++ b/tests/test_logs_story.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gentianwharf.errors import InputError
-from gentianwharf.logs import read_log, story_of
+from gentianwharf.logs import read_log, request_history
 
 
 def line(second: float, message: str, **fields: Any) -> str:
@@ -48,18 +48,18 @@
 
 
 def test_story_has_the_request_s_lines_and_what_was_believed(logs: list[Path]) -> None:
-    story = story_of("a1", [one for path in logs for one in read_log(path)])
+    story = request_history("a1", [one for path in logs for one in read_log(path)])
     assert [(one.host, one.message) for one in story.lines] == [
         ("host-2", "no server holds the key at the moment")
     ]
-    beliefs = {one.about: (one.line.message, one.age_s) for one in story.beliefs}
+    beliefs = {one.topic: (one.line.message, one.age_s) for one in story.context}
     assert beliefs == {
         "leader": ("leading", 7.0),
         "holder of its key": ("renewal failed", 1.0),
         "rules on host-2": ("configuration in force", 3.0),
         "server s1, from host-2": ("server listed", 2.0),
     }
-    rules = next(one for one in story.beliefs if one.about.startswith("rules"))
+    rules = next(one for one in story.context if one.topic.startswith("rules"))
     assert rules.line.fields["version"] == 6
 
 
@@ -72,20 +72,20 @@
         7, "configuration not taken: at most 5 rules", version=6, revision=40
     )
     logs[1].write_text(refused + "\n" + logs[1].read_text())
-    story = story_of("a1", [one for path in logs for one in read_log(path)])
-    beliefs = {one.about: one.age_s for one in story.beliefs}
+    story = request_history("a1", [one for path in logs for one in read_log(path)])
+    beliefs = {one.topic: one.age_s for one in story.context}
     assert beliefs["rules refused on host-2"] == 1.0
 
 
 def test_what_came_after_the_request_is_left_out(logs: list[Path]) -> None:
-    story = story_of("a1", [one for path in logs for one in read_log(path)])
-    assert "released" not in [one.line.message for one in story.beliefs]
+    story = request_history("a1", [one for path in logs for one in read_log(path)])
+    assert "released" not in [one.line.message for one in story.context]
 
 
 def test_unknown_request_has_no_story(logs: list[Path]) -> None:
-    story = story_of("zz", [one for path in logs for one in read_log(path)])
+    story = request_history("zz", [one for path in logs for one in read_log(path)])
     assert not story.lines
-    assert not story.beliefs
+    assert not story.context
 
 
 def test_a_collector_s_words_before_a_line_name_its_host(tmp_path: Path) -> None:
