--- a/src/gentianwharf/daemon/_fleet.py
+++ b/src/gentianwharf/daemon/_fleet.py
@@ -10,7 +10,7 @@
 from gentianwharf.admin import HostRules, JsonValue, RulesAtHost, RulesEverywhere
 from gentianwharf.errors import InputError
 from gentianwharf.metrics import (
-    BurnSum,
+    BurnAggregator,
     Recorder,
     SilentHost,
     decode_part,
@@ -220,7 +220,7 @@
         """Return the report as JSON; hosts that did not answer are named in it."""
         own = self._hosts.own.id
         asked = sorted(self._hosts.hosts) if host is None else [self._known(host)]
-        whole = BurnSum(objectives=self._recorder.objectives)
+        whole = BurnAggregator(objectives=self._recorder.objectives)
 
         def take(name: str, answer: bytes) -> None:
             whole.add(name, decode_part(answer, peer=name))
--- a/src/gentianwharf/metrics/__init__.py
+++ b/src/gentianwharf/metrics/__init__.py
@@ -20,7 +20,7 @@
     UnavailableBurn,
     burn_report,
 )
-from ._burn_part import BurnPart, BurnSum, decode_part, encode_part
+from ._burn_part import BurnAggregator, BurnPart, decode_part, encode_part
 from ._burn_text import burn_text
 from ._decisions import DecisionRing
 from ._histograms import (
@@ -45,7 +45,7 @@
     "BurnAlert",
     "BurnPart",
     "BurnReport",
-    "BurnSum",
+    "BurnAggregator",
     "Burner",
     "ClassBurn",
     "UnavailableBurn",
--- a/src/gentianwharf/metrics/_burn_part.py
+++ b/src/gentianwharf/metrics/_burn_part.py
@@ -51,7 +51,7 @@
 
 
 @final
-class BurnSum:
+class BurnAggregator:
     """Adds hosts' parts up as they come; none of them is kept.
 
     Counts and histograms add up. Of unavailable time the longest span is the longest
--- a/tests/builders_metrics.py
+++ b/tests/builders_metrics.py
@@ -7,8 +7,8 @@
 
 from gentianwharf.metrics import (
     Answer,
+    BurnAggregator,
     BurnReport,
-    BurnSum,
     Decision,
     Objective,
     Recorder,
@@ -72,7 +72,7 @@
 
 def burn_of(*recorders: Recorder) -> BurnReport:
     """Return the burn of recorders as of one host each."""
-    whole = BurnSum(objectives=[CONSULTATION])
+    whole = BurnAggregator(objectives=[CONSULTATION])
     for number, one in enumerate(recorders, start=1):
         whole.add(f"lac-{number}", one.burn_part())
     return whole.report()
--- a/tests/test_metrics_burn.py
+++ b/tests/test_metrics_burn.py
@@ -10,8 +10,8 @@
 from gentianwharf.metrics import (
     ALERT_RULES,
     WINDOWS_S,
+    BurnAggregator,
     BurnReport,
-    BurnSum,
     SilentHost,
     WindowCount,
     burn_html,
@@ -152,7 +152,7 @@
     metrics = recorder(Clock())
     metrics.answered(answer(elapsed_s=0.25))
     part = metrics.burn_part()
-    whole = BurnSum(objectives=[CONSULTATION])
+    whole = BurnAggregator(objectives=[CONSULTATION])
     whole.add("lac-1", part)
     page = burn_html(whole.report(silent=[SilentHost(host="<b>", reason="no answer")]))
     assert page.index("MISSING &lt;b&gt;: no answer") < page.index("burn rate")
