--- a/src/gentianwharf/daemon/_fleet.py
+++ b/src/gentianwharf/daemon/_fleet.py
@@ -11,8 +11,8 @@
 from gentianwharf.errors import InputError
 from gentianwharf.metrics import (
     BurnAggregator,
+    MissingHost,
     Recorder,
-    SilentHost,
     decode_part,
     encode_part,
 )
@@ -236,7 +236,7 @@
         )
         report = whole.report(
             silent=[
-                SilentHost(host=name, reason=reason)
+                MissingHost(host=name, reason=reason)
                 for name, reason in sorted(silent.items())
             ]
         )
--- a/src/gentianwharf/metrics/__init__.py
+++ b/src/gentianwharf/metrics/__init__.py
@@ -16,7 +16,7 @@
     BurnReport,
     ClassBurn,
     LatencyOfClass,
-    SilentHost,
+    MissingHost,
     UnavailableBurn,
     burn_report,
 )
@@ -64,7 +64,7 @@
     "Recorder",
     "RunStatus",
     "Sample",
-    "SilentHost",
+    "MissingHost",
     "Tally",
     "UnavailableShards",
     "WindowCount",
--- a/src/gentianwharf/metrics/_burn.py
+++ b/src/gentianwharf/metrics/_burn.py
@@ -121,7 +121,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class SilentHost:
+class MissingHost:
     """A listed host whose answers the report lacks, and why."""
 
     host: str
@@ -143,7 +143,7 @@
     unavailable: list[UnavailableBurn]
     latencies: list[LatencyOfClass] = field(default_factory=list)
     hosts: list[str] = field(default_factory=list)
-    silent: list[SilentHost] = field(default_factory=list)
+    silent: list[MissingHost] = field(default_factory=list)
 
     def as_builtins(self) -> dict[str, Any]:
         """Return the report as what JSON knows."""
@@ -175,7 +175,7 @@
     unavailable: Sequence[UnavailableBurn] = (),
     latencies: Sequence[LatencyOfClass] = (),
     hosts: Sequence[str] = (),
-    silent: Sequence[SilentHost] = (),
+    silent: Sequence[MissingHost] = (),
 ) -> BurnReport:
     """Work the report out of window counts; those of several hosts just add up.
 
--- a/src/gentianwharf/metrics/_burn_part.py
+++ b/src/gentianwharf/metrics/_burn_part.py
@@ -11,7 +11,7 @@
 
 from gentianwharf.errors import InputError
 
-from ._burn import BurnReport, LatencyOfClass, SilentHost, UnavailableBurn, burn_report
+from ._burn import BurnReport, LatencyOfClass, MissingHost, UnavailableBurn, burn_report
 from ._histograms import EncodedHistogram, new_histogram, value_at_s
 from ._objectives import Objective
 from ._windows import WindowCount
@@ -81,7 +81,7 @@
             self._add_unavailable(burn)
         self._hosts.append(host)
 
-    def report(self, *, silent: Iterable[SilentHost] = ()) -> BurnReport:
+    def report(self, *, silent: Iterable[MissingHost] = ()) -> BurnReport:
         """Return the report over all hosts that were added."""
         counts = [
             WindowCount(
--- a/tests/builders_admin.py
+++ b/tests/builders_admin.py
@@ -25,8 +25,8 @@
 from gentianwharf.errors import RefusedError
 from gentianwharf.infra import ListedHost
 from gentianwharf.metrics import (
+    MissingHost,
     Objective,
-    SilentHost,
     WindowCount,
     burn_report,
 )
@@ -100,7 +100,7 @@
     change_ids: list[str | None] = field(default_factory=list)
     late: RulesAtHost = RulesAtHost.IN_FORCE
     waits: list[tuple[int | None, float]] = field(default_factory=list)
-    silent: Sequence[SilentHost] = ()
+    silent: Sequence[MissingHost] = ()
     burns: list[str | None] = field(default_factory=list)
     decision_calls: list[tuple[str | None, bool, int]] = field(default_factory=list)
 
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -26,7 +26,7 @@
     OutcomeUnknownError,
     PeerUnavailableError,
 )
-from gentianwharf.metrics import SilentHost
+from gentianwharf.metrics import MissingHost
 from gentianwharf.rules import (
     Finding,
     RulesApplied,
@@ -361,7 +361,7 @@
 
 
 def test_report_that_lacks_a_host_says_so_and_exits_5() -> None:
-    daemon = FakeDaemon(silent=[SilentHost(host="ariana-1", reason="no answer")])
+    daemon = FakeDaemon(silent=[MissingHost(host="ariana-1", reason="no answer")])
     result = ran(partial(_status.burn, html=None, host=None), daemon)
     assert result.code is Exit.INCOMPLETE
     assert "Answers of 1 of 2 hosts" in result.out
@@ -379,7 +379,7 @@
     [
         pytest.param((), Exit.REFUSED, "not sampled", id="kept-by-nobody"),
         pytest.param(
-            (SilentHost(host="ariana-1", reason="no answer"),),
+            (MissingHost(host="ariana-1", reason="no answer"),),
             Exit.INCOMPLETE,
             "ariana-1 could not be asked: no answer",
             id="a-host-is-silent",
@@ -387,7 +387,7 @@
     ],
 )
 def test_request_that_is_not_kept_is_told(
-    silent: tuple[SilentHost, ...], code: Exit, part: str
+    silent: tuple[MissingHost, ...], code: Exit, part: str
 ) -> None:
     daemon = FakeDaemon(silent=silent)
     command = partial(
--- a/tests/test_metrics_burn.py
+++ b/tests/test_metrics_burn.py
@@ -12,7 +12,7 @@
     WINDOWS_S,
     BurnAggregator,
     BurnReport,
-    SilentHost,
+    MissingHost,
     WindowCount,
     burn_html,
     burn_report,
@@ -154,7 +154,7 @@
     part = metrics.burn_part()
     whole = BurnAggregator(objectives=[CONSULTATION])
     whole.add("lac-1", part)
-    page = burn_html(whole.report(silent=[SilentHost(host="<b>", reason="no answer")]))
+    page = burn_html(whole.report(silent=[MissingHost(host="<b>", reason="no answer")]))
     assert page.index("MISSING &lt;b&gt;: no answer") < page.index("burn rate")
     assert "Answers within this time" in page
     assert "<b>:" not in page
