--- a/src/gentianwharf/metrics/_burn.py
+++ b/src/gentianwharf/metrics/_burn.py
@@ -107,7 +107,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LatencyOfClass:
+class ClassLatency:
     """Time from request to whole answer since the hosts started, all hosts together."""
 
     service: str
@@ -141,7 +141,7 @@
     alerts: list[BurnAlert]
     burners: list[Burner]
     unavailable: list[UnavailableBurn]
-    latencies: list[LatencyOfClass] = field(default_factory=list)
+    latencies: list[ClassLatency] = field(default_factory=list)
     hosts: list[str] = field(default_factory=list)
     silent: list[MissingHost] = field(default_factory=list)
 
@@ -173,7 +173,7 @@
     counts: Sequence[WindowCount],
     *,
     unavailable: Sequence[UnavailableBurn] = (),
-    latencies: Sequence[LatencyOfClass] = (),
+    latencies: Sequence[ClassLatency] = (),
     hosts: Sequence[str] = (),
     silent: Sequence[MissingHost] = (),
 ) -> BurnReport:
--- a/src/gentianwharf/metrics/_burn_part.py
+++ b/src/gentianwharf/metrics/_burn_part.py
@@ -11,7 +11,7 @@
 
 from gentianwharf.errors import InputError
 
-from ._burn import BurnReport, LatencyOfClass, MissingHost, UnavailableBurn, burn_report
+from ._burn import BurnReport, ClassLatency, MissingHost, UnavailableBurn, burn_report
 from ._histograms import EncodedHistogram, new_histogram, value_at_s
 from ._objectives import Objective
 from ._windows import WindowCount
@@ -153,8 +153,8 @@
     return histogram
 
 
-def _latency(service: str, request_class: str, histogram: Any) -> LatencyOfClass:
-    return LatencyOfClass(
+def _latency(service: str, request_class: str, histogram: Any) -> ClassLatency:
+    return ClassLatency(
         service=service,
         request_class=request_class,
         answers=histogram.get_total_count(),
--- a/src/gentianwharf/metrics/_burn_text.py
+++ b/src/gentianwharf/metrics/_burn_text.py
@@ -1,6 +1,6 @@
 """The burn report as lines for a person."""
 
-from ._burn import BurnReport, LatencyOfClass
+from ._burn import BurnReport, ClassLatency
 
 NAMED_HOSTS = 24
 """Two deployments of today's size; a longer list would hide what follows it."""
@@ -68,7 +68,7 @@
     return lines
 
 
-def _latency(one: LatencyOfClass) -> str:
+def _latency(one: ClassLatency) -> str:
     return (
         f"{one.service}, {one.request_class}: {one.answers} answers, half within"
         f" {_milliseconds(one.p50_s)}, 99% within {_milliseconds(one.p99_s)}, 99.9%"
