--- a/src/gentianwharf/metrics/__init__.py
+++ b/src/gentianwharf/metrics/__init__.py
@@ -35,7 +35,7 @@
 from ._objectives import Objective
 from ._prometheus import HistogramSample, Sample, prometheus_text
 from ._recorder import Recorder
-from ._windows import BurnWindows, Place, Tally, WindowCount
+from ._windows import AnswerLabels, BurnWindows, Tally, WindowCount
 
 __all__ = [
     "ALERT_RULES",
@@ -60,7 +60,7 @@
     "ClassLatency",
     "Objective",
     "Outcome",
-    "Place",
+    "AnswerLabels",
     "Recorder",
     "RunStatus",
     "Sample",
--- a/src/gentianwharf/metrics/_burn_part.py
+++ b/src/gentianwharf/metrics/_burn_part.py
@@ -112,7 +112,7 @@
         )
 
     def _add_count(self, one: WindowCount) -> None:
-        place = (
+        labels = (
             one.window_s,
             one.request_class,
             one.service,
@@ -120,8 +120,8 @@
             one.domain,
             one.server,
         )
-        total, bad = self._counts.get(place, (0, 0))
-        self._counts[place] = total + one.total, bad + one.bad
+        total, bad = self._counts.get(labels, (0, 0))
+        self._counts[labels] = total + one.total, bad + one.bad
 
     def _add_unavailable(self, one: UnavailableBurn) -> None:
         known = self._unavailable.get(one.service)
--- a/src/gentianwharf/metrics/_measures.py
+++ b/src/gentianwharf/metrics/_measures.py
@@ -79,13 +79,13 @@
 
     def note(self, service: str, shard: int, *, at_s: float, served: bool) -> None:
         """Take in the outcome of one request."""
-        place = (service, shard)
+        shard_key = (service, shard)
         if not served:
-            self._since_s.setdefault(place, at_s)
+            self._since_s.setdefault(shard_key, at_s)
             return
         if not self._since_s:
             return
-        since_s = self._since_s.pop(place, None)
+        since_s = self._since_s.pop(shard_key, None)
         if since_s is None:
             return
         spent_s = at_s - since_s
--- a/src/gentianwharf/metrics/_recorder.py
+++ b/src/gentianwharf/metrics/_recorder.py
@@ -18,7 +18,7 @@
 from ._objectives import Objective
 from ._prometheus import Sample, prometheus_text
 from ._server_loads import ServerLoads
-from ._windows import BurnWindows, Place, Tallies, Tally, WindowCount
+from ._windows import AnswerLabels, BurnWindows, Tallies, Tally, WindowCount
 
 # A window of latency for the state page: long enough for a p99 of a quiet class,
 # short enough to show what happens now.
@@ -144,12 +144,12 @@
                 line.refused or "",
             )
             self._totals[total] = self._totals.get(total, 0) + count
-            place = Place(
+            labels = AnswerLabels(
                 line.request_class, line.service, line.rule, line.domain, line.server
             )
-            tallies.setdefault(place, Tally()).add(count, count if line.bad else 0)
-            if place.server:
-                self.loads.add(place.service, place.server, count)
+            tallies.setdefault(labels, Tally()).add(count, count if line.bad else 0)
+            if labels.server:
+                self.loads.add(labels.service, labels.server, count)
         self._lines.clear()
         self._windows.add(tallies, now_s=now_s)
         self._folded_s = now_s
@@ -160,7 +160,7 @@
         self._turned_s = now_s
 
     def window_counts(self, windows_s: Iterable[float]) -> list[WindowCount]:
-        """Return the good and bad answers of each window, by place."""
+        """Return the good and bad answers of each window, by label set."""
         now_s = self._clock.seconds()
         self._fold(now_s)
         return [
--- a/src/gentianwharf/metrics/_windows.py
+++ b/src/gentianwharf/metrics/_windows.py
@@ -16,11 +16,11 @@
 RESOLUTIONS_S = ((30.0, HOUR_S), (300.0, 6 * HOUR_S), (HOUR_S, 72 * HOUR_S))
 # Places kept apart in a bucket; the least burdened are put together beyond it. The
 # examples have under 100 places (rule, domain, server).
-MOST_PLACES = 128
+MAX_LABEL_SETS = 128
 OTHER = "(other)"
 
 
-class Place(NamedTuple):
+class AnswerLabels(NamedTuple):
     """What can be to blame for a bad answer."""
 
     request_class: str
@@ -47,7 +47,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WindowCount:
-    """The answers of a place in the ``window_s`` up to now; sums across hosts."""
+    """The answers of a label set in the ``window_s`` up to now; sums across hosts."""
 
     window_s: float
     request_class: str
@@ -59,7 +59,7 @@
     bad: int
 
 
-Tallies = dict[Place, Tally]
+Tallies = dict[AnswerLabels, Tally]
 
 
 @final
@@ -77,28 +77,28 @@
         if not self._buckets or self._buckets[-1][0] != start_s:
             self._buckets.append((start_s, {}))
         bucket = self._buckets[-1][1]
-        for place, tally in tallies.items():
-            _tally_of(bucket, place).add(tally.total, tally.bad)
+        for labels, tally in tallies.items():
+            _tally_of(bucket, labels).add(tally.total, tally.bad)
 
     def since(self, from_s: float) -> Iterable[Tallies]:
         return (tallies for start_s, tallies in self._buckets if start_s >= from_s)
 
 
-def _tally_of(bucket: Tallies, place: Place) -> Tally:
-    tally = bucket.get(place)
+def _tally_of(bucket: Tallies, labels: AnswerLabels) -> Tally:
+    tally = bucket.get(labels)
     if tally is not None:
         return tally
-    if len(bucket) >= MOST_PLACES:
-        place = Place(place.request_class, place.service, 0, OTHER, OTHER)
-        tally = bucket.get(place)
+    if len(bucket) >= MAX_LABEL_SETS:
+        labels = AnswerLabels(labels.request_class, labels.service, 0, OTHER, OTHER)
+        tally = bucket.get(labels)
     if tally is None:
-        tally = bucket[place] = Tally()
+        tally = bucket[labels] = Tally()
     return tally
 
 
 @final
 class BurnWindows:
-    """Good and bad answers of the last three days, by place."""
+    """Good and bad answers of the last three days, by label set."""
 
     def __init__(self) -> None:
         self._resolutions = [
@@ -119,11 +119,11 @@
         )
         sums: Tallies = {}
         for tallies in buckets.since(now_s - window_s):
-            for place, tally in tallies.items():
-                sums.setdefault(place, Tally()).add(tally.total, tally.bad)
+            for labels, tally in tallies.items():
+                sums.setdefault(labels, Tally()).add(tally.total, tally.bad)
         return [
             WindowCount(
-                window_s=window_s, total=tally.total, bad=tally.bad, **place._asdict()
+                window_s=window_s, total=tally.total, bad=tally.bad, **labels._asdict()
             )
-            for place, tally in sums.items()
+            for labels, tally in sums.items()
         ]
