--- a/bench/metrics.py
+++ b/bench/metrics.py
@@ -44,7 +44,7 @@
     size = {"servers": SERVERS}
     yield Figure(
         name="metrics_answer_recorded",
-        value=time_us(lambda: recorder.answered(next(stream)), times=TIMES),
+        value=time_us(lambda: recorder.record_answer(next(stream)), times=TIMES),
         unit="us",
         size=size,
         seed=SEED,
--- a/src/gentianwharf/daemon/_observer.py
+++ b/src/gentianwharf/daemon/_observer.py
@@ -21,7 +21,7 @@
         """Record an answer."""
         ticket = answered.ticket
         refused = answered.reason if answered.run is RunStatus.NOT_RUN else None
-        self._recorder.answered(
+        self._recorder.record_answer(
             Answer(
                 service=ticket.service,
                 request_class=ticket.request_class,
@@ -39,7 +39,7 @@
         if refused is None and answered.run is not RunStatus.UNKNOWN:
             self._sample(answered)
             return
-        self._recorder.decide(self._decision(answered, refused))
+        self._recorder.record_decision(self._decision(answered, refused))
         if answered.run is RunStatus.UNKNOWN:
             log.warning(
                 "answer is unknown: {}",
@@ -53,7 +53,7 @@
 
     def record_refusal(self, request_id: str, problem: Problem) -> None:
         """Keep why a request was refused before a rule decided on it."""
-        self._recorder.decide(
+        self._recorder.record_decision(
             Decision(
                 request_id=request_id,
                 at_s=self._now_s(),
--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_parts.py
@@ -142,7 +142,7 @@
         for name, service in self.services.items():
             kept = [one for one in service.servers if one.id not in leaving]
             self.admission.set_servers(name, kept)
-            self.recorder.loads.set_servers(name, self._by_site(kept))
+            self.recorder.server_loads.set_servers(name, self._by_site(kept))
         self.reports.set_servers(
             server
             for server in self.servers.values()
--- a/src/gentianwharf/daemon/_state.py
+++ b/src/gentianwharf/daemon/_state.py
@@ -67,7 +67,7 @@
         self._servers = servers
         self._why_not_ready = why_not_ready
         self._alarms = AlarmWatch()
-        self._owners = OwnerChanges(on_moved=parts.recorder.moved)
+        self._owners = OwnerChanges(on_moved=parts.recorder.record_owner_changes)
         self._state: DaemonState | None = None
         self._begun_s = parts.reactor.seconds()
 
--- a/src/gentianwharf/metrics/_latencies.py
+++ b/src/gentianwharf/metrics/_latencies.py
@@ -40,7 +40,7 @@
         """Return the services that have answered."""
         return sorted({service for service, _ in self.elapsed})
 
-    def encoded(self) -> list[EncodedHistogram]:
+    def encoded_histograms(self) -> list[EncodedHistogram]:
         """Return the histograms since the start, encoded so that hosts' add up."""
         return [
             EncodedHistogram(
--- a/src/gentianwharf/metrics/_recorder.py
+++ b/src/gentianwharf/metrics/_recorder.py
@@ -61,7 +61,7 @@
     """Counts and times answers, and says afterwards why requests went as they did.
 
     ``tick`` must be called about every second; it turns windows and folds counts,
-    so that ``answered`` stays one dictionary update and one histogram record.
+    so that ``record_answer`` stays one dictionary update and one histogram record.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._latencies = Latencies()
         self._lines: dict[_LineKey, int] = {}
         self._totals: dict[_Total, int] = {}
-        self.loads = ServerLoads()
+        self.server_loads = ServerLoads()
         self._churn: dict[str, int] = {}
         self._windows = BurnWindows()
         self._unavailable = UnavailableShards()
@@ -86,7 +86,7 @@
         self._folded_s = self._started_s
         self._turned_s = self._started_s
 
-    def answered(self, answer: Answer) -> None:
+    def record_answer(self, answer: Answer) -> None:
         """Take in one answer."""
         service = answer.service
         request_class = answer.request_class
@@ -116,11 +116,11 @@
                 service, answer.shard, at_s=self._clock.seconds(), served=served
             )
 
-    def moved(self, service: str, shards: int) -> None:
+    def record_owner_changes(self, service: str, shards: int) -> None:
         """Count shards that changed owner."""
         self._churn[service] = self._churn.get(service, 0) + shards
 
-    def decide(self, decision: Decision) -> None:
+    def record_decision(self, decision: Decision) -> None:
         """Keep a decision: refused and unknown ones always, others sampled."""
         self.decisions.add(decision)
 
@@ -149,14 +149,14 @@
             )
             tallies.setdefault(labels, Tally()).add(count, count if line.bad else 0)
             if labels.server:
-                self.loads.add(labels.service, labels.server, count)
+                self.server_loads.add(labels.service, labels.server, count)
         self._lines.clear()
         self._windows.add(tallies, now_s=now_s)
         self._folded_s = now_s
 
     def _turn(self, now_s: float) -> None:
         self._latencies.turn()
-        self.loads.turn()
+        self.server_loads.turn()
         self._turned_s = now_s
 
     def window_counts(self, windows_s: Iterable[float]) -> list[WindowCount]:
@@ -174,7 +174,9 @@
         return BurnPart(
             counts=self.window_counts(WINDOWS_S),
             unavailable=self._unavailable_burns(),
-            histograms=[one for one in self.encoded() if one.name == ELAPSED],
+            histograms=[
+                one for one in self.encoded_histograms() if one.name == ELAPSED
+            ],
         )
 
     def _unavailable_burns(self) -> list[UnavailableBurn]:
@@ -196,9 +198,9 @@
             )
         return burns
 
-    def encoded(self) -> list[EncodedHistogram]:
+    def encoded_histograms(self) -> list[EncodedHistogram]:
         """Return the histograms since the start, encoded so that hosts' add up."""
-        return self._latencies.encoded()
+        return self._latencies.encoded_histograms()
 
     def prometheus_text(self) -> str:
         """Return the metrics in Prometheus' text format."""
@@ -229,7 +231,7 @@
                 "churn_shards", "Shards that changed owner.", service, shards, True
             )
         for service in self._latencies.services():
-            uneven = self.loads.imbalance(service)
+            uneven = self.server_loads.imbalance(service)
             if uneven is not None:
                 yield _measure(
                     "imbalance", "Max/mean answers per server.", service, uneven
@@ -255,7 +257,7 @@
             "classes": self._latencies.state(),
             "services": {
                 service: {
-                    "imbalance": self.loads.imbalance(service),
+                    "imbalance": self.server_loads.imbalance(service),
                     "unavailable_shard_s": self._unavailable.total_s(
                         service, now_s=now_s
                     ),
--- a/tests/test_daemon_fleet.py
+++ b/tests/test_daemon_fleet.py
@@ -206,7 +206,7 @@
     fleet = Fleet()
     for host, elapsed_s in (("lac-1", 0.01), ("charguia-1", 0.01), ("ariana-1", 0.9)):
         for _ in range(10):
-            fleet.hosts[host].recorder.answered(answer(elapsed_s=elapsed_s))
+            fleet.hosts[host].recorder.record_answer(answer(elapsed_s=elapsed_s))
     report = fleet.burn()
     assert report["hosts"] == ["ariana-1", "charguia-1", "lac-1"]
     assert report["silent"] == []
@@ -223,7 +223,7 @@
     fleet = Fleet()
     ariana = fleet.hosts["ariana-1"]
     for _ in range(3):
-        ariana.recorder.answered(answer())
+        ariana.recorder.record_answer(answer())
         assert fleet.burn("ariana-1", duration_s=0.1)["latencies"][0]["answers"] == 1
     fleet.run(1)
     assert fleet.burn("ariana-1", duration_s=0.1)["latencies"][0]["answers"] == 3
@@ -238,7 +238,7 @@
 
 def test_burn_of_one_host_alone() -> None:
     fleet = Fleet()
-    fleet.hosts["ariana-1"].recorder.answered(answer())
+    fleet.hosts["ariana-1"].recorder.record_answer(answer())
     assert fleet.burn("ariana-1")["hosts"] == ["ariana-1"]
     assert fleet.burn("lac-1")["latencies"] == []
     with pytest.raises(InputError, match="not a listed host"):
@@ -251,9 +251,9 @@
 ) -> None:
     """A host of another version sends something else; the others' sum must stand."""
     fleet = Fleet()
-    fleet.hosts["lac-1"].recorder.answered(answer())
+    fleet.hosts["lac-1"].recorder.record_answer(answer())
     ariana = fleet.hosts["ariana-1"].recorder
-    ariana.answered(answer())
+    ariana.record_answer(answer())
     (good,) = ariana.burn_part().histograms
     bad = EncodedHistogram(
         name=good.name,
@@ -261,7 +261,7 @@
         request_class=good.request_class,
         encoded=encoded,
     )
-    monkeypatch.setattr(ariana, "encoded", lambda: [good, bad])
+    monkeypatch.setattr(ariana, "encoded_histograms", lambda: [good, bad])
     report = fleet.burn()
     assert report["hosts"] == ["charguia-1", "lac-1"]
     assert "expected an encoded histogram" in report["silent"][0]["reason"]
@@ -272,7 +272,7 @@
 def test_decision_is_found_on_whichever_host_served(served_by: str) -> None:
     """A caller complains and gives its request id; the balancer chose the host."""
     fleet = Fleet()
-    fleet.hosts[served_by].recorder.decide(decision(refused="queue-full"))
+    fleet.hosts[served_by].recorder.record_decision(decision(refused="queue-full"))
     fleet.run(1)
     asked = fleet.hosts["lac-1"].decisions.find("r1")
     waiting = Deferred.fromCoroutine(asked)
--- a/tests/test_metrics_burn.py
+++ b/tests/test_metrics_burn.py
@@ -96,9 +96,9 @@
 def test_recorder_counts_slow_failed_and_refused_answers_as_bad() -> None:
     metrics = recorder(Clock())
     for bad in (answer(elapsed_s=0.3), answer(status=502), refusal()):
-        metrics.answered(bad)
+        metrics.record_answer(bad)
     for good in (answer(elapsed_s=0.1), answer(status=404)):
-        metrics.answered(good)
+        metrics.record_answer(good)
     five_minutes = burn_of(metrics).classes[0]
     assert (five_minutes.answers, five_minutes.bad) == (5, 3)
 
@@ -115,7 +115,7 @@
 def test_answers_leave_the_windows(after_s: float, expected: list[int]) -> None:
     clock = Clock()
     metrics = recorder(clock)
-    metrics.answered(refusal())
+    metrics.record_answer(refusal())
     metrics.tick()
     clock.advance(6)
     metrics.tick()
@@ -126,7 +126,7 @@
 def test_unavailable_time_is_held_against_the_objective() -> None:
     clock = Clock()
     metrics = recorder(clock)
-    metrics.answered(refusal(shard=3))
+    metrics.record_answer(refusal(shard=3))
     clock.advance(61)
     (one,) = burn_of(metrics).unavailable
     assert (one.service, one.within) == ("calendrier", False)
@@ -150,7 +150,7 @@
 
 def test_page_names_missing_hosts_first_and_shows_the_fleets_latency() -> None:
     metrics = recorder(Clock())
-    metrics.answered(answer(elapsed_s=0.25))
+    metrics.record_answer(answer(elapsed_s=0.25))
     part = metrics.burn_part()
     whole = BurnAggregator(objectives=[CONSULTATION])
     whole.add("lac-1", part)
--- a/tests/test_metrics_recorder.py
+++ b/tests/test_metrics_recorder.py
@@ -14,8 +14,8 @@
     clock = Clock()
     metrics = recorder(clock)
     for _ in range(3):
-        metrics.answered(answer(elapsed_s=0.01))
-    metrics.answered(refusal(elapsed_s=0.0002))
+        metrics.record_answer(answer(elapsed_s=0.01))
+    metrics.record_answer(refusal(elapsed_s=0.0002))
     families = {
         family.name: family
         for family in text_string_to_metric_families(metrics.prometheus_text())
@@ -38,10 +38,10 @@
     clock = Clock()
     metrics = recorder(clock)
     for _ in range(3):
-        metrics.answered(answer())
+        metrics.record_answer(answer())
         clock.advance(61)
         metrics.tick()
-    (encoded,) = metrics.encoded()
+    (encoded,) = metrics.encoded_histograms()
     assert merged([encoded.encoded]).get_total_count() == 3
     assert metrics.state()["classes"][0]["answers"] == 1
 
@@ -50,17 +50,17 @@
     """Averaging two hosts' p99 would give 50 ms here; the fleet's is 100 ms."""
     hosts = [recorder(Clock()), recorder(Clock())]
     for _ in range(100):
-        hosts[0].answered(answer(elapsed_s=0.001))
-        hosts[1].answered(answer(elapsed_s=0.1))
-    whole = merged([host.encoded()[0].encoded for host in hosts])
+        hosts[0].record_answer(answer(elapsed_s=0.001))
+        hosts[1].record_answer(answer(elapsed_s=0.1))
+    whole = merged([host.encoded_histograms()[0].encoded for host in hosts])
     assert whole.get_value_at_percentile(99) == pytest.approx(100_000, rel=0.01)
 
 
 def test_wait_is_recorded_only_for_those_who_waited() -> None:
     metrics = recorder(Clock())
-    metrics.answered(answer())
-    metrics.answered(answer(waited_s=0.05))
-    waited = [one for one in metrics.encoded() if "queue" in one.name]
+    metrics.record_answer(answer())
+    metrics.record_answer(answer(waited_s=0.05))
+    waited = [one for one in metrics.encoded_histograms() if "queue" in one.name]
     assert merged([waited[0].encoded]).get_total_count() == 1
 
 
@@ -69,11 +69,11 @@
     metrics = recorder(clock)
     for server in ("calendrier-1", "calendrier-1", "calendrier-1", "calendrier-2"):
         for _ in range(20):
-            metrics.answered(answer(server=server))
-    metrics.answered(refusal(shard=9))
+            metrics.record_answer(answer(server=server))
+    metrics.record_answer(refusal(shard=9))
     clock.advance(0.5)
-    metrics.answered(answer(shard=9, server="calendrier-2"))
-    metrics.answered(refusal(shard=11))
+    metrics.record_answer(answer(shard=9, server="calendrier-2"))
+    metrics.record_answer(refusal(shard=11))
     clock.advance(60)
     metrics.tick()
     service = metrics.state()["services"]["calendrier"]
@@ -98,7 +98,7 @@
 ) -> None:
     metrics = recorder(Clock())
     for number in range(5):
-        metrics.decide(decision(request_id=f"r{number}", **changes))
+        metrics.record_decision(decision(request_id=f"r{number}", **changes))
     assert len(metrics.decisions.latest()) == kept
 
 
@@ -111,7 +111,7 @@
     metrics = recorder(Clock())
     metrics.decisions.add_sampled(decision(request_id="served"))
     for number in range(5_000):
-        metrics.decide(decision(request_id=f"r{number}", refused="queue-full"))
+        metrics.record_decision(decision(request_id=f"r{number}", refused="queue-full"))
     assert metrics.decisions.find("served") is not None
     assert len(metrics.decisions.latest(most=10_000)) == 2_001
 
@@ -123,7 +123,7 @@
     """
     metrics = recorder(Clock())
     full = decision(request_id="full", run=RunStatus.NOT_RUN, refused="queue-full")
-    metrics.decide(full)
+    metrics.record_decision(full)
     for number in range(3_000):
         probe = decision(
             request_id=f"p{number}",
@@ -132,7 +132,7 @@
             run=RunStatus.NOT_RUN,
             refused="no rule matches",
         )
-        metrics.decide(probe)
+        metrics.record_decision(probe)
     assert metrics.decisions.find("full") is full
     assert metrics.decisions.find("p2999") is not None
     assert len(metrics.decisions.latest(most=10_000, always_kept_only=True)) == 2_001
@@ -174,10 +174,10 @@
     """
     clock = Clock()
     metrics = recorder(clock)
-    metrics.loads.set_servers("calendrier", [LAC, ARIANA])
+    metrics.server_loads.set_servers("calendrier", [LAC, ARIANA])
     for server, count in answers.items():
         for _ in range(count):
-            metrics.answered(answer(server=server))
+            metrics.record_answer(answer(server=server))
     clock.advance(61)
     metrics.tick()
     assert metrics.state()["services"]["calendrier"]["imbalance"] == expected
@@ -186,8 +186,8 @@
 
 def test_churn_is_a_metric() -> None:
     metrics = recorder(Clock())
-    metrics.moved("calendrier", 3)
-    metrics.moved("calendrier", 2)
+    metrics.record_owner_changes("calendrier", 3)
+    metrics.record_owner_changes("calendrier", 2)
     assert 'gentianwharf_churn_shards_total{service="calendrier"} 5.0' in (
         metrics.prometheus_text()
     )
