--- a/src/gentianwharf/daemon/_decisions.py
+++ b/src/gentianwharf/daemon/_decisions.py
@@ -44,7 +44,9 @@
 
     def latest(self, *, refused_only: bool, most: int) -> KeptDecisions:
         """Return this host's newest kept decisions."""
-        kept = self._recorder.decisions.latest(most=most, always_kept_only=refused_only)
+        kept = self._recorder.decisions.latest(
+            limit=most, always_kept_only=refused_only
+        )
         return KeptDecisions(decisions=[self._told(one) for one in kept], silent={})
 
     async def find(self, request_id: str) -> KeptDecisions:
--- a/src/gentianwharf/daemon/_observer.py
+++ b/src/gentianwharf/daemon/_observer.py
@@ -71,7 +71,7 @@
     def _sample(self, answered: ResponseRecord) -> None:
         # Building a decision costs as much as counting the answer: draw first.
         ring = self._recorder.decisions
-        if ring.wants_ordinary():
+        if ring.should_sample():
             ring.add_sampled(self._decision(answered, None))
 
     def _decision(self, answered: ResponseRecord, refused: str | None) -> Decision:
--- a/src/gentianwharf/metrics/_decisions.py
+++ b/src/gentianwharf/metrics/_decisions.py
@@ -8,7 +8,7 @@
 
 # 2,000 decisions of about 500 bytes are 1 MB a ring, under 2% of the 128 MB that
 # a node may spend on control.
-MOST_DECISIONS = 2_000
+MAX_DECISIONS = 2_000
 # One in 50 ordinary decisions: at 2,000 requests/s the ring spans 50 s of them.
 SAMPLE_SHARE = 0.02
 
@@ -23,7 +23,7 @@
     the port with them would push out the refusals of real ones.
 
     >>> from gentianwharf.metrics import Decision, RunStatus
-    >>> ring = DecisionRing(random=Random(1), most=2, sample_share=0.0)
+    >>> ring = DecisionRing(random=Random(1), capacity=2, sample_share=0.0)
     >>> for number in range(3):
     ...     ring.add(Decision(request_id=f"r{number}", at_s=float(number),
     ...         service="ledger", request_class="posting", rule=1, server="ledger-1",
@@ -36,16 +36,16 @@
         self,
         *,
         random: Random,
-        most: int = MOST_DECISIONS,
+        capacity: int = MAX_DECISIONS,
         sample_share: float = SAMPLE_SHARE,
     ) -> None:
         self._random = random
         self._sample_share = sample_share
-        self._kept: deque[Decision] = deque(maxlen=most)
-        self._sampled: deque[Decision] = deque(maxlen=most)
-        self._undecided: deque[Decision] = deque(maxlen=most)
+        self._kept: deque[Decision] = deque(maxlen=capacity)
+        self._sampled: deque[Decision] = deque(maxlen=capacity)
+        self._undecided: deque[Decision] = deque(maxlen=capacity)
 
-    def wants_ordinary(self) -> bool:
+    def should_sample(self) -> bool:
         """Return whether the next ordinary decision should be built at all."""
         return self._random.random() < self._sample_share
 
@@ -55,15 +55,15 @@
             self._undecided.append(decision)
         elif decision.always_kept:
             self._kept.append(decision)
-        elif self.wants_ordinary():
+        elif self.should_sample():
             self._sampled.append(decision)
 
     def add_sampled(self, decision: Decision) -> None:
-        """Keep an ordinary decision that ``wants_ordinary`` has drawn already."""
+        """Keep an ordinary decision that ``should_sample`` has drawn already."""
         self._sampled.append(decision)
 
     def latest(
-        self, *, most: int = MOST_DECISIONS, always_kept_only: bool = False
+        self, *, limit: int = MAX_DECISIONS, always_kept_only: bool = False
     ) -> list[Decision]:
         """Return the kept decisions, the latest first.
 
@@ -73,7 +73,7 @@
         if not always_kept_only:
             found += self._sampled
         found.sort(key=lambda decision: decision.at_s, reverse=True)
-        return found[:most]
+        return found[:limit]
 
     def find(self, request_id: str) -> Decision | None:
         """Return the decision on a request, or None when it is not kept."""
--- a/tests/test_metrics_recorder.py
+++ b/tests/test_metrics_recorder.py
@@ -113,7 +113,7 @@
     for number in range(5_000):
         metrics.record_decision(decision(request_id=f"r{number}", refused="queue-full"))
     assert metrics.decisions.find("served") is not None
-    assert len(metrics.decisions.latest(most=10_000)) == 2_001
+    assert len(metrics.decisions.latest(limit=10_000)) == 2_001
 
 
 def test_probes_that_no_rule_matches_push_out_no_refusal_of_a_request() -> None:
@@ -135,7 +135,7 @@
         metrics.record_decision(probe)
     assert metrics.decisions.find("full") is full
     assert metrics.decisions.find("p2999") is not None
-    assert len(metrics.decisions.latest(most=10_000, always_kept_only=True)) == 2_001
+    assert len(metrics.decisions.latest(limit=10_000, always_kept_only=True)) == 2_001
 
 
 LAC = ["calendrier-1", "calendrier-2"]
