--- a/src/gentianwharf/loadtool/_report.py
+++ b/src/gentianwharf/loadtool/_report.py
@@ -6,7 +6,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from gentianwharf.metrics import imbalance, value_at_s
+from gentianwharf.metrics import imbalance, percentile_s
 
 from ._plan import Part
 from ._tally import LoadTally
@@ -114,10 +114,10 @@
     """Return the percentiles of a histogram."""
     return Times(
         count=histogram.get_total_count(),
-        p50_ms=value_at_s(histogram, 50) * MILLISECONDS,
-        p99_ms=value_at_s(histogram, 99) * MILLISECONDS,
-        p999_ms=value_at_s(histogram, 99.9) * MILLISECONDS,
-        max_ms=value_at_s(histogram, 100) * MILLISECONDS,
+        p50_ms=percentile_s(histogram, 50) * MILLISECONDS,
+        p99_ms=percentile_s(histogram, 99) * MILLISECONDS,
+        p999_ms=percentile_s(histogram, 99.9) * MILLISECONDS,
+        max_ms=percentile_s(histogram, 100) * MILLISECONDS,
         encoded=histogram.encode().decode(),
     )
 
--- a/src/gentianwharf/metrics/__init__.py
+++ b/src/gentianwharf/metrics/__init__.py
@@ -26,10 +26,10 @@
 from ._histograms import (
     EncodedHistogram,
     WindowedHistogram,
-    merged,
+    merge_histograms,
     new_histogram,
+    percentile_s,
     record_s,
-    value_at_s,
 )
 from ._measures import Outcome, UnavailableShards, churn, imbalance, unavailable_s
 from ._objectives import Objective
@@ -73,12 +73,12 @@
     "decode_part",
     "encode_part",
     "imbalance",
-    "merged",
+    "merge_histograms",
     "new_histogram",
     "prometheus_text",
     "record_s",
     "unavailable_s",
-    "value_at_s",
+    "percentile_s",
 ]
 
 
--- a/src/gentianwharf/metrics/_burn_part.py
+++ b/src/gentianwharf/metrics/_burn_part.py
@@ -12,7 +12,7 @@
 from gentianwharf.errors import InputError
 
 from ._burn import BurnReport, ClassLatency, MissingHost, UnavailableBurn, burn_report
-from ._histograms import EncodedHistogram, new_histogram, value_at_s
+from ._histograms import EncodedHistogram, new_histogram, percentile_s
 from ._objectives import Objective
 from ._windows import WindowCount
 
@@ -158,8 +158,8 @@
         service=service,
         request_class=request_class,
         answers=histogram.get_total_count(),
-        p50_s=value_at_s(histogram, 50),
-        p99_s=value_at_s(histogram, 99),
-        p999_s=value_at_s(histogram, 99.9),
-        longest_s=value_at_s(histogram, 100),
+        p50_s=percentile_s(histogram, 50),
+        p99_s=percentile_s(histogram, 99),
+        p999_s=percentile_s(histogram, 99.9),
+        longest_s=percentile_s(histogram, 100),
     )
--- a/src/gentianwharf/metrics/_histograms.py
+++ b/src/gentianwharf/metrics/_histograms.py
@@ -15,7 +15,7 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds; all of them can be merged."""
+    """Return an empty histogram of microseconds; any two can be merged."""
     return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
 
 
@@ -26,12 +26,12 @@
         histogram.record_value(HIGHEST_US)
 
 
-def value_at_s(histogram: HdrHistogram, percentile: float) -> float:
+def percentile_s(histogram: HdrHistogram, percentile: float) -> float:
     """Return a percentile in seconds."""
     return float(histogram.get_value_at_percentile(percentile)) / MICROSECONDS
 
 
-def merged(encoded: list[bytes]) -> HdrHistogram:
+def merge_histograms(encoded: list[bytes]) -> HdrHistogram:
     """Add up encoded histograms of several hosts.
 
     Percentiles of hosts can't be averaged into one of the fleet: only the counts
@@ -40,7 +40,7 @@
     >>> one, other = new_histogram(), new_histogram()
     >>> record_s(one, 0.001)
     >>> record_s(other, 0.1)
-    >>> merged([one.encode(), other.encode()]).get_total_count()
+    >>> merge_histograms([one.encode(), other.encode()]).get_total_count()
     2
     """
     whole = new_histogram()
--- a/src/gentianwharf/metrics/_latencies.py
+++ b/src/gentianwharf/metrics/_latencies.py
@@ -4,7 +4,7 @@
 from typing import Any, final
 
 from ._burn_part import ELAPSED
-from ._histograms import EncodedHistogram, WindowedHistogram, record_s, value_at_s
+from ._histograms import EncodedHistogram, WindowedHistogram, percentile_s, record_s
 from ._prometheus import HistogramSample
 
 WAITED = "gentianwharf_queue_seconds"
@@ -82,7 +82,7 @@
         "service": service,
         "class": request_class,
         "answers": last.get_total_count(),
-        "p50_s": value_at_s(last, 50),
-        "p99_s": value_at_s(last, 99),
-        "p999_s": value_at_s(last, 99.9),
+        "p50_s": percentile_s(last, 50),
+        "p99_s": percentile_s(last, 99),
+        "p999_s": percentile_s(last, 99.9),
     }
--- a/tests/test_metrics_recorder.py
+++ b/tests/test_metrics_recorder.py
@@ -6,7 +6,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 from twisted.internet.task import Clock
 
-from gentianwharf.metrics import RunStatus, merged
+from gentianwharf.metrics import RunStatus, merge_histograms
 from tests.builders_metrics import answer, decision, recorder, refusal
 
 
@@ -42,7 +42,7 @@
         clock.advance(61)
         metrics.tick()
     (encoded,) = metrics.encoded_histograms()
-    assert merged([encoded.encoded]).get_total_count() == 3
+    assert merge_histograms([encoded.encoded]).get_total_count() == 3
     assert metrics.state()["classes"][0]["answers"] == 1
 
 
@@ -52,7 +52,7 @@
     for _ in range(100):
         hosts[0].record_answer(answer(elapsed_s=0.001))
         hosts[1].record_answer(answer(elapsed_s=0.1))
-    whole = merged([host.encoded_histograms()[0].encoded for host in hosts])
+    whole = merge_histograms([host.encoded_histograms()[0].encoded for host in hosts])
     assert whole.get_value_at_percentile(99) == pytest.approx(100_000, rel=0.01)
 
 
@@ -61,7 +61,7 @@
     metrics.record_answer(answer())
     metrics.record_answer(answer(waited_s=0.05))
     waited = [one for one in metrics.encoded_histograms() if "queue" in one.name]
-    assert merged([waited[0].encoded]).get_total_count() == 1
+    assert merge_histograms([waited[0].encoded]).get_total_count() == 1
 
 
 def test_state_shows_imbalance_and_unavailable_time() -> None:
