--- a/src/gentianwharf/metrics/_histograms.py
+++ b/src/gentianwharf/metrics/_histograms.py
@@ -69,19 +69,19 @@
     """
 
     def __init__(self) -> None:
-        self.running = new_histogram()
-        self.last = new_histogram()
+        self.current = new_histogram()
+        self.previous = new_histogram()
         self._before = new_histogram()
 
-    def turn(self) -> None:
+    def rotate(self) -> None:
         """End the running window."""
-        self._before.add(self.running)
-        self.last = self.running
-        self.running = new_histogram()
+        self._before.add(self.current)
+        self.previous = self.current
+        self.current = new_histogram()
 
-    def whole(self) -> HdrHistogram:
+    def total(self) -> HdrHistogram:
         """Return all values since the start."""
         whole = new_histogram()
         whole.add(self._before)
-        whole.add(self.running)
+        whole.add(self.current)
         return whole
--- a/src/gentianwharf/metrics/_latencies.py
+++ b/src/gentianwharf/metrics/_latencies.py
@@ -24,17 +24,17 @@
         self.elapsed: dict[Kind, WindowedHistogram] = {}
         self._waited: dict[Kind, WindowedHistogram] = {}
 
-    def waited(self, kind: Kind, waited_s: float) -> None:
+    def record_wait(self, kind: Kind, waited_s: float) -> None:
         """Record the wait of a request that waited."""
         waited = self._waited.get(kind)
         if waited is None:
             waited = self._waited[kind] = WindowedHistogram()
-        record_s(waited.running, waited_s)
+        record_s(waited.current, waited_s)
 
-    def turn(self) -> None:
+    def rotate(self) -> None:
         """End the running window."""
         for windowed in (*self.elapsed.values(), *self._waited.values()):
-            windowed.turn()
+            windowed.rotate()
 
     def services(self) -> list[str]:
         """Return the services that have answered."""
@@ -47,7 +47,7 @@
                 name=name,
                 service=service,
                 request_class=request_class,
-                encoded=windowed.whole().encode(),
+                encoded=windowed.total().encode(),
             )
             for name, table in ((ELAPSED, self.elapsed), (WAITED, self._waited))
             for (service, request_class), windowed in table.items()
@@ -63,7 +63,7 @@
             for (service, request_class), windowed in table.items():
                 labels = {"service": service, "class": request_class}
                 yield HistogramSample(
-                    name=name, help=text, labels=labels, histogram=windowed.whole()
+                    name=name, help=text, labels=labels, histogram=windowed.total()
                 )
 
     def state(self) -> list[dict[str, Any]]:
@@ -77,7 +77,9 @@
 def _class_state(
     service: str, request_class: str, windowed: WindowedHistogram
 ) -> dict[str, Any]:
-    last = windowed.last if windowed.last.get_total_count() else windowed.running
+    last = (
+        windowed.previous if windowed.previous.get_total_count() else windowed.current
+    )
     return {
         "service": service,
         "class": request_class,
--- a/src/gentianwharf/metrics/_recorder.py
+++ b/src/gentianwharf/metrics/_recorder.py
@@ -94,9 +94,9 @@
         elapsed = self._latencies.elapsed.get(kind)
         if elapsed is None:
             elapsed = self._latencies.elapsed[kind] = WindowedHistogram()
-        record_s(elapsed.running, answer.elapsed_s)
+        record_s(elapsed.current, answer.elapsed_s)
         if answer.waited_s > 0:
-            self._latencies.waited(kind, answer.waited_s)
+            self._latencies.record_wait(kind, answer.waited_s)
         served = answer.served
         limit_s = self._limits_s.get(request_class)
         line = (
@@ -155,8 +155,8 @@
         self._folded_s = now_s
 
     def _turn(self, now_s: float) -> None:
-        self._latencies.turn()
-        self.server_loads.turn()
+        self._latencies.rotate()
+        self.server_loads.rotate()
         self._turned_s = now_s
 
     def window_counts(self, windows_s: Iterable[float]) -> list[WindowCount]:
--- a/src/gentianwharf/metrics/_server_loads.py
+++ b/src/gentianwharf/metrics/_server_loads.py
@@ -21,7 +21,7 @@
     >>> loads = ServerLoads()
     >>> loads.set_servers("ledger", [["ledger-1", "ledger-2"], ["ledger-3"]])
     >>> loads.add("ledger", "ledger-1", 60)
-    >>> loads.turn()
+    >>> loads.rotate()
     >>> loads.imbalance("ledger")
     2.0
     """
@@ -43,7 +43,7 @@
         loads = self._running.setdefault(service, {})
         loads[server] = loads.get(server, 0) + answers
 
-    def turn(self) -> None:
+    def rotate(self) -> None:
         """End the running window."""
         self._last, self._running = self._running, {}
 
