--- a/src/gentianwharf/metrics/_measures.py
+++ b/src/gentianwharf/metrics/_measures.py
@@ -77,7 +77,7 @@
         self._total_s: dict[str, float] = {}
         self._longest_s: dict[str, float] = {}
 
-    def note(self, service: str, shard: int, *, at_s: float, served: bool) -> None:
+    def record(self, service: str, shard: int, *, at_s: float, served: bool) -> None:
         """Take in the outcome of one request."""
         shard_key = (service, shard)
         if not served:
@@ -114,6 +114,6 @@
         ]
         return max([self._longest_s.get(service, 0.0), *spans_s])
 
-    def unavailable_now(self, service: str) -> int:
+    def unavailable_count(self, service: str) -> int:
         """Return how many shards are unavailable at the moment."""
         return sum(name == service for name, _ in self._since_s)
--- a/src/gentianwharf/metrics/_recorder.py
+++ b/src/gentianwharf/metrics/_recorder.py
@@ -112,7 +112,7 @@
         )
         self._lines[line] = self._lines.get(line, 0) + 1
         if answer.shard is not None:
-            self._unavailable.note(
+            self._unavailable.record(
                 service, answer.shard, at_s=self._clock.seconds(), served=served
             )
 
@@ -246,7 +246,7 @@
                 "unavailable_shards",
                 "Shards that can't be served now.",
                 service,
-                self._unavailable.unavailable_now(service),
+                self._unavailable.unavailable_count(service),
             )
 
     def state(self) -> dict[str, Any]:
@@ -264,7 +264,7 @@
                     "longest_unavailable_s": self._unavailable.longest_s(
                         service, now_s=now_s
                     ),
-                    "unavailable_shards": self._unavailable.unavailable_now(service),
+                    "unavailable_shards": self._unavailable.unavailable_count(service),
                 }
                 for service in self._latencies.services()
             },
