--- a/tests/builders_counting.py
+++ b/tests/builders_counting.py
@@ -3,23 +3,23 @@
 from collections import Counter
 from typing import Any
 
-MOST_GROWTH = 2.5
+MAX_GROWTH = 2.5
 """Of the work for twice as many: twice, and a little for sorting."""
 
 
 class CountedText(str):
-    """Counts its comparisons with other texts; ``compared`` is of all such texts."""
+    """Counts its comparisons with other texts; ``comparisons`` is of all such texts."""
 
     __slots__ = ()
-    compared: Counter[str] = Counter()
+    comparisons: Counter[str] = Counter()
 
     def startswith(self, *args: Any) -> bool:
         """Count, and compare."""
-        self.compared["startswith"] += 1
+        self.comparisons["startswith"] += 1
         return super().startswith(*args)
 
     def __eq__(self, other: object) -> bool:
-        self.compared["equal"] += 1
+        self.comparisons["equal"] += 1
         return super().__eq__(other)
 
     __hash__ = str.__hash__
--- a/tests/builders_metrics.py
+++ b/tests/builders_metrics.py
@@ -70,7 +70,7 @@
     return Recorder(clock=clock, random=Random(1), objectives=(CONSULTATION,))
 
 
-def burn_of(*recorders: Recorder) -> BurnReport:
+def burn_report_of(*recorders: Recorder) -> BurnReport:
     """Return the burn of recorders as of one host each."""
     whole = BurnAggregator(objectives=[CONSULTATION])
     for number, one in enumerate(recorders, start=1):
--- a/tests/test_load_many_services.py
+++ b/tests/test_load_many_services.py
@@ -8,7 +8,7 @@
 from gentianwharf.load._class_table import ClassTable
 from gentianwharf.load._retry_schedule import RetrySchedule
 from gentianwharf.topology import BackendServer, Service
-from tests.builders_counting import MOST_GROWTH, CountedText
+from tests.builders_counting import MAX_GROWTH, CountedText
 
 
 def empty_gate() -> Gate:
@@ -23,7 +23,7 @@
         services=[Service(name=name, keyed=False, shards=0) for name in names],
         classes=[],
     )
-    CountedText.compared.clear()
+    CountedText.comparisons.clear()
     for name in names:
         server = BackendServer(
             id=f"{name}-1",
@@ -34,7 +34,7 @@
             connections=120,
         )
         gate.set_servers(name, [server], 0.0)
-    return CountedText.compared.total()
+    return CountedText.comparisons.total()
 
 
 def test_twice_as_many_services_cost_twice_as_much() -> None:
@@ -44,7 +44,7 @@
     all servers of all services were looked through: 1,219 services took 0.4 s.
     """
     few, many = comparisons(200), comparisons(400)
-    assert many <= max(few, 200) * MOST_GROWTH
+    assert many <= max(few, 200) * MAX_GROWTH
 
 
 def test_classes_that_no_request_has_cost_nothing(
--- a/tests/test_metrics_burn.py
+++ b/tests/test_metrics_burn.py
@@ -19,7 +19,13 @@
     burn_text,
 )
 from gentianwharf.metrics._windows import OTHER
-from tests.builders_metrics import CONSULTATION, answer, burn_of, recorder, refusal
+from tests.builders_metrics import (
+    CONSULTATION,
+    answer,
+    burn_report_of,
+    recorder,
+    refusal,
+)
 
 
 def count(window_s: float, total: int, bad: int, server: str = "a-1") -> WindowCount:
@@ -99,7 +105,7 @@
         metrics.record_answer(bad)
     for good in (answer(elapsed_s=0.1), answer(status=404)):
         metrics.record_answer(good)
-    five_minutes = burn_of(metrics).classes[0]
+    five_minutes = burn_report_of(metrics).classes[0]
     assert (five_minutes.answers, five_minutes.bad) == (5, 3)
 
 
@@ -120,7 +126,7 @@
     clock.advance(6)
     metrics.tick()
     clock.advance(after_s)
-    assert [one.bad for one in burn_of(metrics).classes] == expected
+    assert [one.bad for one in burn_report_of(metrics).classes] == expected
 
 
 def test_unavailable_time_is_held_against_the_objective() -> None:
@@ -128,7 +134,7 @@
     metrics = recorder(clock)
     metrics.record_answer(refusal(shard=3))
     clock.advance(61)
-    (one,) = burn_of(metrics).unavailable
+    (one,) = burn_report_of(metrics).unavailable
     assert (one.service, one.within) == ("calendrier", False)
     assert one.longest_s == pytest.approx(61)
 
--- a/tests/test_rules_index.py
+++ b/tests/test_rules_index.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gentianwharf.matching import CompiledRule, RuleIndex, _index, compile_rules
-from tests.builders_counting import MOST_GROWTH, CountedText
+from tests.builders_counting import MAX_GROWTH, CountedText
 from tests.builders_rules import document, rule
 
 Shape = Callable[[int], dict[str, Any]]
@@ -34,9 +34,9 @@
 
 def comparisons(shape: Shape, count: int) -> int:
     rules = compiled(shape, count)
-    CountedText.compared.clear()
+    CountedText.comparisons.clear()
     RuleIndex(rules)
-    return CountedText.compared.total()
+    return CountedText.comparisons.total()
 
 
 @pytest.mark.parametrize("shape", SHAPES.values(), ids=SHAPES)
@@ -48,7 +48,7 @@
     the grants of its servers expired.
     """
     few, many = comparisons(shape, 500), comparisons(shape, 1000)
-    assert many <= few * MOST_GROWTH
+    assert many <= few * MAX_GROWTH
 
 
 # In sorted order, the last paths follow prefixes that are not theirs.
@@ -111,7 +111,7 @@
         count_copied_rules(monkeypatch, 200),
         count_copied_rules(monkeypatch, 400),
     )
-    assert many <= max(few, 200) * MOST_GROWTH
+    assert many <= max(few, 200) * MAX_GROWTH
 
 
 def test_prefixes_nested_a_thousand_deep_are_found() -> None:
--- a/tests/test_rules_sites.py
+++ b/tests/test_rules_sites.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gentianwharf.rules import Rule, RuleSet
-from tests.builders_counting import MOST_GROWTH, CountedText
+from tests.builders_counting import MAX_GROWTH, CountedText
 from tests.builders_rules import SHARDS, document, keyed_rule, rule
 
 Rules = tuple[list[Rule], Mapping[str, int]]
@@ -29,9 +29,9 @@
 
 def comparisons(build: Callable[[int], Rules], count: int) -> int:
     rules, shards = build(count)
-    CountedText.compared.clear()
+    CountedText.comparisons.clear()
     RuleSet(document=document(*rules), revision=1, shards=shards)
-    return CountedText.compared.total()
+    return CountedText.comparisons.total()
 
 
 @pytest.mark.parametrize("build", [own_services, own_keys])
@@ -44,4 +44,4 @@
     with its own rule. This blocked a host's only thread for seconds.
     """
     few, many = comparisons(build, 500), comparisons(build, 1000)
-    assert many <= few * MOST_GROWTH
+    assert many <= few * MAX_GROWTH
