--- a/src/gentianwharf/logs/__init__.py
+++ b/src/gentianwharf/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, errors with step and peer."""
+"""Structured logging: one JSON object per line, with step and peer of errors."""
 
 from ._bounded import BoundedWriter
 from ._json_lines import JsonLinesHandler, LogSetup, configure, log
--- a/src/gentianwharf/logs/_bounded.py
+++ b/src/gentianwharf/logs/_bounded.py
@@ -1,8 +1,9 @@
-"""Lines to a file descriptor that never block and have a ceiling.
+"""Non-blocking, rate-limited writing of log lines to a file descriptor.
 
-A reader of the log that stops reading fills the pipe; a plain write would then stand
-still, and every request with it. And under overload each refusal is a line: without a
-ceiling the log would take a good part of the processor that requests need.
+When the process that reads the log stops reading, the pipe fills up. A blocking write
+would then stall the event loop and every request with it. Under overload each refusal
+is logged, and without a rate limit logging would use a large share of the CPU time
+that requests need.
 """
 
 import os
@@ -10,15 +11,16 @@
 from typing import final
 
 LINES_PER_S = 100.0
-"""Sustained; some 30 KB a second. A host refuses a hundred requests a second in a bad
-overload, which then tell the same; what a line costs (30 us) is 0.3 % of a core."""
+"""Sustained rate, about 30 KB/s. A line takes 30 us to write, so that the limit is
+0.3 % of a core. A severely overloaded host refuses a hundred requests a second, and
+their lines all say the same."""
 
 BURST_LINES = 400.0
-"""What a change of the configuration, or the loss of a failure domain with all of its
-servers, brings within a moment."""
+"""Enough for the lines that follow a configuration change, or the loss of a failure
+domain with all of its servers, almost at once."""
 
-MOST_WAITING_BYTES = 256 * 1024
-"""Kept for a reader that is slow, some thousand lines; later ones are dropped."""
+MAX_PENDING_BYTES = 256 * 1024
+"""Buffer for a slow reader, about a thousand lines. Lines beyond it are dropped."""
 
 REQUEST_FIELD = '"request_id":'
 
@@ -26,73 +28,74 @@
 
 
 @final
-class _Ceiling:
-    """A token bucket of lines."""
+class _TokenBucket:
+    """A token bucket in which one token stands for one line."""
 
     def __init__(self, now_s: float) -> None:
-        self._allowed = BURST_LINES
-        self._counted_s = now_s
-
-    def take(self, now_s: float) -> bool:
-        gained = (now_s - self._counted_s) * LINES_PER_S
-        self._counted_s = now_s
-        self._allowed = min(BURST_LINES, self._allowed + gained)
-        if self._allowed < 1.0:
+        self._tokens = BURST_LINES
+        self._refilled_s = now_s
+
+    def try_take(self, now_s: float) -> bool:
+        refill = (now_s - self._refilled_s) * LINES_PER_S
+        self._refilled_s = now_s
+        self._tokens = min(BURST_LINES, self._tokens + refill)
+        if self._tokens < 1.0:
             return False
-        self._allowed -= 1.0
+        self._tokens -= 1.0
         return True
 
 
 @final
 class BoundedWriter:
-    """Writes lines while there is room, counts what it leaves out, and says so.
+    """Writes lines without blocking, and counts and reports the lines that it drops.
 
-    ``write`` and ``flush`` are those of a text stream. Nothing waits: what the
-    descriptor does not take is kept up to a limit and tried again with the next line.
+    ``write`` and ``flush`` are those of a text stream. Bytes that the descriptor does
+    not accept at once are buffered up to ``MAX_PENDING_BYTES``; the next flush tries
+    them again.
     """
 
     def __init__(self, *, fileno: int, now_s: Clock) -> None:
         self.dropped = 0
         self._fileno = fileno
         self._now_s = now_s
-        self._waiting = bytearray()
-        self._requests = _Ceiling(now_s())
-        self._others = _Ceiling(now_s())
-        self._told = 0
+        self._pending = bytearray()
+        self._request_bucket = _TokenBucket(now_s())
+        self._other_bucket = _TokenBucket(now_s())
+        self._reported = 0
         os.set_blocking(fileno, False)
 
     def write(self, text: str) -> int:
-        """Take one line.
+        """Add one line to the buffer, or drop it.
 
-        Lines about requests, which name one, and all others have a ceiling each: in a
-        burst of refusals the one line that tells why must not be left out.
+        Lines with a request id and all other lines have separate rate limits, so that
+        a burst of refusals does not displace the line that gives their cause.
         """
-        ceiling = self._requests if REQUEST_FIELD in text else self._others
-        is_allowed = ceiling.take(self._now_s())
-        if not is_allowed or len(self._waiting) > MOST_WAITING_BYTES:
+        bucket = self._request_bucket if REQUEST_FIELD in text else self._other_bucket
+        is_allowed = bucket.try_take(self._now_s())
+        if not is_allowed or len(self._pending) > MAX_PENDING_BYTES:
             self.dropped += 1
             return len(text)
-        if self.dropped > self._told:
-            self._waiting += self._told_line()
-        self._waiting += text.encode()
+        if self.dropped > self._reported:
+            self._pending += self._dropped_notice()
+        self._pending += text.encode()
         return len(text)
 
     def flush(self) -> None:
-        """Hand on what the descriptor takes now."""
-        while self._waiting:
+        """Write as much of the buffer as the descriptor accepts without blocking."""
+        while self._pending:
             try:
-                written = os.write(self._fileno, self._waiting)
+                written = os.write(self._fileno, self._pending)
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good; there is nobody left to tell.
-                self._waiting.clear()
+                # The reader has closed its end, so the buffer can't be delivered.
+                self._pending.clear()
                 return
-            del self._waiting[:written]
+            del self._pending[:written]
 
-    def _told_line(self) -> bytes:
-        missing = self.dropped - self._told
-        self._told = self.dropped
+    def _dropped_notice(self) -> bytes:
+        unreported = self.dropped - self._reported
+        self._reported = self.dropped
         return b'{"level":"WARNING","message":"log lines left out","lines":%d}\n' % (
-            missing
+            unreported
         )
--- a/src/gentianwharf/logs/_json_lines.py
+++ b/src/gentianwharf/logs/_json_lines.py
@@ -1,4 +1,4 @@
-"""One JSON object a line, from logbook and from Twisted's own log."""
+"""JSON lines from the records of logbook and the events of Twisted's log."""
 
 from collections.abc import Mapping
 from datetime import UTC, datetime
@@ -19,12 +19,12 @@
 
 log = logbook.Logger("gentianwharf")
 
-# Callers' keys and bodies are personal data: families, members, dues. They reach a
-# log only when the operator asks for it in the settings.
+# Callers' keys and bodies hold personal data, such as families, members and dues. They
+# are logged only if the operator enables it in the settings.
 PRIVATE_FIELDS = frozenset({"key", "body", "headers"})
 WITHHELD = "withheld"
 
-_LEVEL_OF_TWISTED = {
+_LEVEL_NAMES = {
     LogLevel.debug: "DEBUG",
     LogLevel.info: "INFO",
     LogLevel.warn: "WARNING",
@@ -34,22 +34,22 @@
 
 
 class LineStream(Protocol):
-    """What lines are written to."""
+    """The part of a text stream that the handler uses."""
 
     def write(self, text: str, /) -> int:
-        """Take one line."""
+        """Write one line, including its newline, and return its length."""
 
     def flush(self) -> None:
-        """Hand it on."""
+        """Write out what is buffered."""
 
 
 @final
 class JsonLinesHandler(logbook.Handler):
     """Writes each record as a JSON object on a line of its own.
 
-    Fields: ``at`` (UTC), ``level``, ``logger``, ``message``, what the call gave in
-    ``extra``, and for an exception ``error``, ``step`` and ``peer``, with ``errors``
-    for the members of an exception group.
+    The fields are ``at`` (UTC), ``level``, ``logger``, ``message``, those that the
+    call passed in ``extra``, and for an exception ``error``, ``step`` and ``peer``,
+    with ``errors`` for the members of an exception group.
     """
 
     def __init__(self, *, stream: LineStream, level: str, private_fields: bool) -> None:
@@ -65,19 +65,19 @@
             "logger": record.channel,
             "message": record.message,
         }
-        line |= self._allowed(record.extra)
-        line |= self._allowed(record.kwargs)
+        line |= self._redacted(record.extra)
+        line |= self._redacted(record.kwargs)
         if record.exc_info and record.exc_info is not True:
             line |= describe_error(record.exc_info[1])
         self.write(line)
 
     def write(self, line: Mapping[str, Any]) -> None:
-        """Write one object; what JSON doesn't know goes out as its text."""
+        """Write one object; values without a JSON type are converted with ``str``."""
         text = msgspec.json.encode(line, enc_hook=str).decode()
         self._stream.write(text + "\n")
         self._stream.flush()
 
-    def _allowed(self, fields: Mapping[str, Any]) -> dict[str, Any]:
+    def _redacted(self, fields: Mapping[str, Any]) -> dict[str, Any]:
         if self._private_fields:
             return dict(fields)
         return {
@@ -87,7 +87,7 @@
 
 
 def describe_error(error: BaseException) -> dict[str, Any]:
-    """Return the fields of an error, with those of a group's members.
+    """Return the log fields of an error, and of each member of an exception group.
 
     >>> from gentianwharf.errors import RefusedError
     >>> describe_error(RefusedError("full", step="admit", peer="10.0.0.1:80"))
@@ -110,18 +110,18 @@
 @final
 @implementer(ILogObserver)
 class LogSetup:
-    """The handlers that ``configure`` installed; ``close`` takes them out again."""
+    """The handlers that ``configure`` installed; ``close`` removes them."""
 
     def __init__(self, *, handler: JsonLinesHandler, level: str) -> None:
         self._handler = handler
-        # Twisted tells at INFO of every connection made and lost: with grants renewed
-        # ten times a second, that would be most of the log.
-        self._least = max(logbook.lookup_level(level), logbook.WARNING)
+        # Twisted logs every opened and closed connection at INFO. Grants are renewed
+        # ten times a second, so these lines would make up most of the log.
+        self._min_level = max(logbook.lookup_level(level), logbook.WARNING)
 
     def __call__(self, event: LogEvent) -> None:
         """Write an event of Twisted's own log."""
-        name = _LEVEL_OF_TWISTED.get(event.get("log_level", LogLevel.info), "INFO")
-        if logbook.lookup_level(name) < self._least:
+        name = _LEVEL_NAMES.get(event.get("log_level", LogLevel.info), "INFO")
+        if logbook.lookup_level(name) < self._min_level:
             return
         line = {
             "at": _utc_now(),
@@ -143,21 +143,21 @@
 def configure(
     *, stream: LineStream, level: str = "INFO", private_fields: bool = False
 ) -> LogSetup:
-    """Send logbook's and Twisted's logs to ``stream``; call it once, at the start.
+    """Send logbook's and Twisted's logs to ``stream``; call it once, at startup.
 
-    ``private_fields`` lets callers' keys, bodies and headers into the log.
+    ``private_fields`` includes callers' keys, bodies and headers in the log.
     """
     handler = JsonLinesHandler(
         stream=stream, level=level, private_fields=private_fields
     )
     handler.push_application()
     setup = LogSetup(handler=handler, level=level)
-    _end_start_buffer()
+    _discard_startup_buffer()
     globalLogPublisher.addObserver(setup)
     return setup
 
 
 @cache
-def _end_start_buffer() -> None:
-    """Stop Twisted from holding back events; a second call would log a warning."""
+def _discard_startup_buffer() -> None:
+    """Stop Twisted from buffering events; a second call would log a warning."""
     globalLogBeginner.beginLoggingTo([], discardBuffer=True, redirectStandardIO=False)
--- a/src/gentianwharf/logs/_request_history.py
+++ b/src/gentianwharf/logs/_request_history.py
@@ -1,8 +1,9 @@
-"""One request's lines from many hosts' logs, with what the hosts believed then.
+"""Collects the log lines of one request from many hosts, with their context.
 
-An on-call engineer has a request's id and the logs of a dozen hosts. What became of the
-request stands in a few lines; why, in others that do not name it: which rules were in
-force on its host, who led, who held its key, whether the store was heard.
+An on-call engineer has the id of a request and the logs of a dozen hosts. A few lines
+carry that id and show the outcome. Its cause is in other lines, which do not carry the
+id: which rules were in force on the request's host, which host was the leader, which
+server held the key, and whether the store was reachable.
 """
 
 import json
@@ -22,7 +23,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogLine:
-    """One line of a host's log; ``at_s`` is in seconds since 1970."""
+    """One line of a host's log; ``at_s`` is in seconds since the Unix epoch."""
 
     at_s: float
     host: str
@@ -33,7 +34,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ContextEntry:
-    """The last word on something before a request ended, and how old it was then."""
+    """The latest line on a topic before a request ended, and its age at that time."""
 
     topic: str
     line: LogLine
@@ -43,7 +44,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestHistory:
-    """A request's lines in order, and what held at the time of the last one."""
+    """A request's lines in order, and the context at the time of the last one."""
 
     request_id: str
     lines: tuple[LogLine, ...]
@@ -51,11 +52,13 @@
 
 
 def read_log(path: Path) -> list[LogLine]:
-    """Return the lines of a file; its name without the ending names the host.
+    """Return the lines of a log file; the file name without its suffix is the host.
 
-    What is before a line's JSON object, such as a time and a host's name, is taken for
-    what a collector of logs put there; the word next to the object is the host then.
-    Lines without an object are passed over. Raises ``InputError``.
+    Log collectors may put a prefix, such as a time and a host name, before the JSON
+    object of a line. The last word of such a prefix is then the host. Lines without a
+    JSON object are skipped.
+
+    Raises ``InputError`` if the file can't be read.
     """
     try:
         text = path.read_text(errors="replace")
@@ -63,12 +66,12 @@
         raise InputError(
             f"expected a readable log file, got {error}", step=STEP, peer=str(path)
         ) from error
-    found = (_line(one, path.stem) for one in text.splitlines())
-    return [one for one in found if one is not None]
+    parsed = (_parse_line(line_text, path.stem) for line_text in text.splitlines())
+    return [line for line in parsed if line is not None]
 
 
-def _line(text: str, file_host: str) -> LogLine | None:
-    before, brace, rest = text.partition("{")
+def _parse_line(text: str, file_host: str) -> LogLine | None:
+    prefix, brace, rest = text.partition("{")
     if not brace:
         return None
     try:
@@ -76,47 +79,51 @@
         at_s = datetime.fromisoformat(fields["at"]).timestamp()
         message = str(fields["message"])
     except (ValueError, KeyError, TypeError):
-        # Cut off by the end of a process, or not ours.
+        # The line was cut off when its process ended, or another program wrote it.
         return None
-    words = before.split()
+    words = prefix.split()
     return LogLine(
         at_s=at_s,
         host=words[-1] if words else file_host,
         message=message,
-        fields={key: one for key, one in fields.items() if key not in PLAIN_FIELDS},
+        fields={
+            name: value for name, value in fields.items() if name not in PLAIN_FIELDS
+        },
     )
 
 
 def request_history(request_id: str, lines: Iterable[LogLine]) -> RequestHistory:
-    """Return what the lines tell of a request."""
-    ordered = sorted(lines, key=lambda one: one.at_s)
-    own = [one for one in ordered if one.fields.get("request_id") == request_id]
-    beliefs: Sequence[ContextEntry] = ()
+    """Return the lines of a request, and the context in which it ended."""
+    ordered = sorted(lines, key=lambda line: line.at_s)
+    own = [line for line in ordered if line.fields.get("request_id") == request_id]
+    context: Sequence[ContextEntry] = ()
     if own:
-        beliefs = _beliefs(own, ordered)
+        context = _context_at_end(own, ordered)
     return RequestHistory(
-        request_id=request_id, lines=tuple(own), context=tuple(beliefs)
+        request_id=request_id, lines=tuple(own), context=tuple(context)
     )
 
 
-def _beliefs(own: Sequence[LogLine], ordered: Sequence[LogLine]) -> list[ContextEntry]:
-    until_s = own[-1].at_s
+def _context_at_end(
+    own: Sequence[LogLine], ordered: Sequence[LogLine]
+) -> list[ContextEntry]:
+    end_s = own[-1].at_s
     latest: dict[str, LogLine] = {}
     for line in ordered:
-        if line.at_s > until_s:
+        if line.at_s > end_s:
             break
-        about = _about(line, own)
-        if about is not None:
-            latest[about] = line
+        topic = _topic(line, own)
+        if topic is not None:
+            latest[topic] = line
     return [
-        ContextEntry(topic=about, line=line, age_s=until_s - line.at_s)
-        for about, line in sorted(latest.items())
+        ContextEntry(topic=topic, line=line, age_s=end_s - line.at_s)
+        for topic, line in sorted(latest.items())
     ]
 
 
-def _about(line: LogLine, own: Sequence[LogLine]) -> str | None:
-    """Return what a line tells of that concerns a request, None for nothing."""
-    hosts = {one.host for one in own}
+def _topic(line: LogLine, own: Sequence[LogLine]) -> str | None:
+    """Return the topic of a line, or None if the line is not relevant to a request."""
+    hosts = {own_line.host for own_line in own}
     message = line.message
     if message.startswith(("leading", "no longer leading")):
         return "leader"
@@ -130,7 +137,7 @@
         return f"rules refused on {line.host}"
     if message.startswith(("store lost", "store regained")):
         return f"store, from {line.host}"
-    servers = {one.fields.get("server") for one in own} - {"", None}
+    servers = {own_line.fields.get("server") for own_line in own} - {"", None}
     if message.startswith("server ") and line.fields.get("server") in servers:
         return f"server {line.fields['server']}, from {line.host}"
     return None
@@ -141,8 +148,8 @@
     if not isinstance(first, int) or not isinstance(last, int):
         return False
     return any(
-        one.fields.get("service") == line.fields.get("service")
-        and isinstance(one.fields.get("shard"), int)
-        and first <= one.fields["shard"] <= last
-        for one in own
+        own_line.fields.get("service") == line.fields.get("service")
+        and isinstance(own_line.fields.get("shard"), int)
+        and first <= own_line.fields["shard"] <= last
+        for own_line in own
     )
--- a/tests/test_logs_bounded.py
+++ b/tests/test_logs_bounded.py
@@ -1,11 +1,11 @@
-"""The log never holds up a request, and its volume has a ceiling."""
+"""Writing the log never blocks a request, and its volume is limited."""
 
 import os
 
 from twisted.internet.task import Clock
 
 from gentianwharf.logs import BoundedWriter
-from gentianwharf.logs._bounded import BURST_LINES, LINES_PER_S, MOST_WAITING_BYTES
+from gentianwharf.logs._bounded import BURST_LINES, LINES_PER_S, MAX_PENDING_BYTES
 
 LINE = '{"message":"refused","request_id":"9c41"}\n'
 
@@ -21,10 +21,10 @@
         data += piece
 
 
-def test_reader_that_stops_reading_holds_nothing_up() -> None:
-    """Whoever collects the logs hangs, and so does every request on the host.
+def test_reader_that_stops_reading_does_not_block_writes() -> None:
+    """A log collector that hangs must not stall the requests of the host.
 
-    The pipe is full; a plain write waits until somebody reads.
+    Once the pipe is full, a blocking write waits until the collector reads again.
     """
     clock = Clock()
     reading, writing = os.pipe()
@@ -35,8 +35,8 @@
         writer.write(line)
         writer.flush()
     assert writer.dropped > 1000
-    assert len(writer._waiting) <= MOST_WAITING_BYTES + 2 * len(line)
-    # The reader is back: what was kept comes, and how much is missing.
+    assert len(writer._pending) <= MAX_PENDING_BYTES + 2 * len(line)
+    # The reader resumes: it gets the buffered lines and the number of dropped ones.
     read = read_all(reading)
     writer.write("last\n")
     writer.flush()
@@ -54,7 +54,7 @@
     assert read.endswith(b"last\n")
 
 
-def test_burst_of_lines_has_a_ceiling() -> None:
+def test_burst_of_lines_is_rate_limited() -> None:
     clock = Clock()
     reading, writing = os.pipe()
     writer = BoundedWriter(fileno=writing, now_s=clock.seconds)
@@ -68,7 +68,7 @@
     assert writer.dropped == 10_000 - written
 
 
-def test_reader_that_is_gone_ends_nothing() -> None:
+def test_closed_reader_raises_no_error() -> None:
     clock = Clock()
     reading, writing = os.pipe()
     os.close(reading)
@@ -77,10 +77,10 @@
     writer.flush()
 
 
-def test_burst_of_refusals_leaves_out_no_change_of_belief() -> None:
-    """A host was told to stop, and its log doesn't say so.
+def test_burst_of_refusals_does_not_displace_other_lines() -> None:
+    """The log of a host that received a shutdown notice did not contain it.
 
-    Its failure domain was cut off, and its refusals had used up the ceiling.
+    The host's failure domain was cut off, and its refusals had used up the rate limit.
     """
     clock = Clock()
     reading, writing = os.pipe()
--- a/tests/test_logs_fields.py
+++ b/tests/test_logs_fields.py
@@ -1,4 +1,4 @@
-"""The fields of log lines: one table on the operators' page, and the code by it."""
+"""The fields of log lines in the code agree with the table on the operators' page."""
 
 import ast
 from collections.abc import Iterator
@@ -9,12 +9,12 @@
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "OPERATIONS.md").read_text()
 PACKAGES = ("entryhost", "keyspace", "lifecycle", "logs", "platform", "relay", "store")
-"""What an entry host is made of."""
+"""The packages that run in an entry host."""
 
 UNITS = {"_ms": "ms", "_s": "s", "_bytes": "bytes"}
 
 
-def table() -> dict[str, str]:
+def page_fields() -> dict[str, str]:
     """Return the type of each field in the page's table."""
     lines = iter(PAGE.splitlines())
     for line in lines:
@@ -30,8 +30,8 @@
     return fields
 
 
-def logged() -> Iterator[tuple[str, str]]:
-    """Yield each field that the code gives a line, and the module."""
+def logged_fields() -> Iterator[tuple[str, str]]:
+    """Yield each field that the code adds to a log line, and the module's path."""
     for package in PACKAGES:
         for path in sorted((ROOT / "src" / "gentianwharf" / package).glob("*.py")):
             for node in ast.walk(ast.parse(path.read_text())):
@@ -41,8 +41,8 @@
                             yield str(key.value), f"{package}/{path.name}"
 
 
-FIELDS = table()
-LOGGED = sorted(set(logged()))
+FIELDS = page_fields()
+LOGGED = sorted(set(logged_fields()))
 
 
 def test_table_is_found() -> None:
@@ -51,13 +51,15 @@
 
 
 @pytest.mark.parametrize(("field", "module"), LOGGED)
-def test_field_stands_on_the_page(field: str, module: str) -> None:
+def test_logged_field_is_on_the_page(field: str, module: str) -> None:
     assert field in FIELDS, f"{module} logs {field!r}; describe it in OPERATIONS.md"
 
 
 @pytest.mark.parametrize("field", FIELDS)
-def test_field_has_the_unit_that_its_name_says(field: str) -> None:
-    unit = next((one for end, one in UNITS.items() if field.endswith(end)), None)
+def test_field_has_the_unit_of_its_suffix(field: str) -> None:
+    unit = next(
+        (unit for suffix, unit in UNITS.items() if field.endswith(suffix)), None
+    )
     assert unit is None or FIELDS[field] == unit
 
 
--- a/tests/test_logs_json_lines.py
+++ b/tests/test_logs_json_lines.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, with step and peer, without keys."""
+"""Log lines are JSON objects with step and peer, and without callers' keys."""
 
 import io
 import json
@@ -49,7 +49,10 @@
         except ExceptionGroup:
             log.exception("tick")
     (line,) = lines(stream)
-    assert [one["peer"] for one in line["errors"]] == ["10.0.0.1:80", "10.0.0.2:80"]
+    assert [member["peer"] for member in line["errors"]] == [
+        "10.0.0.1:80",
+        "10.0.0.2:80",
+    ]
 
 
 @pytest.mark.parametrize(
@@ -59,14 +62,14 @@
         pytest.param(True, "club-12", id="asked-for"),
     ],
 )
-def test_key_is_logged_only_when_asked_for(private_fields: bool, expected: str) -> None:
+def test_key_is_logged_only_if_enabled(private_fields: bool, expected: str) -> None:
     with logging_to(private_fields=private_fields) as stream:
         log.info("moved", extra={"key": "club-12", "shard": 3})
     (line,) = lines(stream)
     assert (line["key"], line["shard"]) == (expected, 3)
 
 
-def test_a_message_of_several_lines_stays_one_object() -> None:
+def test_multi_line_message_stays_one_object() -> None:
     with logging_to() as stream:
         log.info("first\nsecond")
     assert lines(stream)[0]["message"] == "first\nsecond"
@@ -86,7 +89,7 @@
     assert (line["step"], line["peer"]) == ("connect", "10.0.0.9:80")
 
 
-def test_below_level_is_dropped() -> None:
+def test_record_below_level_is_dropped() -> None:
     with logging_to(level="WARNING") as stream:
         log.info("quiet")
         log.warning("loud")
--- a/tests/test_logs_story.py
+++ b/tests/test_logs_story.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by the logs of several hosts."""
+"""The log history of one request, collected from the logs of several hosts."""
 
 import json
 from pathlib import Path
@@ -47,54 +47,64 @@
     return paths
 
 
-def test_story_has_the_request_s_lines_and_what_was_believed(logs: list[Path]) -> None:
-    story = request_history("a1", [one for path in logs for one in read_log(path)])
-    assert [(one.host, one.message) for one in story.lines] == [
+def test_history_has_the_lines_of_the_request_and_its_context(logs: list[Path]) -> None:
+    history = request_history(
+        "a1", [entry for path in logs for entry in read_log(path)]
+    )
+    assert [(entry.host, entry.message) for entry in history.lines] == [
         ("host-2", "no server holds the key at the moment")
     ]
-    beliefs = {one.topic: (one.line.message, one.age_s) for one in story.context}
-    assert beliefs == {
+    context = {
+        entry.topic: (entry.line.message, entry.age_s) for entry in history.context
+    }
+    assert context == {
         "leader": ("leading", 7.0),
         "holder of its key": ("renewal failed", 1.0),
         "rules on host-2": ("configuration in force", 3.0),
         "server s1, from host-2": ("server listed", 2.0),
     }
-    rules = next(one for one in story.context if one.topic.startswith("rules"))
+    rules = next(entry for entry in history.context if entry.topic.startswith("rules"))
     assert rules.line.fields["version"] == 6
 
 
-def test_story_has_the_newer_rules_that_a_host_refused(logs: list[Path]) -> None:
-    """A caller's 404 is explained by the rules in force, which are old.
+def test_history_has_newer_rules_that_a_host_refused(logs: list[Path]) -> None:
+    """A 404 caused by outdated rules was shown without the reason they were in force.
 
-    Its host had refused newer ones a second before, and the story left that out.
+    The host had refused newer rules a second before, and the history left that out.
     """
     refused = line(
         7, "configuration not taken: at most 5 rules", version=6, revision=40
     )
     logs[1].write_text(refused + "\n" + logs[1].read_text())
-    story = request_history("a1", [one for path in logs for one in read_log(path)])
-    beliefs = {one.topic: one.age_s for one in story.context}
-    assert beliefs["rules refused on host-2"] == 1.0
+    history = request_history(
+        "a1", [entry for path in logs for entry in read_log(path)]
+    )
+    context = {entry.topic: entry.age_s for entry in history.context}
+    assert context["rules refused on host-2"] == 1.0
 
 
-def test_what_came_after_the_request_is_left_out(logs: list[Path]) -> None:
-    story = request_history("a1", [one for path in logs for one in read_log(path)])
-    assert "released" not in [one.line.message for one in story.context]
+def test_lines_after_the_request_are_left_out(logs: list[Path]) -> None:
+    history = request_history(
+        "a1", [entry for path in logs for entry in read_log(path)]
+    )
+    assert "released" not in [entry.line.message for entry in history.context]
 
 
-def test_unknown_request_has_no_story(logs: list[Path]) -> None:
-    story = request_history("zz", [one for path in logs for one in read_log(path)])
-    assert not story.lines
-    assert not story.context
+def test_unknown_request_has_no_history(logs: list[Path]) -> None:
+    history = request_history(
+        "zz", [entry for path in logs for entry in read_log(path)]
+    )
+    assert not history.lines
+    assert not history.context
 
 
-def test_a_collector_s_words_before_a_line_name_its_host(tmp_path: Path) -> None:
+def test_prefix_of_a_log_collector_names_the_host(tmp_path: Path) -> None:
     path = tmp_path / "all.log"
     path.write_text("  41.16 front-lac-5 " + line(1, "started", host="front-lac-5"))
-    assert [one.host for one in read_log(path)] == ["front-lac-5"]
+    assert [entry.host for entry in read_log(path)] == ["front-lac-5"]
 
 
-def test_file_that_can_t_be_read_is_named(tmp_path: Path) -> None:
+def test_error_names_a_file_that_cannot_be_read(tmp_path: Path) -> None:
     with pytest.raises(InputError, match="readable log file") as caught:
         read_log(tmp_path / "none.log")
     assert caught.value.peer.endswith("none.log")
