--- a/src/gentianwharf/metrics/_burn.py
+++ b/src/gentianwharf/metrics/_burn.py
@@ -1,9 +1,10 @@
-"""How fast each class burns its error budget, when to alert, and what burns it.
+"""Burn rates of the error budget of each class, alerts, and the largest contributors.
 
 Burn rate, windows and thresholds are those of the Google SRE workbook, chapter
 "Alerting on SLOs", section on multiwindow, multi-burn-rate alerts: a burn rate of 1
-spends the whole budget in exactly its period of 30 days. An alert needs the long window
-(it matters) and the short one (it still goes on).
+spends the whole budget in exactly its period of 30 days. An alert fires only if both
+windows reach the threshold: the long window shows that the loss is significant, the
+short one that it is still going on.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -20,7 +21,7 @@
 MINUTE_S = 60.0
 HOUR_S = 3_600.0
 DAY_S = 86_400.0
-MOST_BURNERS = 5
+MAX_BURNERS = 5
 
 
 @final
@@ -34,7 +35,8 @@
     threshold: float
 
 
-# Spending 2% of the budget in an hour, 5% in six hours, 10% in three days.
+# The thresholds correspond to spending 2% of the budget in an hour, 5% in six hours
+# and 10% in three days.
 ALERT_RULES = (
     AlertRule(severity="page", long_s=HOUR_S, short_s=5 * MINUTE_S, threshold=14.4),
     AlertRule(severity="page", long_s=6 * HOUR_S, short_s=30 * MINUTE_S, threshold=6.0),
@@ -43,14 +45,18 @@
 WINDOWS_S = tuple(
     sorted({length for rule in ALERT_RULES for length in (rule.long_s, rule.short_s)})
 )
-# The windows in which the burners are named: the one that pages first.
+# Burners are listed for the long window of the alert that fires first.
 BURNERS_WINDOW_S = HOUR_S
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClassBurn:
-    """One class in one window; ``budget_spent`` is a share of the period's budget."""
+    """Burn of one class in one window.
+
+    ``bad_share`` is a fraction of the answers, ``budget_spent`` a fraction of the error
+    budget of the objective's whole period.
+    """
 
     request_class: str
     window_s: float
@@ -79,7 +85,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Burner:
-    """A rule, service, failure domain or server, and its share of the bad answers."""
+    """A rule, service, failure domain or server, and its share of the bad answers.
+
+    ``kind`` is one of ``rule``, ``service``, ``domain`` and ``server``.
+    """
 
     request_class: str
     kind: str
@@ -94,8 +103,8 @@
 class UnavailableBurn:
     """Unavailable time of a keyed service's shards since this daemon started.
 
-    ``longest_s`` is the longest span of one shard, ``allowed_s`` the strictest
-    objective for one shard in its period.
+    ``shard_s`` is the sum over all shards, ``longest_s`` the longest unavailable span
+    of one shard, and ``allowed_s`` the strictest objective for one shard in its period.
     """
 
     service: str
@@ -108,7 +117,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClassLatency:
-    """Time from request to whole answer since the hosts started, all hosts together."""
+    """Time from request to complete answer since startup, aggregated over all hosts."""
 
     service: str
     request_class: str
@@ -122,7 +131,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MissingHost:
-    """A listed host whose answers the report lacks, and why."""
+    """A listed host whose answers are missing from the report, and the reason."""
 
     host: str
     reason: str
@@ -131,10 +140,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BurnReport:
-    """The whole report; its parts are lists of flat records.
+    """The complete report, as lists of flat records.
 
-    ``hosts`` are those whose answers it holds, ``silent`` the listed ones that it
-    lacks.
+    ``hosts`` are the hosts whose answers are included, ``silent`` the listed hosts
+    whose answers are missing.
     """
 
     classes: list[ClassBurn]
@@ -146,16 +155,19 @@
     silent: list[MissingHost] = field(default_factory=list)
 
     def as_builtins(self) -> dict[str, Any]:
-        """Return the report as what JSON knows."""
+        """Return the report as objects that JSON can represent."""
         fields: dict[str, Any] = msgspec.to_builtins(self)
         return fields
 
     @classmethod
     def from_builtins(cls, fields: Mapping[str, Any]) -> "BurnReport":
-        """Read what ``as_builtins`` gave; raises ``InputError`` for anything else.
+        """Convert the result of ``as_builtins`` back into a report.
+
+        The command-line tool uses it to render the page. Plotting takes a third of a
+        second; in a daemon that would block the event loop, so that no requests would
+        be served and the daemon's grants would expire.
 
-        So that the operator's tool makes the page: its plots take a third of a second,
-        in which a daemon would answer nobody and its rights would run out.
+        Raises ``InputError`` if the fields are not those of a report.
         """
         try:
             return msgspec.convert(fields, cls)
@@ -177,26 +189,26 @@
     hosts: Sequence[str] = (),
     silent: Sequence[MissingHost] = (),
 ) -> BurnReport:
-    """Work the report out of window counts; those of several hosts just add up.
+    """Compute the report from window counts; counts of several hosts are added up.
 
     >>> objective = Objective(request_class="archive", limit_s=1.0, share=0.99)
     >>> count = WindowCount(window_s=3600.0, request_class="archive", service="docs",
     ...     rule=1, domain="lac", server="docs-1", total=100, bad=2)
     >>> report = burn_report([objective], [count])
-    >>> [round(one.burn_rate, 3) for one in report.classes if one.answers]
+    >>> [round(burn.burn_rate, 3) for burn in report.classes if burn.answers]
     [2.0]
     """
-    known = {one.request_class: one for one in objectives}
+    by_class = {objective.request_class: objective for objective in objectives}
     classes = [
         _class_burn(objective, window_s, counts)
-        for objective in known.values()
+        for objective in by_class.values()
         for window_s in WINDOWS_S
     ]
-    rates = {(one.request_class, one.window_s): one.burn_rate for one in classes}
+    rates = {(burn.request_class, burn.window_s): burn.burn_rate for burn in classes}
     return BurnReport(
         classes=classes,
-        alerts=[_alert(name, rule, rates) for name in known for rule in ALERT_RULES],
-        burners=[burner for name in known for burner in _burners(name, counts)],
+        alerts=[_alert(name, rule, rates) for name in by_class for rule in ALERT_RULES],
+        burners=[burner for name in by_class for burner in _burners(name, counts)],
         unavailable=list(unavailable),
         latencies=list(latencies),
         hosts=list(hosts),
@@ -207,13 +219,13 @@
 def _class_burn(
     objective: Objective, window_s: float, counts: Iterable[WindowCount]
 ) -> ClassBurn:
-    mine = [
-        one
-        for one in counts
-        if one.request_class == objective.request_class and one.window_s == window_s
+    selected = [
+        count
+        for count in counts
+        if count.request_class == objective.request_class and count.window_s == window_s
     ]
-    answers = sum(one.total for one in mine)
-    bad = sum(one.bad for one in mine)
+    answers = sum(count.total for count in selected)
+    bad = sum(count.bad for count in selected)
     bad_share = bad / answers if answers else 0.0
     burn_rate = bad_share / objective.error_budget
     return ClassBurn(
@@ -245,19 +257,19 @@
 
 
 def _burners(request_class: str, counts: Iterable[WindowCount]) -> list[Burner]:
-    mine = [
-        one
-        for one in counts
-        if one.request_class == request_class and one.window_s == BURNERS_WINDOW_S
+    selected = [
+        count
+        for count in counts
+        if count.request_class == request_class and count.window_s == BURNERS_WINDOW_S
     ]
     burners = []
     for kind in ("rule", "service", "domain", "server"):
-        burners += _burners_of(kind, request_class, mine)
+        burners += _burners_of(kind, request_class, selected)
     return burners
 
 
-def _name(count: WindowCount, kind: str) -> str:
-    # Of places that were put together only class and service are known.
+def _burner_name(count: WindowCount, kind: str) -> str:
+    # Label sets that were merged into ``OTHER`` retain only class and service.
     if count.domain == OTHER and kind != "service":
         return OTHER
     return str(getattr(count, kind) or "(none chosen)")
@@ -268,11 +280,11 @@
 ) -> list[Burner]:
     answers: dict[str, int] = {}
     bad: dict[str, int] = {}
-    for one in counts:
-        name = _name(one, kind)
-        answers[name] = answers.get(name, 0) + one.total
-        bad[name] = bad.get(name, 0) + one.bad
-    whole = sum(bad.values())
+    for count in counts:
+        name = _burner_name(count, kind)
+        answers[name] = answers.get(name, 0) + count.total
+        bad[name] = bad.get(name, 0) + count.bad
+    total_bad = sum(bad.values())
     worst = sorted((name for name in bad if bad[name]), key=lambda name: -bad[name])
     return [
         Burner(
@@ -281,7 +293,7 @@
             name=name,
             answers=answers[name],
             bad=bad[name],
-            share_of_bad=bad[name] / whole,
+            share_of_bad=bad[name] / total_bad,
         )
-        for name in worst[:MOST_BURNERS]
+        for name in worst[:MAX_BURNERS]
     ]
--- a/src/gentianwharf/metrics/_burn_part.py
+++ b/src/gentianwharf/metrics/_burn_part.py
@@ -1,7 +1,7 @@
-"""One host's part of the burn report, as it goes to another host, and their sum.
+"""One host's part of the burn report, as sent to another host, and its aggregation.
 
-Percentiles of hosts can't be averaged, so hosts send encoded histograms and counts;
-both add up.
+Percentiles of several hosts can't be averaged. Hosts therefore send encoded histograms
+and counts, both of which can be added up.
 """
 
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
 
 @final
 class BurnPart(msgspec.Struct, frozen=True, kw_only=True):
-    """What one host counted and timed."""
+    """The counts and histograms of one host."""
 
     counts: list[WindowCount]
     unavailable: list[UnavailableBurn]
@@ -33,12 +33,12 @@
 
 
 def encode_part(part: BurnPart) -> bytes:
-    """Return a part as it goes to another host."""
+    """Encode a part for sending to another host."""
     return _encoder.encode(part)
 
 
 def decode_part(data: bytes, *, peer: str) -> BurnPart:
-    """Check and return a part; raises ``InputError``."""
+    """Decode and validate a part; raises ``InputError`` if it is malformed."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as error:
@@ -52,11 +52,11 @@
 
 @final
 class BurnAggregator:
-    """Adds hosts' parts up as they come; none of them is kept.
+    """Adds up the parts of hosts as they arrive, without retaining the parts.
 
-    Counts and histograms add up. Of unavailable time the longest span is the longest
-    that any host saw; shard-seconds are added, so that an outage which two hosts saw
-    counts twice.
+    Counts and histograms are added. The longest unavailable span is the maximum over
+    all hosts. Shard-seconds of unavailable time are added as well, so an outage that
+    two hosts observed counts twice.
     """
 
     def __init__(self, *, objectives: Iterable[Objective]) -> None:
@@ -67,22 +67,25 @@
         self._elapsed: dict[tuple[str, str], Any] = {}
 
     def add(self, host: str, part: BurnPart) -> None:
-        """Add a host's part, whole or not at all; raises ``InputError``."""
+        """Add a host's part.
+
+        Raises ``InputError`` if a histogram can't be decoded; nothing is added then.
+        """
         decoded = [
-            ((one.service, one.request_class), _decoded(one, host))
-            for one in part.histograms
-            if one.name == ELAPSED
+            ((entry.service, entry.request_class), _decoded(entry, host))
+            for entry in part.histograms
+            if entry.name == ELAPSED
         ]
-        for which, histogram in decoded:
-            self._elapsed.setdefault(which, new_histogram()).add(histogram)
-        for one in part.counts:
-            self._add_count(one)
+        for service_class, histogram in decoded:
+            self._elapsed.setdefault(service_class, new_histogram()).add(histogram)
+        for count in part.counts:
+            self._add_count(count)
         for burn in part.unavailable:
             self._add_unavailable(burn)
         self._hosts.append(host)
 
     def report(self, *, silent: Iterable[MissingHost] = ()) -> BurnReport:
-        """Return the report over all hosts that were added."""
+        """Return the report over all added hosts; ``silent`` are the missing ones."""
         counts = [
             WindowCount(
                 window_s=window_s,
@@ -111,41 +114,42 @@
             silent=list(silent),
         )
 
-    def _add_count(self, one: WindowCount) -> None:
+    def _add_count(self, count: WindowCount) -> None:
         labels = (
-            one.window_s,
-            one.request_class,
-            one.service,
-            one.rule,
-            one.domain,
-            one.server,
+            count.window_s,
+            count.request_class,
+            count.service,
+            count.rule,
+            count.domain,
+            count.server,
         )
         total, bad = self._counts.get(labels, (0, 0))
-        self._counts[labels] = total + one.total, bad + one.bad
-
-    def _add_unavailable(self, one: UnavailableBurn) -> None:
-        known = self._unavailable.get(one.service)
-        if known is not None:
-            longest_s = max(known.longest_s, one.longest_s)
-            allowed_s = min(known.allowed_s, one.allowed_s)
-            one = UnavailableBurn(
-                service=one.service,
-                shard_s=known.shard_s + one.shard_s,
+        self._counts[labels] = total + count.total, bad + count.bad
+
+    def _add_unavailable(self, burn: UnavailableBurn) -> None:
+        previous = self._unavailable.get(burn.service)
+        if previous is not None:
+            longest_s = max(previous.longest_s, burn.longest_s)
+            allowed_s = min(previous.allowed_s, burn.allowed_s)
+            burn = UnavailableBurn(
+                service=burn.service,
+                shard_s=previous.shard_s + burn.shard_s,
                 longest_s=longest_s,
                 allowed_s=allowed_s,
                 within=longest_s <= allowed_s,
             )
-        self._unavailable[one.service] = one
+        self._unavailable[burn.service] = burn
 
 
-def _decoded(one: EncodedHistogram, host: str) -> Any:
+def _decoded(entry: EncodedHistogram, host: str) -> Any:
     histogram = new_histogram()
     try:
-        histogram.decode_and_add(one.encoded)
+        histogram.decode_and_add(entry.encoded)
     except Exception as error:
-        # The library has no common error of its own: zlib's, binascii's and others.
+        # The library has no base exception of its own; it lets those of zlib, binascii
+        # and other modules through.
         raise InputError(
-            f"expected an encoded histogram of {one.service} {one.request_class}:"
+            f"expected an encoded histogram of {entry.service} {entry.request_class}:"
             f" {error or type(error).__name__}; is the host of another version?",
             step="add burn part",
             peer=host,
--- a/src/gentianwharf/metrics/_histograms.py
+++ b/src/gentianwharf/metrics/_histograms.py
@@ -1,4 +1,4 @@
-"""Latency histograms per service and class, of a window and since the start."""
+"""Latency histograms, over a time window and since startup."""
 
 from dataclasses import dataclass
 from typing import final
@@ -6,21 +6,21 @@
 from hdrh.histogram import HdrHistogram
 
 MICROSECONDS = 1_000_000
-# From 1 µs to 10 minutes, beyond the longest deadline of the examples (60 s), with
-# two digits: 1% is finer than any limit that an operator sets, and a histogram
-# takes 25 kB instead of 172 kB with three digits.
+# The range is 1 µs to 10 minutes, longer than the longest deadline of the examples
+# (60 s). Two digits give a precision of 1%, finer than any limit that an operator sets,
+# and a histogram takes 25 kB; with three digits it would take 172 kB.
 LOWEST_US = 1
 HIGHEST_US = 600 * MICROSECONDS
 DIGITS = 2
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds; any two can be merged."""
+    """Return an empty histogram of microseconds; all such histograms can be merged."""
     return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
 
 
 def record_s(histogram: HdrHistogram, value_s: float) -> None:
-    """Record a time in seconds; one beyond the range counts as the longest."""
+    """Record a time in seconds; a time beyond the range counts as the longest one."""
     value_us = int(value_s * MICROSECONDS)
     if not histogram.record_value(value_us if value_us > 0 else 0):
         histogram.record_value(HIGHEST_US)
@@ -32,21 +32,21 @@
 
 
 def merge_histograms(encoded: list[bytes]) -> HdrHistogram:
-    """Add up encoded histograms of several hosts.
+    """Add up the encoded histograms of several hosts.
 
-    Percentiles of hosts can't be averaged into one of the fleet: only the counts
+    The percentiles of hosts can't be averaged to those of the fleet; only the counts
     can be added.
 
-    >>> one, other = new_histogram(), new_histogram()
-    >>> record_s(one, 0.001)
-    >>> record_s(other, 0.1)
-    >>> merge_histograms([one.encode(), other.encode()]).get_total_count()
+    >>> first, second = new_histogram(), new_histogram()
+    >>> record_s(first, 0.001)
+    >>> record_s(second, 0.1)
+    >>> merge_histograms([first.encode(), second.encode()]).get_total_count()
     2
     """
-    whole = new_histogram()
+    total = new_histogram()
     for part in encoded:
-        whole.decode_and_add(part)
-    return whole
+        total.decode_and_add(part)
+    return total
 
 
 @final
@@ -62,26 +62,26 @@
 
 @final
 class WindowedHistogram:
-    """A histogram of the last whole window, the running one, and the sum of all.
+    """Histograms of the current window, of the previous one, and since startup.
 
-    Values go into the running window alone, which is added to the sum when the
-    window turns: recording twice would cost 2 µs more for every answer.
+    Values are recorded only in the current window, which is added to the total when
+    the window is rotated. Recording every value twice would take 2 µs more per answer.
     """
 
     def __init__(self) -> None:
         self.current = new_histogram()
         self.previous = new_histogram()
-        self._before = new_histogram()
+        self._rotated = new_histogram()
 
     def rotate(self) -> None:
-        """End the running window."""
-        self._before.add(self.current)
+        """End the current window and start the next one."""
+        self._rotated.add(self.current)
         self.previous = self.current
         self.current = new_histogram()
 
     def total(self) -> HdrHistogram:
-        """Return all values since the start."""
-        whole = new_histogram()
-        whole.add(self._before)
-        whole.add(self.current)
-        return whole
+        """Return a histogram of all values since startup."""
+        total = new_histogram()
+        total.add(self._rotated)
+        total.add(self.current)
+        return total
--- a/src/gentianwharf/metrics/_measures.py
+++ b/src/gentianwharf/metrics/_measures.py
@@ -1,4 +1,4 @@
-"""The three measures: imbalance, churn and unavailable time, over plain inputs."""
+"""The three measures, imbalance, churn and unavailable time, as plain functions."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 
 
 def imbalance(loads: Mapping[str, float]) -> float:
-    """Return the greatest load over the mean one; 1.0 is perfectly even.
+    """Return the maximum load divided by the mean load; 1.0 is perfectly even.
 
-    ``loads`` gives each live server's load in any one unit (requests/s, busy
-    slots). A server without load belongs in it; a server that has left does not.
+    ``loads`` holds the load of each live server, all in the same unit (requests/s,
+    busy slots). It includes idle servers, but not servers that have left.
 
     >>> imbalance({"clubdesk-1": 30.0, "clubdesk-2": 10.0})
     1.5
@@ -21,9 +21,9 @@
 
 
 def churn(before: Mapping[int, str], after: Mapping[int, str]) -> int:
-    """Return how many shards changed owner; one that was lost counts once.
+    """Return how many shards changed owner; one that lost its owner counts once.
 
-    A shard that had no owner before has not changed it.
+    A shard without an owner before does not count.
 
     >>> churn({1: "a", 2: "a", 3: "b"}, {1: "a", 2: "b", 4: "b"})
     2
@@ -34,7 +34,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Outcome:
-    """Whether a request for a key or shard was served, and when that was known."""
+    """Whether a request for a key or shard was served, and when that became known."""
 
     at_s: float
     served: bool
@@ -44,8 +44,8 @@
     """Return for how many seconds a key or shard could not be served.
 
     An unavailable span runs from the first request that was not served to the next
-    one that was, or to ``until_s``. Time in which nobody asked counts only inside
-    such a span.
+    request that was, or to ``until_s``. Time without any requests counts only within
+    such a span. The outcomes must be in order of time.
 
     >>> unavailable_s([Outcome(at_s=1.0, served=False), Outcome(at_s=1.5, served=False),
     ...                Outcome(at_s=1.75, served=True)], until_s=9.0)
@@ -66,10 +66,10 @@
 
 @final
 class UnavailableShards:
-    """The shards that are unavailable now, and the time that the others were.
+    """The currently unavailable shards, and the unavailable time of each service.
 
-    Holds an entry for each shard that is failing at the moment alone, so that it
-    does not grow with the number of shards.
+    Only shards that are failing at the moment have an entry, so that memory does not
+    grow with the number of shards.
     """
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
         self._longest_s: dict[str, float] = {}
 
     def record(self, service: str, shard: int, *, at_s: float, served: bool) -> None:
-        """Take in the outcome of one request."""
+        """Record the outcome of one request."""
         shard_key = (service, shard)
         if not served:
             self._since_s.setdefault(shard_key, at_s)
@@ -88,17 +88,17 @@
         since_s = self._since_s.pop(shard_key, None)
         if since_s is None:
             return
-        spent_s = at_s - since_s
-        self._total_s[service] = self._total_s.get(service, 0.0) + spent_s
-        self._longest_s[service] = max(self._longest_s.get(service, 0.0), spent_s)
+        duration_s = at_s - since_s
+        self._total_s[service] = self._total_s.get(service, 0.0) + duration_s
+        self._longest_s[service] = max(self._longest_s.get(service, 0.0), duration_s)
 
     def services(self) -> list[str]:
-        """Return the services of which a shard was ever unavailable."""
-        open_now = {name for name, _ in self._since_s}
-        return sorted(open_now | set(self._total_s))
+        """Return the services with a shard that is or was unavailable."""
+        unavailable = {name for name, _ in self._since_s}
+        return sorted(unavailable | set(self._total_s))
 
     def total_s(self, service: str, *, now_s: float) -> float:
-        """Return the shard-seconds of unavailable time, open spans included."""
+        """Return the shard-seconds of unavailable time, including open spans."""
         return self._total_s.get(service, 0.0) + sum(
             now_s - since_s
             for (name, _), since_s in self._since_s.items()
@@ -106,7 +106,7 @@
         )
 
     def longest_s(self, service: str, *, now_s: float) -> float:
-        """Return the longest span of one shard, open spans included."""
+        """Return the longest unavailable span of one shard, including open spans."""
         spans_s = [
             now_s - since_s
             for (name, _), since_s in self._since_s.items()
@@ -115,5 +115,5 @@
         return max([self._longest_s.get(service, 0.0), *spans_s])
 
     def unavailable_count(self, service: str) -> int:
-        """Return how many shards are unavailable at the moment."""
+        """Return the number of currently unavailable shards."""
         return sum(name == service for name, _ in self._since_s)
--- a/src/gentianwharf/metrics/_objectives.py
+++ b/src/gentianwharf/metrics/_objectives.py
@@ -1,19 +1,19 @@
-"""Service-level objectives per class, as the burn report uses them."""
+"""Service-level objectives per class, for the burn report."""
 
 from dataclasses import dataclass
 from typing import final
 
 DAY_S = 86_400.0
-# The Google SRE workbook reckons its error budgets over 30 days.
+# The Google SRE workbook computes error budgets over 30 days.
 PERIOD_S = 30 * DAY_S
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Objective:
-    """What a class promises: ``share`` of answers good, that is within ``limit_s``.
+    """The objective of a class: ``share`` of its answers good, within ``limit_s``.
 
-    ``unavailable_s`` is how long any one shard may be unavailable in ``period_s``.
+    ``unavailable_s`` is how long any single shard may be unavailable in ``period_s``.
     """
 
     request_class: str
@@ -26,7 +26,8 @@
     def error_budget(self) -> float:
         """Share of answers that may be bad.
 
-        Rounded, since ``1 - 0.99`` is a little more than 0.01 in binary, and a class
-        exactly at its budget would not count as burning at rate 1.
+        The value is rounded: ``1 - 0.99`` is slightly more than 0.01 in binary
+        floating point, so that the burn rate of a class exactly at its budget would
+        be below 1.
         """
         return round(1.0 - self.share, 12)
--- a/src/gentianwharf/metrics/_windows.py
+++ b/src/gentianwharf/metrics/_windows.py
@@ -1,9 +1,9 @@
-"""Counts of good and bad answers over time, bounded in memory.
+"""Counts of good and bad answers over time, in bounded memory.
 
-Burn rates need windows from 5 minutes to 3 days. Half a minute's counts are kept for
-an hour, five minutes' for six and an hour's for three days: every window is then read
-from some hundred buckets at most. Reading holds the loop that serves callers; three
-days of five minutes took 50 ms when all places were busy.
+Burn rates need windows from 5 minutes to 3 days. Buckets of 30 seconds are kept for an
+hour, buckets of 5 minutes for 6 hours and buckets of an hour for 3 days, so that every
+window is read from about a hundred buckets at most. Reading blocks the event loop that
+serves callers; 3 days of 5-minute buckets took 50 ms with all label sets in use.
 """
 
 from collections import deque
@@ -12,16 +12,17 @@
 from typing import NamedTuple, final
 
 HOUR_S = 3_600.0
-# Width and span of the buckets; a window is read from the first that spans it.
+# Width and span of the buckets. A window is read from the first resolution whose span
+# covers it.
 RESOLUTIONS_S = ((30.0, HOUR_S), (300.0, 6 * HOUR_S), (HOUR_S, 72 * HOUR_S))
-# Places kept apart in a bucket; the least burdened are put together beyond it. The
-# examples have under 100 places (rule, domain, server).
+# Label sets counted separately in a bucket; further ones are merged into ``OTHER``. The
+# examples have fewer than 100 label sets (rule, domain, server).
 MAX_LABEL_SETS = 128
 OTHER = "(other)"
 
 
 class AnswerLabels(NamedTuple):
-    """What can be to blame for a bad answer."""
+    """The labels that answers are counted by, to attribute bad answers."""
 
     request_class: str
     service: str
@@ -33,13 +34,13 @@
 @final
 @dataclass(kw_only=True, slots=True)
 class Tally:
-    """How many answers there were, and how many of them were bad."""
+    """The number of answers, and how many of them were bad."""
 
     total: int = 0
     bad: int = 0
 
     def add(self, total: int, bad: int) -> None:
-        """Add other answers."""
+        """Add the counts of further answers."""
         self.total += total
         self.bad += bad
 
@@ -47,7 +48,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WindowCount:
-    """The answers of a label set in the ``window_s`` up to now; sums across hosts."""
+    """The answers with these labels in the last ``window_s`` seconds.
+
+    Counts of several hosts can be added up.
+    """
 
     window_s: float
     request_class: str
@@ -64,7 +68,7 @@
 
 @final
 class _Buckets:
-    """Tallies of equal spans of time, the oldest dropped."""
+    """Tallies of consecutive time spans of equal width; the oldest are dropped."""
 
     def __init__(self, *, width_s: float, span_s: float) -> None:
         self._width_s = width_s
@@ -78,13 +82,13 @@
             self._buckets.append((start_s, {}))
         bucket = self._buckets[-1][1]
         for labels, tally in tallies.items():
-            _tally_of(bucket, labels).add(tally.total, tally.bad)
+            _tally_for(bucket, labels).add(tally.total, tally.bad)
 
     def since(self, from_s: float) -> Iterable[Tallies]:
         return (tallies for start_s, tallies in self._buckets if start_s >= from_s)
 
 
-def _tally_of(bucket: Tallies, labels: AnswerLabels) -> Tally:
+def _tally_for(bucket: Tallies, labels: AnswerLabels) -> Tally:
     tally = bucket.get(labels)
     if tally is not None:
         return tally
@@ -98,7 +102,7 @@
 
 @final
 class BurnWindows:
-    """Good and bad answers of the last three days, by label set."""
+    """Good and bad answers of the last 3 days, by label set."""
 
     def __init__(self) -> None:
         self._resolutions = [
@@ -107,14 +111,14 @@
         ]
 
     def add(self, tallies: Tallies, *, now_s: float) -> None:
-        """Take in the answers since the last call."""
+        """Add the answers since the last call."""
         for _, buckets in self._resolutions:
             buckets.add(tallies, now_s=now_s)
 
     def counts(self, *, window_s: float, now_s: float) -> list[WindowCount]:
         """Return the counts of the window that ends now."""
         buckets = next(
-            (kept for span_s, kept in self._resolutions if window_s <= span_s),
+            (buckets for span_s, buckets in self._resolutions if window_s <= span_s),
             self._resolutions[-1][1],
         )
         sums: Tallies = {}
