--- a/src/gentianwharf/metrics/__init__.py
+++ b/src/gentianwharf/metrics/__init__.py
@@ -1,6 +1,6 @@
-"""Counting and timing of what callers receive.
+"""Counts and latencies of the answers that callers receive.
 
-``Recorder`` is what the relay and the daemon use; ``imbalance``, ``churn`` and
+The relay and the daemon use ``Recorder``. ``imbalance``, ``churn`` and
 ``unavailable_s`` are the three measures as plain functions.
 """
 
@@ -83,11 +83,11 @@
 
 
 def burn_html(report: BurnReport) -> str:
-    """Return the burn report as a self-contained page.
+    """Return the burn report as a self-contained HTML page.
 
-    The plotting library is loaded only here: it takes longer to import and more
-    memory than the rest of a daemon, which mostly never makes a page.
+    The plotting library is imported only here: it takes longer to import and more
+    memory than the rest of a daemon, and most daemons never render a page.
     """
-    from ._burn_html import burn_html as make
+    from ._burn_html import burn_html as render
 
-    return make(report)
+    return render(report)
--- a/src/gentianwharf/metrics/_answer.py
+++ b/src/gentianwharf/metrics/_answer.py
@@ -1,4 +1,4 @@
-"""What the relay reports about each answer, and about each decision."""
+"""The records of answers and routing decisions that the relay reports."""
 
 from dataclasses import dataclass
 from typing import final
@@ -11,14 +11,14 @@
 class Answer:
     """One answer as the caller received it.
 
-    ``rule`` is the number of the rule that decided, 0 when none matched; ``server``
-    is empty when none was chosen. ``waited_s`` is the time in the queue,
-    ``elapsed_s`` the time from the request's first byte to the answer's last one.
-    ``refused`` is the reason when the router itself refused. ``shard`` is None for
-    a service that is not keyed.
+    ``rule`` is the number of the matching rule, 0 if none matched; ``server`` is empty
+    if none was chosen. ``waited_s`` is the time in the queue, ``elapsed_s`` the time
+    from the first byte of the request to the last byte of the answer. ``refused`` is
+    the reason if the router itself refused the request. ``shard`` is None for a
+    service that is not keyed.
 
-    Not frozen: a frozen instance of these fields takes 4.4 µs to build, this one
-    1.5 µs, and one is built for every request.
+    The class is not frozen: creating a frozen instance with these fields takes 4.4 µs
+    instead of 1.5 µs, and one is created for every request.
     """
 
     service: str
@@ -35,17 +35,20 @@
 
     @property
     def served(self) -> bool:
-        """Whether the caller got what it asked for, or its own mistake told."""
+        """Whether the service ran the request and answered without a server error.
+
+        An answer that reports an error of the caller (4xx) counts as served.
+        """
         return self.refused is None and self.run is RunStatus.RUN and self.status < 500
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Decision:
-    """Why a request went where it went, waited, or was refused.
+    """The reasons why a request was routed to its server, queued, or refused.
 
-    ``reasons`` are the steps in order, in words an operator reads; they hold no key
-    and no body.
+    ``reasons`` are the steps in order, as text for operators. They contain no key and
+    no body.
     """
 
     request_id: str
@@ -61,5 +64,5 @@
 
     @property
     def always_kept(self) -> bool:
-        """Whether the decision is kept whatever the sampling says."""
+        """Whether the decision is kept regardless of sampling."""
         return self.refused is not None or self.run is RunStatus.UNKNOWN
--- a/src/gentianwharf/metrics/_burn_part.py
+++ b/src/gentianwharf/metrics/_burn_part.py
@@ -16,7 +16,7 @@
 from ._objectives import Objective
 from ._windows import WindowCount
 
-ELAPSED = "gentianwharf_answer_seconds"
+ANSWER_SECONDS = "gentianwharf_answer_seconds"
 
 
 @final
@@ -74,7 +74,7 @@
         decoded = [
             ((entry.service, entry.request_class), _decoded(entry, host))
             for entry in part.histograms
-            if entry.name == ELAPSED
+            if entry.name == ANSWER_SECONDS
         ]
         for service_class, histogram in decoded:
             self._elapsed.setdefault(service_class, new_histogram()).add(histogram)
--- a/src/gentianwharf/metrics/_latencies.py
+++ b/src/gentianwharf/metrics/_latencies.py
@@ -1,47 +1,47 @@
-"""Histograms of how long answers took and how long requests waited."""
+"""Histograms of answer times and queue times."""
 
 from collections.abc import Iterable
 from typing import Any, final
 
-from ._burn_part import ELAPSED
+from ._burn_part import ANSWER_SECONDS
 from ._histograms import EncodedHistogram, WindowedHistogram, percentile_s, record_s
 from ._prometheus import HistogramSample
 
-WAITED = "gentianwharf_queue_seconds"
+QUEUE_SECONDS = "gentianwharf_queue_seconds"
 
-Kind = tuple[str, str]
-"""Service and class."""
+ServiceClass = tuple[str, str]
+"""The names of a service and of a request class."""
 
 
 @final
 class Latencies:
-    """A histogram of each service and class, of a window and since the start.
+    """Histograms per service and class, over a time window and since startup.
 
-    ``elapsed`` is open to the recorder, which adds to it for every answer.
+    ``elapsed`` is public because the recorder adds to it directly for every answer.
     """
 
     def __init__(self) -> None:
-        self.elapsed: dict[Kind, WindowedHistogram] = {}
-        self._waited: dict[Kind, WindowedHistogram] = {}
+        self.elapsed: dict[ServiceClass, WindowedHistogram] = {}
+        self._waited: dict[ServiceClass, WindowedHistogram] = {}
 
-    def record_wait(self, kind: Kind, waited_s: float) -> None:
-        """Record the wait of a request that waited."""
-        waited = self._waited.get(kind)
+    def record_wait(self, service_class: ServiceClass, waited_s: float) -> None:
+        """Record the queue time of a request that was queued."""
+        waited = self._waited.get(service_class)
         if waited is None:
-            waited = self._waited[kind] = WindowedHistogram()
+            waited = self._waited[service_class] = WindowedHistogram()
         record_s(waited.current, waited_s)
 
     def rotate(self) -> None:
-        """End the running window."""
+        """End the current window and start the next one."""
         for windowed in (*self.elapsed.values(), *self._waited.values()):
             windowed.rotate()
 
     def services(self) -> list[str]:
-        """Return the services that have answered."""
+        """Return the services with recorded answers."""
         return sorted({service for service, _ in self.elapsed})
 
     def encoded_histograms(self) -> list[EncodedHistogram]:
-        """Return the histograms since the start, encoded so that hosts' add up."""
+        """Return the histograms since startup, encoded for merging across hosts."""
         return [
             EncodedHistogram(
                 name=name,
@@ -49,15 +49,18 @@
                 request_class=request_class,
                 encoded=windowed.total().encode(),
             )
-            for name, table in ((ELAPSED, self.elapsed), (WAITED, self._waited))
+            for name, table in (
+                (ANSWER_SECONDS, self.elapsed),
+                (QUEUE_SECONDS, self._waited),
+            )
             for (service, request_class), windowed in table.items()
         ]
 
     def samples(self) -> Iterable[HistogramSample]:
         """Return the histograms for Prometheus."""
         names = (
-            (ELAPSED, "Time from request to whole answer.", self.elapsed),
-            (WAITED, "Time in the queue of those that waited.", self._waited),
+            (ANSWER_SECONDS, "Time from request to whole answer.", self.elapsed),
+            (QUEUE_SECONDS, "Time in the queue of those that waited.", self._waited),
         )
         for name, text, table in names:
             for (service, request_class), windowed in table.items():
@@ -67,7 +70,7 @@
                 )
 
     def state(self) -> list[dict[str, Any]]:
-        """Return the last window's percentiles, for the state page."""
+        """Return the percentiles of the previous window, for the state page."""
         return [
             _class_state(service, request_class, windowed)
             for (service, request_class), windowed in self.elapsed.items()
--- a/src/gentianwharf/metrics/_objectives.py
+++ b/src/gentianwharf/metrics/_objectives.py
@@ -11,9 +11,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Objective:
-    """The objective of a class: ``share`` of its answers good, within ``limit_s``.
+    """The objective of a class: which share of its answers must be good.
 
-    ``unavailable_s`` is how long any single shard may be unavailable in ``period_s``.
+    An answer is good if it is served within ``limit_s``. ``unavailable_s`` is how long
+    any single shard may be unavailable in ``period_s``.
     """
 
     request_class: str
--- a/src/gentianwharf/metrics/_prometheus.py
+++ b/src/gentianwharf/metrics/_prometheus.py
@@ -1,4 +1,4 @@
-"""Prometheus text of the counts and histograms, by its client library."""
+"""Counts and histograms in Prometheus' text format, using its client library."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -15,8 +15,8 @@
 
 from ._histograms import MICROSECONDS
 
-# Bounds in seconds round the limits of the examples' classes; few, since every one
-# is a series for each service and class at the operator's Prometheus.
+# Bucket bounds in seconds, near the latency limits of the classes in the examples. They
+# are few, because each bound is a time series per service and class in Prometheus.
 BOUNDS_S = (0.001, 0.002, 0.004, 0.008, 0.016, 0.032, 0.064, 0.125, 0.25, 0.5)
 LONG_BOUNDS_S = (1.0, 2.0, 5.0, 10.0, 30.0, 60.0)
 
@@ -36,7 +36,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HistogramSample:
-    """One histogram of times."""
+    """One histogram of times, recorded in microseconds."""
 
     name: str
     help: str
@@ -45,8 +45,8 @@
 
 
 @final
-class _Collected:
-    """Hands the families to the client library."""
+class _FamilyCollector:
+    """Presents metric families to the client library as a collector."""
 
     def __init__(self, families: Iterable[Metric]) -> None:
         self._families = list(families)
@@ -58,46 +58,48 @@
 def prometheus_text(
     samples: Iterable[Sample], histograms: Iterable[HistogramSample]
 ) -> str:
-    """Return the text of all samples, grouped by name."""
+    """Return the exposition text of all samples, grouped by metric name."""
     families: dict[str, Metric] = {}
     for sample in samples:
         _add_sample(families, sample)
-    for one in histograms:
-        _add_histogram(families, one)
+    for histogram in histograms:
+        _add_histogram(families, histogram)
     registry = CollectorRegistry()
-    registry.register(_Collected(families.values()))
+    registry.register(_FamilyCollector(families.values()))
     return generate_latest(registry).decode()
 
 
 def _add_sample(families: dict[str, Metric], sample: Sample) -> None:
-    kind = CounterMetricFamily if sample.counter else GaugeMetricFamily
+    family_type = CounterMetricFamily if sample.counter else GaugeMetricFamily
     family = families.get(sample.name)
     if family is None:
-        family = kind(sample.name, sample.help, labels=list(sample.labels))
+        family = family_type(sample.name, sample.help, labels=list(sample.labels))
         families[sample.name] = family
     assert isinstance(family, CounterMetricFamily | GaugeMetricFamily)
     family.add_metric(list(sample.labels.values()), sample.value)
 
 
-def _add_histogram(families: dict[str, Metric], one: HistogramSample) -> None:
-    family = families.get(one.name)
+def _add_histogram(families: dict[str, Metric], sample: HistogramSample) -> None:
+    family = families.get(sample.name)
     if family is None:
-        family = HistogramMetricFamily(one.name, one.help, labels=list(one.labels))
-        families[one.name] = family
+        family = HistogramMetricFamily(
+            sample.name, sample.help, labels=list(sample.labels)
+        )
+        families[sample.name] = family
     assert isinstance(family, HistogramMetricFamily)
-    buckets, sum_s = cumulative_buckets(one.histogram)
-    family.add_metric(list(one.labels.values()), buckets, sum_s)
+    buckets, sum_s = cumulative_buckets(sample.histogram)
+    family.add_metric(list(sample.labels.values()), buckets, sum_s)
 
 
 def cumulative_buckets(
     histogram: HdrHistogram,
 ) -> tuple[list[tuple[str, float]], float]:
-    """Return the counts up to each bound, and the sum of all values in seconds."""
+    """Return the cumulative count per bound, and the sum of all values in seconds."""
     bounds_s = (*BOUNDS_S, *LONG_BOUNDS_S)
     counts = [0.0] * (len(bounds_s) + 1)
     sum_s = 0.0
-    # The library's iterators step through every value that could have been recorded:
-    # a host would serve nobody meanwhile.
+    # The counts are read directly, because the library's iterators visit every value
+    # that could have been recorded and would block the event loop meanwhile.
     for index, count in enumerate(histogram.counts):
         if not count:
             continue
@@ -106,10 +108,10 @@
         sum_s += value_s * count
         counts[_bucket_index(bounds_s, value_s)] += count
     buckets = []
-    running = 0.0
+    cumulative = 0.0
     for bound_s, count in zip((*bounds_s, None), counts, strict=True):
-        running += count
-        buckets.append(("+Inf" if bound_s is None else str(bound_s), running))
+        cumulative += count
+        buckets.append(("+Inf" if bound_s is None else str(bound_s), cumulative))
     return buckets, sum_s
 
 
--- a/src/gentianwharf/metrics/_recorder.py
+++ b/src/gentianwharf/metrics/_recorder.py
@@ -1,4 +1,4 @@
-"""The recorder that the relay calls for every answer."""
+"""The recorder of answers and decisions, which the relay calls for every answer."""
 
 from collections.abc import Iterable
 from random import Random
@@ -10,7 +10,7 @@
 
 from ._answer import Answer, Decision
 from ._burn import WINDOWS_S, UnavailableBurn
-from ._burn_part import ELAPSED, BurnPart
+from ._burn_part import ANSWER_SECONDS, BurnPart
 from ._decisions import DecisionRing
 from ._histograms import EncodedHistogram, WindowedHistogram, record_s
 from ._latencies import Latencies
@@ -20,15 +20,15 @@
 from ._server_loads import ServerLoads
 from ._windows import AnswerLabels, BurnWindows, Tallies, Tally, WindowCount
 
-# A window of latency for the state page: long enough for a p99 of a quiet class,
-# short enough to show what happens now.
+# Length of the latency window of the state page: long enough for the p99 of a class
+# with few requests, short enough to show the current situation.
 WINDOW_S = 60.0
-# A minute, an hour and more are read from counts folded this often.
-FOLD_S = 5.0
+# Interval at which new counts are folded into the burn windows and totals.
+FOLD_INTERVAL_S = 5.0
 
 
-class _Line(NamedTuple):
-    """What answers are counted by between two folds."""
+class _CountKey(NamedTuple):
+    """The attributes by which answers are counted between two folds."""
 
     request_class: str
     service: str
@@ -41,13 +41,16 @@
     bad: bool
 
 
-# A plain tuple in the order of ``_Line``: building a named one for every answer
-# would take a tenth of the 5 µs that an answer may cost here.
-_LineKey = tuple[str, str, int, str, str, int, RunStatus, str | None, bool]
+# A plain tuple in the order of ``_CountKey``. Creating a named tuple for every answer
+# would use a tenth of the 5 µs that recording an answer may take.
+_CountKeyTuple = tuple[str, str, int, str, str, int, RunStatus, str | None, bool]
 
 
-class _Total(NamedTuple):
-    """What answers since the start are counted by: nothing that grows with servers."""
+class _TotalKey(NamedTuple):
+    """The attributes by which answers since startup are counted.
+
+    None of them grows with the number of servers.
+    """
 
     service: str
     request_class: str
@@ -58,10 +61,10 @@
 
 @final
 class Recorder:
-    """Counts and times answers, and says afterwards why requests went as they did.
+    """Records counts and latencies of answers, and the decisions on requests.
 
-    ``tick`` must be called about every second; it turns windows and folds counts,
-    so that ``record_answer`` stays one dictionary update and one histogram record.
+    ``tick`` must be called about once per second. It rotates windows and folds counts,
+    so that ``record_answer`` needs only a dictionary update and a histogram record.
     """
 
     def __init__(
@@ -73,33 +76,35 @@
     ) -> None:
         self._clock = clock
         self.objectives = tuple(objectives)
-        self._limits_s = {one.request_class: one.limit_s for one in self.objectives}
+        self._limits_s = {
+            objective.request_class: objective.limit_s for objective in self.objectives
+        }
         self.decisions = DecisionRing(random=random)
         self._latencies = Latencies()
-        self._lines: dict[_LineKey, int] = {}
-        self._totals: dict[_Total, int] = {}
+        self._counts: dict[_CountKeyTuple, int] = {}
+        self._totals: dict[_TotalKey, int] = {}
         self.server_loads = ServerLoads()
         self._churn: dict[str, int] = {}
         self._windows = BurnWindows()
         self._unavailable = UnavailableShards()
         self._started_s = clock.seconds()
         self._folded_s = self._started_s
-        self._turned_s = self._started_s
+        self._rotated_s = self._started_s
 
     def record_answer(self, answer: Answer) -> None:
-        """Take in one answer."""
+        """Record one answer."""
         service = answer.service
         request_class = answer.request_class
-        kind = (service, request_class)
-        elapsed = self._latencies.elapsed.get(kind)
+        service_class = (service, request_class)
+        elapsed = self._latencies.elapsed.get(service_class)
         if elapsed is None:
-            elapsed = self._latencies.elapsed[kind] = WindowedHistogram()
+            elapsed = self._latencies.elapsed[service_class] = WindowedHistogram()
         record_s(elapsed.current, answer.elapsed_s)
         if answer.waited_s > 0:
-            self._latencies.record_wait(kind, answer.waited_s)
+            self._latencies.record_wait(service_class, answer.waited_s)
         served = answer.served
         limit_s = self._limits_s.get(request_class)
-        line = (
+        count_key = (
             request_class,
             service,
             answer.rule,
@@ -110,7 +115,7 @@
             answer.refused,
             not served or (limit_s is not None and answer.elapsed_s > limit_s),
         )
-        self._lines[line] = self._lines.get(line, 0) + 1
+        self._counts[count_key] = self._counts.get(count_key, 0) + 1
         if answer.shard is not None:
             self._unavailable.record(
                 service, answer.shard, at_s=self._clock.seconds(), served=served
@@ -121,43 +126,49 @@
         self._churn[service] = self._churn.get(service, 0) + shards
 
     def record_decision(self, decision: Decision) -> None:
-        """Keep a decision: refused and unknown ones always, others sampled."""
+        """Keep a refused or unknown decision; sample the others."""
         self.decisions.add(decision)
 
     def tick(self) -> None:
-        """Fold counts and turn windows when it is time."""
+        """Fold counts and rotate windows when their intervals have passed."""
         now_s = self._clock.seconds()
-        if now_s - self._folded_s >= FOLD_S:
+        if now_s - self._folded_s >= FOLD_INTERVAL_S:
             self._fold(now_s)
-        if now_s - self._turned_s >= WINDOW_S:
-            self._turn(now_s)
+        if now_s - self._rotated_s >= WINDOW_S:
+            self._rotate(now_s)
 
     def _fold(self, now_s: float) -> None:
         tallies: Tallies = {}
-        for key, count in self._lines.items():
-            line = _Line(*key)
-            total = _Total(
-                line.service,
-                line.request_class,
-                line.status,
-                line.run,
-                line.refused or "",
+        for count_key, count in self._counts.items():
+            attributes = _CountKey(*count_key)
+            total_key = _TotalKey(
+                attributes.service,
+                attributes.request_class,
+                attributes.status,
+                attributes.run,
+                attributes.refused or "",
             )
-            self._totals[total] = self._totals.get(total, 0) + count
+            self._totals[total_key] = self._totals.get(total_key, 0) + count
             labels = AnswerLabels(
-                line.request_class, line.service, line.rule, line.domain, line.server
+                attributes.request_class,
+                attributes.service,
+                attributes.rule,
+                attributes.domain,
+                attributes.server,
+            )
+            tallies.setdefault(labels, Tally()).add(
+                count, count if attributes.bad else 0
             )
-            tallies.setdefault(labels, Tally()).add(count, count if line.bad else 0)
             if labels.server:
                 self.server_loads.add(labels.service, labels.server, count)
-        self._lines.clear()
+        self._counts.clear()
         self._windows.add(tallies, now_s=now_s)
         self._folded_s = now_s
 
-    def _turn(self, now_s: float) -> None:
+    def _rotate(self, now_s: float) -> None:
         self._latencies.rotate()
         self.server_loads.rotate()
-        self._turned_s = now_s
+        self._rotated_s = now_s
 
     def window_counts(self, windows_s: Iterable[float]) -> list[WindowCount]:
         """Return the good and bad answers of each window, by label set."""
@@ -170,12 +181,14 @@
         ]
 
     def burn_part(self) -> BurnPart:
-        """Return what this daemon adds to the burn report."""
+        """Return this host's part of the burn report."""
         return BurnPart(
             counts=self.window_counts(WINDOWS_S),
             unavailable=self._unavailable_burns(),
             histograms=[
-                one for one in self.encoded_histograms() if one.name == ELAPSED
+                encoded
+                for encoded in self.encoded_histograms()
+                if encoded.name == ANSWER_SECONDS
             ],
         )
 
@@ -183,7 +196,7 @@
         if not self.objectives:
             return []
         now_s = self._clock.seconds()
-        allowed_s = min(one.unavailable_s for one in self.objectives)
+        allowed_s = min(objective.unavailable_s for objective in self.objectives)
         burns = []
         for service in self._unavailable.services():
             longest_s = self._unavailable.longest_s(service, now_s=now_s)
@@ -199,7 +212,7 @@
         return burns
 
     def encoded_histograms(self) -> list[EncodedHistogram]:
-        """Return the histograms since the start, encoded so that hosts' add up."""
+        """Return the histograms since startup, encoded for merging across hosts."""
         return self._latencies.encoded_histograms()
 
     def prometheus_text(self) -> str:
@@ -208,16 +221,16 @@
         return prometheus_text(self._samples(), self._latencies.samples())
 
     def _samples(self) -> Iterable[Sample]:
-        for total, count in self._totals.items():
+        for total_key, count in self._totals.items():
             yield Sample(
                 name="gentianwharf_answers",
                 help="Answers that callers received.",
                 labels={
-                    "service": total.service,
-                    "class": total.request_class,
-                    "status": str(total.status),
-                    "run": total.run,
-                    "refused": total.refused,
+                    "service": total_key.service,
+                    "class": total_key.request_class,
+                    "status": str(total_key.status),
+                    "run": total_key.run,
+                    "refused": total_key.refused,
                 },
                 value=count,
                 counter=True,
@@ -227,22 +240,22 @@
     def _measure_samples(self) -> Iterable[Sample]:
         now_s = self._clock.seconds()
         for service, shards in sorted(self._churn.items()):
-            yield _measure(
+            yield _service_sample(
                 "churn_shards", "Shards that changed owner.", service, shards, True
             )
         for service in self._latencies.services():
-            uneven = self.server_loads.imbalance(service)
-            if uneven is not None:
-                yield _measure(
-                    "imbalance", "Max/mean answers per server.", service, uneven
+            imbalance = self.server_loads.imbalance(service)
+            if imbalance is not None:
+                yield _service_sample(
+                    "imbalance", "Max/mean answers per server.", service, imbalance
                 )
-            yield _measure(
+            yield _service_sample(
                 "unavailable_shard_seconds",
                 "Time in which shards could not be served, added up.",
                 service,
                 self._unavailable.total_s(service, now_s=now_s),
             )
-            yield _measure(
+            yield _service_sample(
                 "unavailable_shards",
                 "Shards that can't be served now.",
                 service,
@@ -250,7 +263,10 @@
             )
 
     def state(self) -> dict[str, Any]:
-        """Return the last window's latency and the measures, for the state page."""
+        """Return the latencies of the previous window and the measures.
+
+        The state page shows them.
+        """
         now_s = self._clock.seconds()
         return {
             "window_s": WINDOW_S,
@@ -271,7 +287,7 @@
         }
 
 
-def _measure(
+def _service_sample(
     name: str, text: str, service: str, value: float, counter: bool = False
 ) -> Sample:
     return Sample(
--- a/src/gentianwharf/metrics/_server_loads.py
+++ b/src/gentianwharf/metrics/_server_loads.py
@@ -1,22 +1,23 @@
-"""Answers by server, for the measure of imbalance."""
+"""Answers per server, for the measure of imbalance."""
 
 from collections.abc import Iterable, Mapping
 from typing import final
 
 from ._measures import imbalance
 
-LEAST_MEAN_ANSWERS = 20
-"""Answers a server and window below which chance alone looks like imbalance: of 16
-even servers with 20 answers on average the busiest has about 28, below the alarm's
-1.5 times; with 3 on average it has twice the mean."""
+MIN_MEAN_ANSWERS = 20
+"""Mean answers per server and window below which imbalance is not reported, because
+random variation alone looks like imbalance. Of 16 evenly loaded servers with a mean of
+20 answers, the busiest has about 28, which is below the alarm threshold of 1.5 times
+the mean; with a mean of 3 answers, it has twice the mean."""
 
 
 @final
 class ServerLoads:
-    """Answers by service and server, in the running window and the last whole one.
+    """Answers per service and server, in the current and in the previous window.
 
-    Servers are compared within their site: how much goes to each site is the
-    operators' rule, and a migration at 1% is no imbalance.
+    Servers are compared only within their site. The operators' rules determine the
+    share of each site, so that a migration at 1% is not an imbalance.
 
     >>> loads = ServerLoads()
     >>> loads.set_servers("ledger", [["ledger-1", "ledger-2"], ["ledger-3"]])
@@ -28,42 +29,43 @@
 
     def __init__(self) -> None:
         self._sites: dict[str, tuple[tuple[str, ...], ...]] = {}
-        self._running: dict[str, dict[str, int]] = {}
-        self._last: dict[str, dict[str, int]] = {}
+        self._current: dict[str, dict[str, int]] = {}
+        self._previous: dict[str, dict[str, int]] = {}
 
     def set_servers(self, service: str, sites: Iterable[Iterable[str]]) -> None:
-        """Take a service's live servers, by site.
+        """Set the live servers of a service, grouped by site.
 
-        A server that gets nothing belongs in the mean; one that has left does not.
+        Idle servers count in the mean; servers that have left do not.
         """
         self._sites[service] = tuple(tuple(servers) for servers in sites)
 
     def add(self, service: str, server: str, answers: int) -> None:
-        """Count answers of a server."""
-        loads = self._running.setdefault(service, {})
+        """Add to the answers of a server in the current window."""
+        loads = self._current.setdefault(service, {})
         loads[server] = loads.get(server, 0) + answers
 
     def rotate(self) -> None:
-        """End the running window."""
-        self._last, self._running = self._running, {}
+        """End the current window and start the next one."""
+        self._previous, self._current = self._current, {}
 
     def imbalance(self, service: str) -> float | None:
-        """Return greatest over mean answers in the last window, of the worst site.
+        """Return the imbalance of the worst site in the previous window.
 
-        None while there were too few answers to tell.
+        This is the maximum number of answers of a server divided by the mean, or None
+        if no site had enough answers.
         """
-        counted = self._last.get(service, {})
-        sites = self._sites.get(service, (tuple(counted),))
-        found = [
-            one
+        answers = self._previous.get(service, {})
+        sites = self._sites.get(service, (tuple(answers),))
+        imbalances = [
+            site_imbalance
             for servers in sites
-            if (one := _imbalance_of(servers, counted)) is not None
+            if (site_imbalance := _imbalance_of(servers, answers)) is not None
         ]
-        return max(found, default=None)
+        return max(imbalances, default=None)
 
 
-def _imbalance_of(servers: tuple[str, ...], counted: Mapping[str, int]) -> float | None:
-    loads = {server: counted.get(server, 0) for server in servers}
-    if sum(loads.values()) < LEAST_MEAN_ANSWERS * max(1, len(servers)):
+def _imbalance_of(servers: tuple[str, ...], answers: Mapping[str, int]) -> float | None:
+    loads = {server: answers.get(server, 0) for server in servers}
+    if sum(loads.values()) < MIN_MEAN_ANSWERS * max(1, len(servers)):
         return None
     return imbalance(loads)
