--- a/src/gentianwharf/collector.py
+++ b/src/gentianwharf/collector.py
@@ -1,19 +1,20 @@
-"""Keeps the garbage collector's long passes out of the loop.
+"""Keeps full garbage collections short, since they block the event loop.
 
-A full pass looks at every object: the 100,000 and more that modules, classes and
-settings take alone cost some 60 ms, in which no request is served, and none of them is
-ever garbage. Where it falls into a second of 400 requests, it is that second's p99.
+A full collection visits every object. Modules, classes and settings alone account for
+more than 100,000 objects that never become garbage; visiting them takes about 60 ms, in
+which no request is served. In a second with 400 requests, such a pause determines the
+p99 of that second.
 """
 
 import gc
 
 
 def freeze_objects() -> None:
-    """Leave every object that is alive now out of later passes.
+    """Exclude all objects that are currently alive from later garbage collections.
 
-    To be called when what stays for the life of the process has been built. Memory is
-    still given back by reference counts; only a cycle among these objects would stay.
-    There is no pass before, which would cost each start 60 ms: of 86,000 objects after
-    a daemon's imports, 26 were garbage.
+    Call it after creating the objects that live as long as the process. Reference
+    counting still frees frozen objects; only reference cycles among them are never
+    freed. No collection is run first, because it would add 60 ms to each start: of
+    86,000 objects after the imports of a daemon, 26 were garbage.
     """
     gc.freeze()
--- a/src/gentianwharf/metrics/_burn_html.py
+++ b/src/gentianwharf/metrics/_burn_html.py
@@ -1,4 +1,4 @@
-"""The burn report as a page that needs nothing from elsewhere."""
+"""The burn report as a self-contained HTML page."""
 
 from html import escape
 
@@ -7,7 +7,7 @@
 
 from ._burn import ALERT_RULES, BurnReport
 from ._burn_tables import burn_tables
-from ._burn_text import span
+from ._burn_text import format_duration
 
 PAGE = """<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
@@ -28,22 +28,22 @@
 """
 
 TICKS_MS = [step * 10**power for power in range(-2, 6) for step in (1, 2, 5)]
-"""From the histograms' least to their longest; the library's own ticks leave out the
-power of ten."""
+"""Axis ticks over the range of the histograms. The default ticks of the library leave
+out the power of ten."""
 
 ROW_PX = 22
 FRAME_PX = 180
 
 
 def burn_html(report: BurnReport) -> str:
-    """Return the page; the plots' library is inside, so that it opens offline."""
+    """Return the page, with the plotting library embedded so that it works offline."""
     figures = []
     if _has_answers(report):
-        figures.append(_rates(report))
+        figures.append(_rate_plot(report))
     if report.burners:
-        figures.append(_burners(report))
+        figures.append(_burner_plot(report))
     if report.latencies:
-        figures.append(_latencies(report))
+        figures.append(_latency_plot(report))
     return PAGE.format(
         lines="\n".join(_paragraphs(report)),
         tables="\n".join(burn_tables(report)),
@@ -55,16 +55,17 @@
 
 
 def _paragraphs(report: BurnReport) -> list[str]:
-    """Say what needs attention, before any figure."""
+    """Return the missing hosts and firing alerts, which precede tables and plots."""
     alerts = [
-        f"{one.severity.upper()}: {one.request_class} burns its budget"
-        f" {one.long_burn_rate:.1f} times too fast over {span(one.long_s)}"
-        f" (alert at {one.threshold:g})"
-        for one in report.alerts
-        if one.firing
+        f"{alert.severity.upper()}: {alert.request_class} burns its budget"
+        f" {alert.long_burn_rate:.1f} times too fast"
+        f" over {format_duration(alert.long_s)}"
+        f" (alert at {alert.threshold:g})"
+        for alert in report.alerts
+        if alert.firing
     ]
-    missing = [f"MISSING {one.host}: {one.reason}" for one in report.silent]
-    lines = [f'<p class="bad">{escape(one)}</p>' for one in (*missing, *alerts)]
+    missing = [f"MISSING {host.host}: {host.reason}" for host in report.silent]
+    lines = [f'<p class="bad">{escape(text)}</p>' for text in (*missing, *alerts)]
     if not alerts:
         lines.append("<p>No alert fires.</p>")
     if not _has_answers(report):
@@ -79,17 +80,17 @@
 
 
 def _has_answers(report: BurnReport) -> bool:
-    return any(one.answers for one in report.classes)
+    return any(burn.answers for burn in report.classes)
 
 
-def _rates(report: BurnReport) -> go.Figure:
+def _rate_plot(report: BurnReport) -> go.Figure:
     figure = go.Figure()
-    for name in dict.fromkeys(one.request_class for one in report.classes):
-        mine = [one for one in report.classes if one.request_class == name]
+    for name in dict.fromkeys(burn.request_class for burn in report.classes):
+        class_burns = [burn for burn in report.classes if burn.request_class == name]
         figure.add_bar(
             name=name,
-            x=[span(one.window_s) for one in mine],
-            y=[one.burn_rate for one in mine],
+            x=[format_duration(burn.window_s) for burn in class_burns],
+            y=[burn.burn_rate for burn in class_burns],
         )
     for rule in ALERT_RULES:
         figure.add_hline(
@@ -97,8 +98,8 @@
             line_dash="dot",
             line_color="#a40000" if rule.severity == "page" else "#b8860b",
             annotation_text=f"{rule.severity} at {rule.threshold:g}"
-            f" over {span(rule.long_s)}",
-            # Readable where it lies on a bar.
+            f" over {format_duration(rule.long_s)}",
+            # Keeps the text readable where it overlaps a bar.
             annotation_bgcolor="white",
         )
     figure.update_layout(
@@ -111,22 +112,29 @@
     return figure
 
 
-def _burners(report: BurnReport) -> go.Figure:
-    """One bar a rule, service, domain or server, of all classes together."""
+def _burner_plot(report: BurnReport) -> go.Figure:
+    """Return a plot with a stacked bar per rule, service, domain and server.
+
+    A bar stacks the bad answers of all classes.
+    """
     figure = go.Figure()
-    names = list(dict.fromkeys(f"{one.kind} {one.name}" for one in report.burners))
-    for name in dict.fromkeys(one.request_class for one in report.burners):
-        mine = [one for one in report.burners if one.request_class == name]
+    names = list(
+        dict.fromkeys(f"{burner.kind} {burner.name}" for burner in report.burners)
+    )
+    for name in dict.fromkeys(burner.request_class for burner in report.burners):
+        class_burners = [
+            burner for burner in report.burners if burner.request_class == name
+        ]
         figure.add_bar(
             name=name,
-            y=[f"{one.kind} {one.name}" for one in mine],
-            x=[one.bad for one in mine],
+            y=[f"{burner.kind} {burner.name}" for burner in class_burners],
+            x=[burner.bad for burner in class_burners],
             orientation="h",
         )
     figure.update_layout(
         title="Bad answers of the last hour, by what they went through",
         xaxis_title="bad answers",
-        # The worst of each kind stands above the others, as in the table.
+        # The worst of each kind is at the top, as in the table.
         yaxis={"categoryorder": "array", "categoryarray": names[::-1], "dtick": 1},
         barmode="stack",
         showlegend=True,
@@ -136,26 +144,32 @@
     return figure
 
 
-def _latencies(report: BurnReport) -> go.Figure:
+def _latency_plot(report: BurnReport) -> go.Figure:
     figure = go.Figure()
-    kinds = [f"{one.service}, {one.request_class}" for one in report.latencies]
+    service_classes = [
+        f"{latency.service}, {latency.request_class}" for latency in report.latencies
+    ]
     for name, values_s in (
-        ("half", [one.p50_s for one in report.latencies]),
-        ("99%", [one.p99_s for one in report.latencies]),
-        ("99.9%", [one.p999_s for one in report.latencies]),
+        ("half", [latency.p50_s for latency in report.latencies]),
+        ("99%", [latency.p99_s for latency in report.latencies]),
+        ("99.9%", [latency.p999_s for latency in report.latencies]),
     ):
         figure.add_scatter(
             name=name,
             x=[1_000 * value_s for value_s in values_s],
-            y=kinds,
+            y=service_classes,
             mode="markers",
             marker={"size": 11},
         )
     figure.update_layout(
         title="Answers within this time, since the hosts started",
         xaxis={"title": "ms", "type": "log", "tickvals": TICKS_MS},
-        yaxis={"categoryorder": "array", "categoryarray": kinds[::-1], "dtick": 1},
+        yaxis={
+            "categoryorder": "array",
+            "categoryarray": service_classes[::-1],
+            "dtick": 1,
+        },
         template="plotly_white",
-        height=FRAME_PX + 2 * ROW_PX * len(kinds),
+        height=FRAME_PX + 2 * ROW_PX * len(service_classes),
     )
     return figure
--- a/src/gentianwharf/metrics/_burn_tables.py
+++ b/src/gentianwharf/metrics/_burn_tables.py
@@ -1,32 +1,33 @@
-"""The burn report's records as tables of a page."""
+"""The records of the burn report as HTML tables."""
 
 from collections.abc import Iterable, Sequence
 from html import escape
 
 from ._burn import BurnReport
-from ._burn_text import span
+from ._burn_text import format_duration
 
 Cell = str | tuple[str, bool]
-"""A number, or a number and whether it is bad; the first cell of a row is its name."""
+"""The text of a cell, or the text and whether to highlight it as bad. The first cell
+of a row is its name."""
 
 
 def burn_tables(report: BurnReport) -> list[str]:
-    """Return the tables that have rows."""
+    """Return the HTML of the tables that have rows."""
     tables = [
         _table(
             "Classes and windows",
             ["class", "window", "answers", "bad", "burn rate", "budget spent"],
             [
                 [
-                    one.request_class,
-                    span(one.window_s),
-                    str(one.answers),
-                    str(one.bad),
-                    (f"{one.burn_rate:.2f}", one.burn_rate >= 1),
-                    f"{one.budget_spent:.2%}",
+                    burn.request_class,
+                    format_duration(burn.window_s),
+                    str(burn.answers),
+                    str(burn.bad),
+                    (f"{burn.burn_rate:.2f}", burn.burn_rate >= 1),
+                    f"{burn.budget_spent:.2%}",
                 ]
-                for one in report.classes
-                if one.answers
+                for burn in report.classes
+                if burn.answers
             ],
         ),
         _table(
@@ -34,13 +35,13 @@
             ["class", "", "bad", "of its answers", "share of bad"],
             [
                 [
-                    one.request_class,
-                    f"{one.kind} {one.name}",
-                    str(one.bad),
-                    str(one.answers),
-                    f"{one.share_of_bad:.0%}",
+                    burner.request_class,
+                    f"{burner.kind} {burner.name}",
+                    str(burner.bad),
+                    str(burner.answers),
+                    f"{burner.share_of_bad:.0%}",
                 ]
-                for one in report.burners
+                for burner in report.burners
             ],
         ),
         _table(
@@ -48,22 +49,22 @@
             ["service", "longest", "allowed", "shard-seconds"],
             [
                 [
-                    one.service,
-                    (f"{one.longest_s:.2f} s", not one.within),
-                    f"{one.allowed_s:g} s",
-                    f"{one.shard_s:.2f}",
+                    unavailable.service,
+                    (f"{unavailable.longest_s:.2f} s", not unavailable.within),
+                    f"{unavailable.allowed_s:g} s",
+                    f"{unavailable.shard_s:.2f}",
                 ]
-                for one in report.unavailable
+                for unavailable in report.unavailable
             ],
         ),
     ]
-    return [one for one in tables if one]
+    return [table for table in tables if table]
 
 
 def _table(caption: str, headings: Sequence[str], rows: list[list[Cell]]) -> str:
     if not rows:
         return ""
-    head = "".join(f"<th>{escape(one)}</th>" for one in headings)
+    head = "".join(f"<th>{escape(heading)}</th>" for heading in headings)
     return "\n".join(
         [
             f"<table><caption>{escape(caption)}</caption>",
@@ -81,5 +82,5 @@
 
 def _cell(cell: Cell) -> str:
     text, is_bad = cell if isinstance(cell, tuple) else (cell, False)
-    kind = "number bad" if is_bad else "number" if text[:1].isdigit() else ""
-    return f'<td class="{kind}">{escape(text)}</td>'
+    css_class = "number bad" if is_bad else "number" if text[:1].isdigit() else ""
+    return f'<td class="{css_class}">{escape(text)}</td>'
--- a/src/gentianwharf/metrics/_burn_text.py
+++ b/src/gentianwharf/metrics/_burn_text.py
@@ -1,18 +1,19 @@
-"""The burn report as lines for a person."""
+"""The burn report as plain text."""
 
 from ._burn import BurnReport, ClassLatency
 
-NAMED_HOSTS = 24
-"""Two deployments of today's size; a longer list would hide what follows it."""
+MAX_NAMED_HOSTS = 24
+"""Enough for two deployments of the current size. A longer list of host names would
+make the lines after it hard to find."""
 
 HOUR_S = 3_600
 MINUTE_S = 60
 
 
-def span(seconds: float) -> str:
-    """Return a window's length in words.
+def format_duration(seconds: float) -> str:
+    """Return a duration as text, in minutes or hours.
 
-    >>> span(300), span(21600), span(259200)
+    >>> format_duration(300), format_duration(21600), format_duration(259200)
     ('5 min', '6 h', '72 h')
     """
     if seconds < HOUR_S:
@@ -21,22 +22,24 @@
 
 
 def burn_text(report: BurnReport) -> str:
-    """Return the report as text: alerts first, then rates, then what burns."""
+    """Return the report as text: coverage, alerts, burn rates, then burners."""
     lines = _coverage(report)
     firing = [
-        f"{one.severity.upper()}: {one.request_class} burns its budget"
-        f" {one.long_burn_rate:.1f} times too fast over {span(one.long_s)}"
-        f" and {one.short_burn_rate:.1f} times over {span(one.short_s)}"
-        f" (alert at {one.threshold:g})"
-        for one in report.alerts
-        if one.firing
+        f"{alert.severity.upper()}: {alert.request_class} burns its budget"
+        f" {alert.long_burn_rate:.1f} times too fast"
+        f" over {format_duration(alert.long_s)}"
+        f" and {alert.short_burn_rate:.1f} times over {format_duration(alert.short_s)}"
+        f" (alert at {alert.threshold:g})"
+        for alert in report.alerts
+        if alert.firing
     ]
     lines += firing or ["No alert fires."]
     for burn in report.classes:
         if burn.answers:
             lines.append(
-                f"{burn.request_class}, last {span(burn.window_s)}: {burn.bad} of"
-                f" {burn.answers} answers bad, burn rate {burn.burn_rate:.2f},"
+                f"{burn.request_class}, last {format_duration(burn.window_s)}:"
+                f" {burn.bad} of {burn.answers} answers bad,"
+                f" burn rate {burn.burn_rate:.2f},"
                 f" {burn.budget_spent:.2%} of the budget"
             )
     for burner in report.burners:
@@ -45,34 +48,39 @@
             f" {burner.share_of_bad:.0%} of the bad answers"
             f" ({burner.bad} of its {burner.answers})"
         )
-    for one in report.unavailable:
-        verdict = "within" if one.within else "BEYOND"
+    for item in report.unavailable:
+        verdict = "within" if item.within else "BEYOND"
         lines.append(
-            f"{one.service}: longest unavailable time of a shard {one.longest_s:.2f} s,"
-            f" {verdict} the {one.allowed_s:g} s allowed;"
-            f" {one.shard_s:.2f} shard-seconds in all"
+            f"{item.service}: longest unavailable time of a shard"
+            f" {item.longest_s:.2f} s,"
+            f" {verdict} the {item.allowed_s:g} s allowed;"
+            f" {item.shard_s:.2f} shard-seconds in all"
         )
-    lines += [_latency(one) for one in report.latencies]
+    lines += [_latency_text(latency) for latency in report.latencies]
     return "\n".join(lines)
 
 
 def _coverage(report: BurnReport) -> list[str]:
-    """Say whose answers the report holds, before anything is read out of it."""
+    """Return which hosts the report covers, as its first lines."""
     if not report.hosts and not report.silent:
         return []
     listed = len(report.hosts) + len(report.silent)
     names = ", ".join(report.hosts)
-    whose = f"{names}." if len(report.hosts) <= NAMED_HOSTS else "not named here."
-    lines = [f"Answers of {len(report.hosts)} of {listed} hosts: {whose}"]
-    lines += [f"MISSING {one.host}: {one.reason}" for one in report.silent]
+    host_list = (
+        f"{names}." if len(report.hosts) <= MAX_NAMED_HOSTS else "not named here."
+    )
+    lines = [f"Answers of {len(report.hosts)} of {listed} hosts: {host_list}"]
+    lines += [f"MISSING {missing.host}: {missing.reason}" for missing in report.silent]
     return lines
 
 
-def _latency(one: ClassLatency) -> str:
+def _latency_text(latency: ClassLatency) -> str:
     return (
-        f"{one.service}, {one.request_class}: {one.answers} answers, half within"
-        f" {_milliseconds(one.p50_s)}, 99% within {_milliseconds(one.p99_s)}, 99.9%"
-        f" within {_milliseconds(one.p999_s)}, longest {_milliseconds(one.longest_s)}"
+        f"{latency.service}, {latency.request_class}: {latency.answers} answers, half"
+        f" within {_milliseconds(latency.p50_s)}, 99% within"
+        f" {_milliseconds(latency.p99_s)}, 99.9% within"
+        f" {_milliseconds(latency.p999_s)}, longest"
+        f" {_milliseconds(latency.longest_s)}"
     )
 
 
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -1,15 +1,15 @@
-"""Full passes of the collector stay short after the start."""
+"""Full garbage collections stay short after startup."""
 
 import gc
 
 from gentianwharf.collector import freeze_objects
 
 
-def test_frozen_objects_are_no_part_of_a_full_pass() -> None:
-    """Every page of a busy second is a tenth of a second late, once a minute.
+def test_frozen_objects_are_excluded_from_full_collections() -> None:
+    """Once a minute, all responses of a busy second were a tenth of a second late.
 
-    A full pass of the collector went over all modules and settings, while the loop
-    stood still.
+    A full garbage collection visited all modules and settings and blocked the event
+    loop meanwhile.
     """
     before = len(gc.get_objects())
     assert before > 10_000
