--- a/tests/builders_counting.py
+++ b/tests/builders_counting.py
@@ -1,20 +1,21 @@
-"""Texts that count how often they are compared, to bound work without a clock."""
+"""Strings that count their comparisons, to test bounds on work without a clock."""
 
 from collections import Counter
 from typing import Any
 
 MAX_GROWTH = 2.5
-"""Of the work for twice as many: twice, and a little for sorting."""
+"""Allowed growth of the work when the input doubles: a factor of two, and a little
+for sorting."""
 
 
 class CountedText(str):
-    """Counts its comparisons with other texts; ``comparisons`` is of all such texts."""
+    """A string that counts comparisons; ``comparisons`` is shared by all instances."""
 
     __slots__ = ()
     comparisons: Counter[str] = Counter()
 
     def startswith(self, *args: Any) -> bool:
-        """Count, and compare."""
+        """Count the comparison and compare."""
         self.comparisons["startswith"] += 1
         return super().startswith(*args)
 
--- a/tests/builders_metrics.py
+++ b/tests/builders_metrics.py
@@ -1,4 +1,4 @@
-"""Builders of answers and decisions."""
+"""Builders of answers, decisions, recorders and burn reports for tests."""
 
 from random import Random
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def answer(**changes: Any) -> Answer:
-    """Return a good answer of calendrier's first server, with changes."""
+    """Return a good answer of the server calendrier-1, with the given changes."""
     fields: dict[str, Any] = {
         "service": "calendrier",
         "request_class": "consultation",
@@ -38,7 +38,7 @@
 
 
 def refusal(**changes: Any) -> Answer:
-    """Return a refusal as not run, with changes."""
+    """Return the refusal of a request that was not run, with the given changes."""
     fields = {
         "status": 503,
         "run": RunStatus.NOT_RUN,
@@ -49,7 +49,7 @@
 
 
 def decision(**changes: Any) -> Decision:
-    """Return an ordinary decision, with changes."""
+    """Return an ordinary decision, with the given changes."""
     fields: dict[str, Any] = {
         "request_id": "r1",
         "at_s": 0.0,
@@ -71,8 +71,8 @@
 
 
 def burn_report_of(*recorders: Recorder) -> BurnReport:
-    """Return the burn of recorders as of one host each."""
-    whole = BurnAggregator(objectives=[CONSULTATION])
-    for number, one in enumerate(recorders, start=1):
-        whole.add(f"lac-{number}", one.burn_part())
-    return whole.report()
+    """Return the burn report over recorders, each as a host of its own."""
+    aggregator = BurnAggregator(objectives=[CONSULTATION])
+    for number, host_recorder in enumerate(recorders, start=1):
+        aggregator.add(f"lac-{number}", host_recorder.burn_part())
+    return aggregator.report()
--- a/tests/test_metrics_burn.py
+++ b/tests/test_metrics_burn.py
@@ -1,4 +1,4 @@
-"""The burn report: rates, alerts, what burns, over hosts, and its page."""
+"""The burn report: burn rates, alerts, burners, aggregation over hosts, HTML page."""
 
 import json
 from dataclasses import replace
@@ -72,30 +72,30 @@
 def test_alert_needs_long_and_short_window(
     bad_by_window: dict[float, int], thresholds: list[float]
 ) -> None:
-    """An operator is paged at night for a spike that is over, and stops believing.
+    """Operators must not be paged for a spike that is already over.
 
-    With the long window alone an alert goes on for an hour after the trouble; with
-    the short one alone every spike of a minute pages.
+    With the long window alone, an alert would fire for an hour after the problem has
+    ended. With the short window alone, every spike of a minute would page.
     """
     assert firing(bad_by_window) == thresholds
 
 
-def test_thresholds_spend_what_the_workbook_says() -> None:
+def test_thresholds_spend_the_budget_shares_of_the_workbook() -> None:
     spent = [
         rule.threshold * rule.long_s / CONSULTATION.period_s for rule in ALERT_RULES
     ]
     assert spent == pytest.approx([0.02, 0.05, 0.10])
 
 
-def test_hosts_counts_add_up_and_name_the_worst_server() -> None:
+def test_counts_of_hosts_add_up_and_show_the_worst_server() -> None:
     lac = [count(HOUR_S, 900, 1, server="calendrier-1")]
     ariana = [count(HOUR_S, 100, 9, server="calendrier-2")]
     report = burn_report([CONSULTATION], [*lac, *ariana])
-    (hour,) = [one for one in report.classes if one.window_s == HOUR_S]
+    (hour,) = [burn for burn in report.classes if burn.window_s == HOUR_S]
     assert (hour.answers, hour.bad) == (1_000, 10)
     assert hour.burn_rate == pytest.approx(1)
-    servers = [one for one in report.burners if one.kind == "server"]
-    assert [one.name for one in servers] == ["calendrier-2", "calendrier-1"]
+    servers = [burner for burner in report.burners if burner.kind == "server"]
+    assert [burner.name for burner in servers] == ["calendrier-2", "calendrier-1"]
     assert servers[0].share_of_bad == pytest.approx(0.9)
 
 
@@ -126,20 +126,20 @@
     clock.advance(6)
     metrics.tick()
     clock.advance(after_s)
-    assert [one.bad for one in burn_report_of(metrics).classes] == expected
+    assert [burn.bad for burn in burn_report_of(metrics).classes] == expected
 
 
-def test_unavailable_time_is_held_against_the_objective() -> None:
+def test_unavailable_time_is_compared_with_the_objective() -> None:
     clock = Clock()
     metrics = recorder(clock)
     metrics.record_answer(refusal(shard=3))
     clock.advance(61)
-    (one,) = burn_report_of(metrics).unavailable
-    assert (one.service, one.within) == ("calendrier", False)
-    assert one.longest_s == pytest.approx(61)
+    (unavailable,) = burn_report_of(metrics).unavailable
+    assert (unavailable.service, unavailable.within) == ("calendrier", False)
+    assert unavailable.longest_s == pytest.approx(61)
 
 
-def test_text_and_page_tell_the_alert_and_need_nothing_from_elsewhere() -> None:
+def test_text_and_page_show_the_alert_and_page_is_self_contained() -> None:
     counts = [count(window_s, 1_000, 200) for window_s in WINDOWS_S]
     report = burn_report([CONSULTATION], counts)
     assert burn_text(report).startswith("PAGE: consultation burns its budget 20.0")
@@ -154,30 +154,33 @@
     assert "plotly" not in page
 
 
-def test_page_names_missing_hosts_first_and_shows_the_fleets_latency() -> None:
+def test_page_lists_missing_hosts_first_and_shows_latencies_of_the_fleet() -> None:
     metrics = recorder(Clock())
     metrics.record_answer(answer(elapsed_s=0.25))
     part = metrics.burn_part()
-    whole = BurnAggregator(objectives=[CONSULTATION])
-    whole.add("lac-1", part)
-    page = burn_html(whole.report(silent=[MissingHost(host="<b>", reason="no answer")]))
+    aggregator = BurnAggregator(objectives=[CONSULTATION])
+    aggregator.add("lac-1", part)
+    page = burn_html(
+        aggregator.report(silent=[MissingHost(host="<b>", reason="no answer")])
+    )
     assert page.index("MISSING &lt;b&gt;: no answer") < page.index("burn rate")
     assert "Answers within this time" in page
     assert "<b>:" not in page
 
 
-def test_places_put_together_are_not_taken_for_rule_0() -> None:
-    """With over 128 places the rest was listed as rule 0, which is "no rule matched".
+def test_merged_label_sets_are_not_reported_as_rule_0() -> None:
+    """With more than 128 label sets, the merged ones were reported as rule 0.
 
-    An operator would look for requests that match no rule.
+    Rule 0 means that no rule matched, so an operator would have looked for requests
+    that match no rule.
     """
-    put_together = replace(count(HOUR_S, 10, 1), domain=OTHER, server=OTHER, rule=0)
-    counts = [put_together]
+    merged = replace(count(HOUR_S, 10, 1), domain=OTHER, server=OTHER, rule=0)
+    counts = [merged]
     burners = burn_report([CONSULTATION], counts).burners
-    assert {one.name for one in burners if one.kind != "service"} == {OTHER}
+    assert {burner.name for burner in burners if burner.kind != "service"} == {OTHER}
 
 
-def test_report_goes_over_json_and_back() -> None:
+def test_report_survives_a_json_round_trip() -> None:
     report = burn_report([CONSULTATION], [count(HOUR_S, 1_000, 20)])
     sent = json.loads(json.dumps(report.as_builtins()))
     assert BurnReport.from_builtins(sent) == report
--- a/tests/test_metrics_prometheus.py
+++ b/tests/test_metrics_prometheus.py
@@ -1,4 +1,4 @@
-"""Histograms as Prometheus reads them."""
+"""Histograms in Prometheus' format."""
 
 from random import Random
 
@@ -9,20 +9,22 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_buckets_hold_what_the_library_iterates_over(seed: int) -> None:
+def test_buckets_agree_with_the_iterator_of_the_library(seed: int) -> None:
     rng = Random(seed)
     histogram = HdrHistogram(1, 60_000_000, 2)
     for _ in range(500):
         histogram.record_value(max(1, int(rng.expovariate(1 / 400_000))))
     recorded = [
-        (one.value_iterated_to / 1_000_000, one.count_at_value_iterated_to)
-        for one in histogram.get_recorded_iterator()
+        (item.value_iterated_to / 1_000_000, item.count_at_value_iterated_to)
+        for item in histogram.get_recorded_iterator()
     ]
     buckets, sum_s = cumulative_buckets(histogram)
     assert sum_s == pytest.approx(sum(value_s * count for value_s, count in recorded))
-    for bound, count in buckets:
+    for bound, cumulative in buckets:
         bound_s = float(bound)
-        assert count == sum(one for value_s, one in recorded if value_s <= bound_s)
+        assert cumulative == sum(
+            count for value_s, count in recorded if value_s <= bound_s
+        )
 
 
 def test_empty_histogram_has_empty_buckets() -> None:
--- a/tests/test_metrics_recorder.py
+++ b/tests/test_metrics_recorder.py
@@ -1,4 +1,4 @@
-"""The recorder: counts, windows, measures, Prometheus text, decisions."""
+"""The recorder's counts, windows, measures, Prometheus text and decisions."""
 
 from typing import Any
 
@@ -34,7 +34,7 @@
     assert buckets["0.016"] == buckets["+Inf"] == 4
 
 
-def test_totals_keep_what_windows_have_turned_over() -> None:
+def test_totals_include_rotated_windows() -> None:
     clock = Clock()
     metrics = recorder(clock)
     for _ in range(3):
@@ -47,21 +47,25 @@
 
 
 def test_histograms_of_two_hosts_add_up() -> None:
-    """Averaging two hosts' p99 would give 50 ms here; the fleet's is 100 ms."""
+    """Averaging the p99 of two hosts would give 50 ms; the p99 of both is 100 ms."""
     hosts = [recorder(Clock()), recorder(Clock())]
     for _ in range(100):
         hosts[0].record_answer(answer(elapsed_s=0.001))
         hosts[1].record_answer(answer(elapsed_s=0.1))
-    whole = merge_histograms([host.encoded_histograms()[0].encoded for host in hosts])
-    assert whole.get_value_at_percentile(99) == pytest.approx(100_000, rel=0.01)
+    total = merge_histograms([host.encoded_histograms()[0].encoded for host in hosts])
+    assert total.get_value_at_percentile(99) == pytest.approx(100_000, rel=0.01)
 
 
-def test_wait_is_recorded_only_for_those_who_waited() -> None:
+def test_queue_time_is_recorded_only_for_queued_requests() -> None:
     metrics = recorder(Clock())
     metrics.record_answer(answer())
     metrics.record_answer(answer(waited_s=0.05))
-    waited = [one for one in metrics.encoded_histograms() if "queue" in one.name]
-    assert merge_histograms([waited[0].encoded]).get_total_count() == 1
+    queue_histograms = [
+        histogram
+        for histogram in metrics.encoded_histograms()
+        if "queue" in histogram.name
+    ]
+    assert merge_histograms([queue_histograms[0].encoded]).get_total_count() == 1
 
 
 def test_state_shows_imbalance_and_unavailable_time() -> None:
@@ -93,7 +97,7 @@
         pytest.param({}, 0, id="ordinary"),
     ],
 )
-def test_refusals_and_unknowns_are_always_kept(
+def test_refusals_and_unknown_outcomes_are_always_kept(
     changes: dict[str, Any], kept: int
 ) -> None:
     metrics = recorder(Clock())
@@ -102,11 +106,12 @@
     assert len(metrics.decisions.latest()) == kept
 
 
-def test_refusals_do_not_push_out_what_was_served() -> None:
-    """Under overload an operator asks why a request was slow, and sees refusals only.
+def test_refusals_do_not_displace_served_requests() -> None:
+    """Under overload, the kept decisions must still include served requests.
 
-    Refusals come by the thousand a second; in one ring they would have pushed out
-    every ordinary decision within two seconds.
+    Thousands of requests are refused per second. In a common ring their decisions
+    would displace every ordinary decision within two seconds, so that an operator
+    could not find out why a request was slow.
     """
     metrics = recorder(Clock())
     metrics.decisions.add_sampled(decision(request_id="served"))
@@ -116,10 +121,10 @@
     assert len(metrics.decisions.latest(limit=10_000)) == 2_001
 
 
-def test_probes_that_no_rule_matches_push_out_no_refusal_of_a_request() -> None:
-    """Somebody probes the port while a service is overloaded.
+def test_probes_that_match_no_rule_do_not_displace_refusals() -> None:
+    """A client probes the port while a service is overloaded.
 
-    In one ring the thousands of probes push out the refusals that matter.
+    In a common ring, thousands of probes would displace the refusals of real requests.
     """
     metrics = recorder(Clock())
     full = decision(request_id="full", run=RunStatus.NOT_RUN, refused="queue-full")
@@ -164,13 +169,14 @@
         ),
     ],
 )
-def test_imbalance_counts_idle_servers_and_not_the_operators_rule(
+def test_imbalance_includes_idle_servers_and_compares_within_sites(
     answers: dict[str, int], expected: float | None
 ) -> None:
-    """A hot key sends all of a service's requests to one server of two.
+    """A hot key that sends all requests to one of two servers must show as imbalance.
 
-    Idle servers were left out of the mean, so this was told as even; and a migration
-    at 1% raised the alarm though placement can't change what the rules say.
+    Idle servers were left out of the mean, so that this load was reported as even. A
+    migration at 1% also raised the alarm, although placement can't change the shares
+    that the rules determine.
     """
     clock = Clock()
     metrics = recorder(clock)
@@ -184,7 +190,7 @@
     assert ("gentianwharf_imbalance" in metrics.prometheus_text()) is bool(expected)
 
 
-def test_churn_is_a_metric() -> None:
+def test_churn_is_exported_as_a_metric() -> None:
     metrics = recorder(Clock())
     metrics.record_owner_changes("calendrier", 3)
     metrics.record_owner_changes("calendrier", 2)
