--- a/src/gentianwharf/logs/_request_history.py
+++ b/src/gentianwharf/logs/_request_history.py
@@ -122,7 +122,10 @@
 
 
 def _topic(line: LogLine, own: Sequence[LogLine]) -> str | None:
-    """Return the topic of a line, or None if the line is not relevant to a request."""
+    """Return the topic of a line, or None if it does not concern the request.
+
+    ``own`` are the lines of the request.
+    """
     hosts = {own_line.host for own_line in own}
     message = line.message
     if message.startswith(("leading", "no longer leading")):
--- a/src/gentianwharf/metrics/_measures.py
+++ b/src/gentianwharf/metrics/_measures.py
@@ -79,13 +79,13 @@
 
     def record(self, service: str, shard: int, *, at_s: float, served: bool) -> None:
         """Record the outcome of one request."""
-        shard_key = (service, shard)
+        service_shard = (service, shard)
         if not served:
-            self._since_s.setdefault(shard_key, at_s)
+            self._since_s.setdefault(service_shard, at_s)
             return
         if not self._since_s:
             return
-        since_s = self._since_s.pop(shard_key, None)
+        since_s = self._since_s.pop(service_shard, None)
         if since_s is None:
             return
         duration_s = at_s - since_s
