--- a/src/gentianwharf/metrics/__init__.py
+++ b/src/gentianwharf/metrics/__init__.py
@@ -1,6 +1,6 @@
-"""Counting and timing of what callers receive.
+"""Counts and latencies of the answers that callers receive.
 
-``Recorder`` is what the relay and the daemon use; ``imbalance``, ``churn`` and
+The relay and the daemon use ``Recorder``. ``imbalance``, ``churn`` and
 ``unavailable_s`` are the three measures as plain functions.
 """
 
@@ -15,27 +15,27 @@
     Burner,
     BurnReport,
     ClassBurn,
-    LatencyOfClass,
-    SilentHost,
+    ClassLatency,
+    MissingHost,
     UnavailableBurn,
     burn_report,
 )
-from ._burn_part import BurnPart, BurnSum, decode_part, encode_part
+from ._burn_part import BurnAggregator, BurnPart, decode_part, encode_part
 from ._burn_text import burn_text
 from ._decisions import DecisionRing
 from ._histograms import (
     EncodedHistogram,
     WindowedHistogram,
-    merged,
+    merge_histograms,
     new_histogram,
+    percentile_s,
     record_s,
-    value_at_s,
 )
 from ._measures import Outcome, UnavailableShards, churn, imbalance, unavailable_s
 from ._objectives import Objective
 from ._prometheus import HistogramSample, Sample, prometheus_text
 from ._recorder import Recorder
-from ._windows import BurnWindows, Place, Tally, WindowCount
+from ._windows import AnswerLabels, BurnWindows, Tally, WindowCount
 
 __all__ = [
     "ALERT_RULES",
@@ -45,7 +45,7 @@
     "BurnAlert",
     "BurnPart",
     "BurnReport",
-    "BurnSum",
+    "BurnAggregator",
     "Burner",
     "ClassBurn",
     "UnavailableBurn",
@@ -57,14 +57,14 @@
     "DecisionRing",
     "EncodedHistogram",
     "HistogramSample",
-    "LatencyOfClass",
+    "ClassLatency",
     "Objective",
     "Outcome",
-    "Place",
+    "AnswerLabels",
     "Recorder",
     "RunStatus",
     "Sample",
-    "SilentHost",
+    "MissingHost",
     "Tally",
     "UnavailableShards",
     "WindowCount",
@@ -73,21 +73,21 @@
     "decode_part",
     "encode_part",
     "imbalance",
-    "merged",
+    "merge_histograms",
     "new_histogram",
     "prometheus_text",
     "record_s",
     "unavailable_s",
-    "value_at_s",
+    "percentile_s",
 ]
 
 
 def burn_html(report: BurnReport) -> str:
-    """Return the burn report as a self-contained page.
+    """Return the burn report as a self-contained HTML page.
 
-    The plotting library is loaded only here: it takes longer to import and more
-    memory than the rest of a daemon, which mostly never makes a page.
+    The plotting library is imported only here: it takes longer to import and more
+    memory than the rest of a daemon, and most daemons never render a page.
     """
-    from ._burn_html import burn_html as make
+    from ._burn_html import burn_html as render
 
-    return make(report)
+    return render(report)
--- a/tests/builders_counting.py
+++ b/tests/builders_counting.py
@@ -1,25 +1,26 @@
-"""Texts that count how often they are compared, to bound work without a clock."""
+"""Strings that count their comparisons, to test bounds on work without a clock."""
 
 from collections import Counter
 from typing import Any
 
-MOST_GROWTH = 2.5
-"""Of the work for twice as many: twice, and a little for sorting."""
+MAX_GROWTH = 2.5
+"""Allowed growth of the work when the input doubles: a factor of two, and a little
+for sorting."""
 
 
 class CountedText(str):
-    """Counts its comparisons with other texts; ``compared`` is of all such texts."""
+    """A string that counts comparisons; ``comparisons`` is shared by all instances."""
 
     __slots__ = ()
-    compared: Counter[str] = Counter()
+    comparisons: Counter[str] = Counter()
 
     def startswith(self, *args: Any) -> bool:
-        """Count, and compare."""
-        self.compared["startswith"] += 1
+        """Count the comparison and compare."""
+        self.comparisons["startswith"] += 1
         return super().startswith(*args)
 
     def __eq__(self, other: object) -> bool:
-        self.compared["equal"] += 1
+        self.comparisons["equal"] += 1
         return super().__eq__(other)
 
     __hash__ = str.__hash__
--- a/tests/test_users_platform_store.py
+++ b/tests/test_users_platform_store.py
@@ -13,7 +13,7 @@
 from gentianwharf.platform import PlatformStore
 from gentianwharf.platform._store import RENEW_TIMEOUT_S
 from gentianwharf.platform._store_response import CALL_TIMEOUT_S, BodyReader
-from gentianwharf.store import TELLING_PACE, Events, Page
+from gentianwharf.store import FORWARDING_PACE, Events, Page
 from tests.builders_transport import ProbedTransport
 
 CHUNK_INTERVAL_S = 0.1
@@ -79,7 +79,7 @@
     grace period. Each watch is cancelled midway, and the next one starts over.
     """
     link = SlowLink(
-        lambda store: store.watch("", after_revision=3, wait_s=TELLING_PACE.wait_s)
+        lambda store: store.watch("", after_revision=3, wait_s=FORWARDING_PACE.wait_s)
     )
     response = {"events": [LARGE], "as-of": 9}
     link.deliver(msgspec.json.encode(response), within_s=SLOW_TRANSFER_S)
