--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -37,8 +37,8 @@
 )
 from gentianwharf.topology import BackendServer
 
+from ._conversions import candidate_of, holder_of
 from ._directory import Directory, takes_work
-from ._entities import candidate_of, holder_of
 from ._former_leader import FormerLeader
 from ._host_list import HostList
 from ._keys import KeyHolders, ServerOf
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -27,7 +27,7 @@
 from ._callers_port import CallersPort
 from ._classes import class_of
 from ._control import Control
-from ._entities import limits_of, server_of
+from ._conversions import limits_of, server_of
 from ._gauges import add_gauges
 from ._metrics import METRICS_PORT, HostMetrics, metrics_site
 from ._observer import AnswerLog
--- a/tests/test_relay_limits.py
+++ b/tests/test_relay_limits.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gentianwharf.entryhost._entities import limits_of
+from gentianwharf.entryhost._conversions import limits_of
 from gentianwharf.platform import CallerLimits
 from gentianwharf.relay import ConnectionLimits
 from tests.builders_relay import (
