--- a/src/gentianwharf/http_agent.py
+++ b/src/gentianwharf/http_agent.py
@@ -18,7 +18,7 @@
 Reactor = Any
 """An ``IReactorTCP`` and ``IReactorTime``: zope interfaces can't be intersected."""
 
-Wrap = Callable[[IStreamClientEndpoint], Any]
+EndpointWrapper = Callable[[IStreamClientEndpoint], Any]
 
 
 @final
@@ -31,11 +31,15 @@
     """
 
     def __init__(
-        self, *, reactor: Reactor, connect_timeout_s: float, wrap: Wrap
+        self,
+        *,
+        reactor: Reactor,
+        connect_timeout_s: float,
+        wrap_endpoint: EndpointWrapper,
     ) -> None:
         self._reactor = reactor
         self._connect_timeout_s = connect_timeout_s
-        self._wrap = wrap
+        self._wrap_endpoint = wrap_endpoint
 
     def endpointForURI(self, uri: URI) -> IStreamClientEndpoint:  # noqa: N802
         """Return the endpoint for an address."""
@@ -51,7 +55,7 @@
         version_6 = isinstance(address, IPv6Address)
         kind = TCP6ClientEndpoint if version_6 else TCP4ClientEndpoint
         endpoint = kind(self._reactor, host, uri.port, timeout=self._connect_timeout_s)
-        return self._wrap(endpoint)
+        return self._wrap_endpoint(endpoint)
 
 
 def ip_agent(
@@ -59,14 +63,16 @@
     reactor: Reactor,
     pool: HTTPConnectionPool,
     connect_timeout_s: float,
-    wrap: Wrap = lambda endpoint: endpoint,
+    wrap_endpoint: EndpointWrapper = lambda endpoint: endpoint,
 ) -> IAgent:
     """Return an HTTP agent that connects to IP numbers only and starts no thread.
 
-    ``wrap`` may change how an endpoint connects.
+    ``wrap_endpoint`` may change how an endpoint connects.
     """
     endpoints = _IpEndpoints(
-        reactor=reactor, connect_timeout_s=connect_timeout_s, wrap=wrap
+        reactor=reactor,
+        connect_timeout_s=connect_timeout_s,
+        wrap_endpoint=wrap_endpoint,
     )
     return cast(IAgent, Agent.usingEndpointFactory(reactor, endpoints, pool))
 
--- a/src/gentianwharf/platform/_store.py
+++ b/src/gentianwharf/platform/_store.py
@@ -123,7 +123,7 @@
             reactor=reactor,
             pool=pool,
             connect_timeout_s=CONNECT_TIMEOUT_S,
-            wrap=_ProbedEndpoint,
+            wrap_endpoint=_ProbedEndpoint,
         )
 
     async def items(self, prefix: str) -> Page:
