--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -164,7 +164,7 @@
         ip, _, port = address.rpartition(":")
         self._reactor.listenTCP(int(port), site, interface=ip)
 
-    def take_settings(self, settings: HostSettings) -> None:
+    def apply_settings(self, settings: HostSettings) -> None:
         """Use settings that were read again.
 
         Addresses, the failure domain and the store stay as they were at the start:
--- a/src/gentianwharf/entryhost/_main.py
+++ b/src/gentianwharf/entryhost/_main.py
@@ -62,7 +62,7 @@
 def reload_settings(host: EntryHost, path: Path) -> None:
     """Read the settings again; those that don't fit change nothing."""
     try:
-        host.take_settings(read_host_settings(path))
+        host.apply_settings(read_host_settings(path))
     except InputError as error:
         logs.log.error("settings not taken: {}", error)
 
