--- a/src/gentianwharf/entryhost/_observer.py
+++ b/src/gentianwharf/entryhost/_answer_log.py
@@ -10,7 +10,7 @@
 
 from ._metrics import HostMetrics
 
-SUCCESS_EVERY = 50
+SUCCESS_SAMPLE_INTERVAL = 50
 """One of so many successes gets a line, to compare the others with; which ones, follows
 from the request's id."""
 
@@ -81,4 +81,4 @@
 
 
 def _is_sampled(request_id: str) -> bool:
-    return xxhash.xxh3_64_intdigest(request_id.encode()) % SUCCESS_EVERY == 0
+    return xxhash.xxh3_64_intdigest(request_id.encode()) % SUCCESS_SAMPLE_INTERVAL == 0
--- a/src/gentianwharf/entryhost/_callers_port.py
+++ b/src/gentianwharf/entryhost/_callers_port.py
@@ -12,11 +12,11 @@
 
 from gentianwharf.early_port import BACKLOG
 
-WAIT_FOR_RULES_S = 0.5
+RULES_WAIT_S = 0.5
 """From the start on. A store that is away may stay away for long; callers are then told
 when to come back."""
 
-LOOK_EVERY_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
 @final
@@ -47,14 +47,14 @@
 
     def start(self) -> None:
         """Let callers in as soon as the host can serve, or has waited long enough."""
-        self._until_s = self._reactor.seconds() + WAIT_FOR_RULES_S
+        self._until_s = self._reactor.seconds() + RULES_WAIT_S
         if self._listener is None:
             ip, _, port = self._address.rpartition(":")
             self._port = self._reactor.listenTCP(
                 int(port), self._site, backlog=BACKLOG, interface=ip
             )
         else:
-            self._look()
+            self._poll()
 
     def stop(self) -> None:
         """Let nobody in any more."""
@@ -66,13 +66,13 @@
         if self._port is not None:
             self._port.stopListening()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         if self._can_serve() or self._reactor.seconds() >= self._until_s:
-            self._let_in()
+            self._accept_callers()
         else:
-            self._timer = self._reactor.callLater(LOOK_EVERY_S, self._look)
+            self._timer = self._reactor.callLater(POLL_INTERVAL_S, self._poll)
 
-    def _let_in(self) -> None:
+    def _accept_callers(self) -> None:
         assert self._listener is not None, "nobody waits without a listener"
         listener, self._listener = self._listener, None
         self._port = self._reactor.adoptStreamPort(
--- a/src/gentianwharf/entryhost/_compression.py
+++ b/src/gentianwharf/entryhost/_compression.py
@@ -21,7 +21,7 @@
 """A value cut after each end of a JSON object or list, such as one rule or one span."""
 
 
-class _Step(msgspec.Struct, array_like=True):
+class _Segment(msgspec.Struct, array_like=True):
     """Some bytes of what is new, then some of the former value's pieces."""
 
     new_bytes: int
@@ -29,89 +29,91 @@
     pieces: int
 
 
-class _Difference(msgspec.Struct, array_like=True):
+class _Delta(msgspec.Struct, array_like=True):
     """A value by its former one."""
 
-    steps: list[_Step]
+    segments: list[_Segment]
     new: bytes
 
 
-def compressed(value: bytes, base: bytes) -> bytes:
+def compress(value: bytes, base: bytes) -> bytes:
     """Return a value in few bytes, for who has ``base``.
 
     >>> base = bytes(range(256)) * 20
     >>> changed = base[:700] + b"another" + base[707:]
-    >>> packed = compressed(changed, base)
-    >>> len(packed) < 100, decompressed(packed, base) == changed
+    >>> packed = compress(changed, base)
+    >>> len(packed) < 100, decompress(packed, base) == changed
     (True, True)
-    >>> decompressed(compressed(b"alone", b""), b"")
+    >>> decompress(compress(b"alone", b""), b"")
     b'alone'
     """
     if not base:
-        packer = zlib.compressobj(LEVEL)
-        return packer.compress(value) + packer.flush()
-    packer = zlib.compressobj(LEVEL, zdict=base)
-    difference = msgspec.msgpack.encode(_difference(value, base))
-    return packer.compress(difference) + packer.flush()
+        compressor = zlib.compressobj(LEVEL)
+        return compressor.compress(value) + compressor.flush()
+    compressor = zlib.compressobj(LEVEL, zdict=base)
+    delta = msgspec.msgpack.encode(_delta(value, base))
+    return compressor.compress(delta) + compressor.flush()
 
 
-def decompressed(data: bytes, base: bytes) -> bytes:
+def decompress(data: bytes, base: bytes) -> bytes:
     """Return the value that was compressed against ``base``.
 
     Raises ``InputError`` when it was compressed against another one.
 
-    >>> decompressed(compressed(b"alone", b"alone?"), b"else")
+    >>> decompress(compress(b"alone", b"alone?"), b"else")
     Traceback (most recent call last):
     ...
-    gentianwharf.errors.InputError: can't be unpacked: ...
+    gentianwharf.errors.InputError: can't be decompressed: ...
     """
-    unpacker = zlib.decompressobj(zdict=base) if base else zlib.decompressobj()
+    decompressor = zlib.decompressobj(zdict=base) if base else zlib.decompressobj()
     try:
-        unpacked = unpacker.decompress(data) + unpacker.flush()
-        if not unpacker.eof:
+        decompressed = decompressor.decompress(data) + decompressor.flush()
+        if not decompressor.eof:
             raise ValueError("its end is missing")
         if not base:
-            return unpacked
-        difference = msgspec.msgpack.decode(unpacked, type=_Difference)
-        return b"".join(_joined(difference, base))
+            return decompressed
+        delta = msgspec.msgpack.decode(decompressed, type=_Delta)
+        return b"".join(_apply_delta(delta, base))
     except (zlib.error, msgspec.DecodeError, ValueError) as error:
         raise InputError(
-            f"can't be unpacked: {error}", step="unpack", peer="leader"
+            f"can't be decompressed: {error}", step="unpack", peer="leader"
         ) from error
 
 
-def _difference(value: bytes, base: bytes) -> _Difference:
-    known = _PIECES.findall(base)
-    places = {piece: place for place, piece in reversed(list(enumerate(known)))}
-    steps: list[_Step] = []
+def _delta(value: bytes, base: bytes) -> _Delta:
+    base_pieces = _PIECES.findall(base)
+    index_of = {piece: index for index, piece in reversed(list(enumerate(base_pieces)))}
+    segments: list[_Segment] = []
     new: list[bytes] = []
     new_bytes = 0
     for piece in _PIECES.findall(value):
-        step = steps[-1] if steps and not new_bytes else None
-        if step is not None and _is_next(piece, known, step):
-            step.pieces += 1
-        elif piece in places:
-            steps.append(_Step(new_bytes, places[piece], 1))
+        segment = segments[-1] if segments and not new_bytes else None
+        if segment is not None and _continues(piece, base_pieces, segment):
+            segment.pieces += 1
+        elif piece in index_of:
+            segments.append(_Segment(new_bytes, index_of[piece], 1))
             new_bytes = 0
         else:
             new.append(piece)
             new_bytes += len(piece)
-    steps.append(_Step(new_bytes, 0, 0))
-    return _Difference(steps, b"".join(new))
+    segments.append(_Segment(new_bytes, 0, 0))
+    return _Delta(segments, b"".join(new))
 
 
-def _is_next(piece: bytes, known: Sequence[bytes], step: _Step) -> bool:
-    place = step.first + step.pieces
-    return place < len(known) and known[place] == piece
+def _continues(piece: bytes, base_pieces: Sequence[bytes], segment: _Segment) -> bool:
+    index = segment.first + segment.pieces
+    return index < len(base_pieces) and base_pieces[index] == piece
 
 
-def _joined(difference: _Difference, base: bytes) -> Iterator[bytes]:
-    known = _PIECES.findall(base)
-    at = 0
-    for step in difference.steps:
-        end = step.first + step.pieces
-        if min(step.new_bytes, step.first, step.pieces) < 0 or end > len(known):
+def _apply_delta(delta: _Delta, base: bytes) -> Iterator[bytes]:
+    base_pieces = _PIECES.findall(base)
+    offset = 0
+    for segment in delta.segments:
+        end = segment.first + segment.pieces
+        if min(segment.new_bytes, segment.first, segment.pieces) < 0 or end > len(
+            base_pieces
+        ):
             raise ValueError("it names pieces that the former value doesn't have")
-        yield difference.new[at : at + step.new_bytes]
-        at += step.new_bytes
-        yield from known[step.first : end]
+        yield delta.new[offset : offset + segment.new_bytes]
+        offset += segment.new_bytes
+        yield from base_pieces[segment.first : end]
--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_control.py
@@ -37,22 +37,22 @@
 )
 from gentianwharf.topology import BackendServer
 
+from ._broadcaster import StorePosition
 from ._conversions import candidate_of, holder_of
-from ._directory import Directory, takes_work
+from ._directory import Directory, accepts_work
 from ._former_leader import FormerLeader
 from ._host_list import HostList
 from ._keys import KeyHolders, ServerOf
-from ._messages import KNOWS_NOTHING
+from ._peer_messages import NO_REVISION
 from ._peers import Peers
 from ._rules import RulesInForce
 from ._store_keys import FORMER_KEY, HOSTS_KEY, LEADER_KEY, TABLE_PREFIX
-from ._telling import Known
 
-STAND_BACK_S = 4.0
+RESIGN_BACKOFF_S = 4.0
 """For how long a host that could reach few servers leaves the lead to others: about as
 long as they need to find out whether they can."""
 
-SMALL_STAND_BACK_S = 0.2
+SMALL_HOST_BACKOFF_S = 0.2
 """How much later a host with hardly any processor asks for the lead.
 
 A leader's work grows with the deployment, and a host of four tenths of a core that led
@@ -60,14 +60,14 @@
 are small, one of them leads.
 """
 
-LACKING_S = 1.5
+MISSING_CHANGES_S = 1.5
 """After so long a host asks the leader for what it was told of and lacks: its own watch
 has been asked anew by then, and should have brought it."""
 
-PROCESS_BITS = 53
+INCARNATION_BITS = 53
 """Of the number that tells a host's process from the one before."""
 
-FIRST_HOSTS = 10
+INITIAL_HOST_COUNT = 10
 """How many hosts there are, until the leader tells."""
 
 
@@ -83,10 +83,10 @@
         reactor: Any,
         rng: Random,
     ) -> None:
-        self.on_hosts: Callable[[int], None] = lambda hosts: None
-        self.hosts = FIRST_HOSTS
+        self.on_host_count: Callable[[int], None] = lambda host_count: None
+        self.host_count = INITIAL_HOST_COUNT
         self.keyed: set[str] = set()
-        self._listed_changed = False
+        self._servers_changed = False
         now_s = self._now_s = reactor.seconds
         store = PlatformStore(reactor=reactor, address=settings.store.address)
         self.mirror = Mirror(store=store, prefix="", reactor=reactor, rng=rng)
@@ -98,23 +98,23 @@
             address=f"{settings.ip}:{settings.first_internal_port}",
             link_bytes_per_s=settings.link_bytes_per_s,
             reactor=reactor,
-            process=rng.getrandbits(PROCESS_BITS),
+            incarnation=rng.getrandbits(INCARNATION_BITS),
         )
         self.leadership = Leadership(
             store=store,
             key=LEADER_KEY,
             former_key=FORMER_KEY,
-            value=msgspec.json.encode(self.peers.name),
+            value=msgspec.json.encode(self.peers.identity),
             now_s=now_s,
             rng=rng,
-            stand_back_s=SMALL_STAND_BACK_S * max(0.0, 1.0 - settings.cores),
+            stand_back_s=SMALL_HOST_BACKOFF_S * max(0.0, 1.0 - settings.cores),
         )
         timing = GrantTiming(longest_grant_s=settings.agreements.longest_grant_s)
         self._keeper = Keeper(
             orders=ServerOrders(reactor=reactor), timing=timing, now_s=now_s
         )
         self._former = FormerLeader(
-            name=self.peers.name,
+            identity=self.peers.identity,
             keeper=self._keeper,
             leadership=self.leadership,
             timing=timing,
@@ -132,7 +132,7 @@
         self._host_list = HostList(
             store=store,
             leadership=self.leadership,
-            roster=self.peers.roster,
+            membership=self.peers.membership,
             now_s=now_s,
         )
         self._connect_store()
@@ -140,36 +140,36 @@
 
     def _connect_store(self) -> None:
         self.mirror.listen(self._note_item)
-        self.mirror.on_read = self._note_read
-        self.mirror.on_events = self.peers.tell_events
-        self.mirror.is_fed = self.peers.is_fed
+        self.mirror.on_read = self._on_store_read
+        self.mirror.on_events = self.peers.broadcast_events
+        self.mirror.is_fed = self.peers.receives_changes
         self.mirror.tells = lambda: self.leadership.leads
         self.mirror.pace = self._pace
-        self.leadership.on_gained = self._begin_to_lead
-        self.leadership.on_lost = self._cease_to_lead
+        self.leadership.on_gained = self._start_leading
+        self.leadership.on_lost = self._stop_leading
         self._keeper.on_granted = self._note_granted
-        self._planner.on_table = self.keys.take
-        self._planner.on_isolated = self._step_aside
+        self._planner.on_table = self.keys.set_table
+        self._planner.on_isolated = self._resign_isolated
         self._planner.on_former = self._former.ask
 
     def _connect_peers(self) -> None:
         peers = self.peers
-        peers.on_requests = self._note_requests
-        peers.on_load = self._note_load
-        peers.on_granted = self._note_told_granted
+        peers.on_requests = self._add_requests
+        peers.on_load = self._add_load
+        peers.on_granted = self._note_broadcast_grant
         peers.on_events = self._note_events
-        peers.on_hosts = self._note_hosts
-        peers.known = self._known
-        peers.item = self.mirror.items.get
-        peers.lacks_after = self._lacks_after
+        peers.on_host_count = self._set_host_count
+        peers.store_position = self._store_position
+        peers.stored_item = self.mirror.items.get
+        peers.missing_after = self._missing_after
         peers.changes_after = self.mirror.changes_after
         peers.page = self.mirror.page
         peers.on_page = self.mirror.feed_page
         peers.on_superseded = self.leadership.give_way
-        peers.on_asked = self._former.note_asked
-        peers.on_told = self._former.note_told
-        self.keys.on_request = peers.seen.note_request
-        self.keys.hears_leader = peers.hears_leader
+        peers.on_holds_request = self._former.handle_request
+        peers.on_holds_response = self._former.handle_response
+        self.keys.on_request = peers.observed.note_request
+        self.keys.receives_updates = peers.receives_updates
 
     def start(self) -> None:
         """Begin to follow the store, and to hear other hosts."""
@@ -184,7 +184,7 @@
 
     def tick(self) -> None:
         """Do what is due."""
-        self._note_listed()
+        self._update_listed_servers()
         self.leadership.tick()
         self._planner.tick()
         self._keeper.tick()
@@ -200,31 +200,31 @@
         )
         done.addErrback(lambda failure: log.error(failure.getTraceback()))
 
-    def divide(self, warm_ups_s: Mapping[str, float]) -> None:
+    def set_keyed_services(self, warm_ups_s: Mapping[str, float]) -> None:
         """Follow which services are divided by key, and how long shards warm up."""
         self.keyed.update(warm_ups_s)
         self._planner.set_services(warm_ups_s)
 
     def note_servers(self, service: str) -> None:
         """Follow a change in the directory of a service's servers."""
-        self._listed_changed = True
+        self._servers_changed = True
         if service in self.keyed:
             # One in doubt keeps its keys until it is sure that it is gone.
             self._set_candidates(service, self.directory.entries(service))
             self.keys.wake(service)
 
-    def _note_listed(self) -> None:
+    def _update_listed_servers(self) -> None:
         """Tell the keeper of all servers, once for all changes since the last tick.
 
         Told at each change of each service, 1,219 services with a server each held a
         host for 4.3 s when their configuration came.
         """
-        if self._listed_changed:
-            self._listed_changed = False
-            self._keeper.note_listed(holder_of(one) for one in self.directory.all())
+        if self._servers_changed:
+            self._servers_changed = False
+            self._keeper.note_listed(holder_of(entry) for entry in self.directory.all())
 
     def _set_candidates(self, service: str, listed: Iterable[ServerEntry]) -> None:
-        candidates = [candidate_of(one) for one in listed if takes_work(one)]
+        candidates = [candidate_of(entry) for entry in listed if accepts_work(entry)]
         self._planner.set_candidates(service, candidates)
 
     # What this host sees of servers.
@@ -234,12 +234,12 @@
     ) -> None:
         """Report what a server said of its load."""
         if server.service in self.keyed:
-            self.peers.seen.note_load(server, load, elapsed_s)
+            self.peers.observed.note_load(server, load, elapsed_s)
 
     def note_unanswered(self, server: BackendServer) -> None:
         """Report that a server left a request without an answer."""
         if server.service in self.keyed:
-            self.peers.seen.note_unanswered(server)
+            self.peers.observed.note_unanswered(server)
 
     # What the store says.
 
@@ -258,74 +258,74 @@
         elif key.startswith(TABLE_PREFIX) and item is not None:
             self._planner.note_table(item)
 
-    def _note_read(self) -> None:
-        self.peers.forget_told()
+    def _on_store_read(self) -> None:
+        self.peers.reset_deltas()
         if LEADER_KEY not in self.mirror.items:
             self.leadership.note_item(None)
 
-    def _known(self) -> Known | None:
+    def _store_position(self) -> StorePosition | None:
         """Return up to where this host knows the store, None if it may not lead."""
         mirror = self.mirror
         is_sure = mirror.is_current and mirror.silent_s() == 0
         if not is_sure or not self.leadership.may_change():
             return None
         age_s = self._now_s() - mirror.heard_s
-        return Known(revision=mirror.revision, age_s=age_s)
+        return StorePosition(revision=mirror.revision, age_s=age_s)
 
-    def _lacks_after(self) -> int | None:
+    def _missing_after(self) -> int | None:
         mirror = self.mirror
         if not mirror.is_current:
-            return KNOWS_NOTHING if mirror.silent_s() > LACKING_S else None
+            return NO_REVISION if mirror.silent_s() > MISSING_CHANGES_S else None
         # One that the store turns away has nobody else to ask.
-        patience_s = 0.0 if mirror.silent_s() else LACKING_S
-        return mirror.revision if mirror.lacking_s() > patience_s else None
+        wait_s = 0.0 if mirror.silent_s() else MISSING_CHANGES_S
+        return mirror.revision if mirror.lacking_s() > wait_s else None
 
     def _pace(self) -> WatchPace:
-        return TELLING_PACE if self.leadership.leads else usual_pace(self.hosts)
+        return TELLING_PACE if self.leadership.leads else usual_pace(self.host_count)
 
     # What other hosts say.
 
     def _note_events(self, after_revision: int, events: Events) -> None:
         self.mirror.feed(events, after_revision=after_revision)
 
-    def _note_told_granted(
+    def _note_broadcast_grant(
         self, service: str, first: int, last: int, token: int
     ) -> None:
         # Its first shard and its token name a span.
-        self.keys.open(service, first, token)
+        self.keys.note_granted(service, first, token)
 
-    def _note_hosts(self, hosts: int) -> None:
-        if hosts != self.hosts:
-            self.hosts = hosts
-            self.on_hosts(hosts)
+    def _set_host_count(self, host_count: int) -> None:
+        if host_count != self.host_count:
+            self.host_count = host_count
+            self.on_host_count(host_count)
 
-    def _note_requests(self, service: str, counts: Mapping[int, float]) -> None:
+    def _add_requests(self, service: str, counts: Mapping[int, float]) -> None:
         demand = self._planner.demand(service)
         if demand is not None:
             demand.note_requests(counts)
 
-    def _note_load(self, service: str, server_id: str, seen: LoadSeen) -> None:
+    def _add_load(self, service: str, server_id: str, load: LoadSeen) -> None:
         demand = self._planner.demand(service)
         if demand is not None:
-            demand.note_load(server_id, seen)
+            demand.note_load(server_id, load)
 
     # While this host leads.
 
-    def _begin_to_lead(self, former: Former | None) -> None:
+    def _start_leading(self, former: Former | None) -> None:
         term = self.leadership.term
         assert term is not None, "a host that leads has a term"
-        self.peers.begin_to_lead(term.revision)
+        self.peers.start_leading(term.revision)
         self._planner.note_gained(former)
 
-    def _cease_to_lead(self) -> None:
-        self.peers.cease_to_lead()
+    def _stop_leading(self) -> None:
+        self.peers.stop_leading()
         self._keeper.stop()
 
     def _note_granted(self, service: str, span: Span) -> None:
-        self.keys.open(service, span.first, span.token)
-        self.peers.tell_granted(service, span)
+        self.keys.note_granted(service, span.first, span.token)
+        self.peers.broadcast_grant(service, span)
 
-    def _step_aside(self) -> None:
-        if self.hosts > 1 and self.leadership.term is not None:
+    def _resign_isolated(self) -> None:
+        if self.host_count > 1 and self.leadership.term is not None:
             log.warning("most servers can't be reached from here: no longer leading")
-            self.resign(STAND_BACK_S)
+            self.resign(RESIGN_BACKOFF_S)
--- a/src/gentianwharf/entryhost/_conversions.py
+++ b/src/gentianwharf/entryhost/_conversions.py
@@ -5,7 +5,7 @@
 from gentianwharf.relay import ConnectionLimits
 from gentianwharf.topology import BackendServer
 
-LEAST_HEADER_BYTES = len(b"a:\r\n")
+MIN_HEADER_BYTES = len(b"a:\r\n")
 
 
 def server_of(entry: ServerEntry, connections: int) -> BackendServer:
@@ -41,7 +41,7 @@
     """
     return ConnectionLimits(
         most_head_bytes=limits.most_head_bytes,
-        most_headers=limits.most_head_bytes // LEAST_HEADER_BYTES,
+        most_headers=limits.most_head_bytes // MIN_HEADER_BYTES,
         most_body_bytes=limits.most_body_bytes,
         head_timeout_s=limits.head_timeout_s,
         idle_timeout_s=limits.idle_timeout_s,
--- a/src/gentianwharf/entryhost/_told_values.py
+++ b/src/gentianwharf/entryhost/_deltas.py
@@ -8,14 +8,14 @@
 
 from gentianwharf.store import Events, Item, Removal
 
-from ._compression import compressed, decompressed
-from ._messages import Change
+from ._compression import compress, decompress
+from ._peer_messages import EncodedChange
 
-SMALL_BYTES = 300
+MAX_UNCOMPRESSED_BYTES = 300
 """Values up to this are sent as they are."""
 
 
-MOST_PART_BYTES = 100_000
+MAX_BATCH_BYTES = 100_000
 """Of several changes told to a single host in one message: a second of what it may be
 told."""
 
@@ -25,68 +25,70 @@
 
 
 @final
-class ToldValues:
+class DeltaEncoder:
     """The leader's memory of what the others have been told."""
 
     def __init__(self) -> None:
-        self._told: dict[str, Item] = {}
+        self._bases: dict[str, Item] = {}
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Tell whole values from now on."""
-        self._told.clear()
+        self._bases.clear()
 
-    def change(self, change: Item | Removal) -> Change:
+    def encode(self, change: Item | Removal) -> EncodedChange:
         """Return a change for hosts that were told what came before it."""
         if isinstance(change, Removal):
-            self._told.pop(change.key, None)
-            return whole(change)
+            self._bases.pop(change.key, None)
+            return encode_whole(change)
         value, base_revision = change.value, None
-        if len(value) > SMALL_BYTES:
-            base = self._told.get(change.key)
-            self._told[change.key] = change
+        if len(value) > MAX_UNCOMPRESSED_BYTES:
+            base = self._bases.get(change.key)
+            self._bases[change.key] = change
             base_revision = base.revision if base is not None else 0
-            value = compressed(value, base.value if base is not None else b"")
-        return Change(
+            value = compress(value, base.value if base is not None else b"")
+        return EncodedChange(
             change.key, change.revision, value, change.lease_id, base_revision
         )
 
 
-def whole(change: Item | Removal) -> Change:
+def encode_whole(change: Item | Removal) -> EncodedChange:
     """Return a change for a host of which nothing is known."""
     if isinstance(change, Removal):
-        return Change(change.key, change.revision, None, 0, None)
-    value = compressed(change.value, b"")
-    return Change(change.key, change.revision, value, change.lease_id, 0)
+        return EncodedChange(change.key, change.revision, None, 0, None)
+    value = compress(change.value, b"")
+    return EncodedChange(change.key, change.revision, value, change.lease_id, 0)
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Part:
+class ChangeBatch:
     """Changes for one host, all that there were up to a revision."""
 
     revision: int
-    changes: list[Change]
+    changes: list[EncodedChange]
 
 
-def first_part(lacking: Events) -> Part:
+def first_batch(missing: Events) -> ChangeBatch:
     """Return the oldest changes that one message may hold.
 
     At least those of one revision, however large: told nothing for its size, a host
     would lack all that came after it as well.
     """
-    told: list[Change] = []
+    encoded: list[EncodedChange] = []
     size = until = 0
-    for revision, changes in groupby(lacking.changes, key=attrgetter("revision")):
-        packed = [whole(one) for one in changes]
-        size += sum(len(one.value or b"") for one in packed)
-        if told and size > MOST_PART_BYTES:
-            return Part(revision=until, changes=told)
-        told += packed
+    for revision, changes in groupby(missing.changes, key=attrgetter("revision")):
+        group = [encode_whole(change) for change in changes]
+        size += sum(len(change.value or b"") for change in group)
+        if encoded and size > MAX_BATCH_BYTES:
+            return ChangeBatch(revision=until, changes=encoded)
+        encoded += group
         until = revision
-    return Part(revision=lacking.revision, changes=told)
+    return ChangeBatch(revision=missing.revision, changes=encoded)
 
 
-def decoded(change: Change, *, item: Callable[[str], Item | None]) -> Item | Removal:
+def decode_change(
+    change: EncodedChange, *, item: Callable[[str], Item | None]
+) -> Item | Removal:
     """Return what was told; ``item`` finds what this host has.
 
     Raises ``UnknownBaseError`` and ``InputError``: the store has what was told.
@@ -95,12 +97,12 @@
         return Removal(key=change.key, revision=change.revision)
     value = change.value
     if change.base_revision is not None:
-        known = item(change.key)
-        if known is not None and known.revision >= change.revision:
+        current = item(change.key)
+        if current is not None and current.revision >= change.revision:
             # This host's own watch was quicker, and it no longer has the value that
             # the change is told against.
-            return known
-        value = decompressed(value, _base(known, change))
+            return current
+        value = decompress(value, _base(current, change))
     return Item(
         key=change.key,
         value=value,
@@ -109,12 +111,12 @@
     )
 
 
-def _base(known: Item | None, change: Change) -> bytes:
+def _base(current: Item | None, change: EncodedChange) -> bytes:
     if not change.base_revision:
         return b""
-    if known is None or known.revision != change.base_revision:
-        got = known.revision if known is not None else None
+    if current is None or current.revision != change.base_revision:
+        got = current.revision if current is not None else None
         raise UnknownBaseError(
             f"{change.key}: expected revision {change.base_revision}, got {got}"
         )
-    return known.value
+    return current.value
--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -15,11 +15,11 @@
 from gentianwharf.links import NngLink, dial
 from gentianwharf.logs import log
 
-from ._messages import AskedHolds, HeldFor, LeaderItem, ToldHolds
+from ._peer_messages import HoldsRequest, HoldsResponse, HostIdentity, ServerHold
 
-ASK_EVERY_S = 0.25
+REQUEST_INTERVAL_S = 0.25
 
-LINK_S = 4.0
+LINK_IDLE_TIMEOUT_S = 4.0
 """After so long without a message a link is closed; one to a lost host would go on
 dialling."""
 
@@ -27,7 +27,7 @@
 @final
 @dataclass(kw_only=True, slots=True)
 class _Link:
-    link: NngLink
+    connection: NngLink
     used_s: float
 
 
@@ -38,33 +38,33 @@
     def __init__(
         self,
         *,
-        name: LeaderItem,
+        identity: HostIdentity,
         keeper: Keeper,
         leadership: Leadership,
         timing: GrantTiming,
         reactor: Any,
     ) -> None:
-        self._name = name
+        self._identity = identity
         self._keeper = keeper
         self._leadership = leadership
         self._timing = timing
         self._reactor = reactor
         self._started_s = float(reactor.seconds())
-        self._asked: LeaderItem | None = None
+        self._target: HostIdentity | None = None
         self._is_settled = False
         self._due_s = 0.0
         self._links: dict[str, _Link] = {}
 
     def stop(self) -> None:
         """Close every link."""
-        for one in self._links.values():
-            one.link.close()
+        for link in self._links.values():
+            link.connection.close()
         self._links.clear()
 
     def ask(self, former: Former) -> None:
         """Begin to ask the leader before this one."""
         try:
-            self._asked = msgspec.json.decode(former.value, type=LeaderItem)
+            self._target = msgspec.json.decode(former.value, type=HostIdentity)
         except msgspec.DecodeError as error:
             log.warning("the former leader's name can't be read: {}", error)
             return
@@ -75,54 +75,56 @@
     def tick(self) -> None:
         """Ask once more when that is due, until the answer would tell nothing new."""
         self._close_idle()
-        if self._asked is None:
+        if self._target is None:
             return
         term = self._leadership.term
         if term is None or self._keeper.lives.is_settled():
-            self._asked = None
+            self._target = None
             return
         now_s = self._reactor.seconds()
         if now_s >= self._due_s:
-            self._due_s = now_s + ASK_EVERY_S
-            question = AskedHolds(
-                self._name.address, self._asked.process, term.revision
+            self._due_s = now_s + REQUEST_INTERVAL_S
+            request = HoldsRequest(
+                self._identity.address, self._target.incarnation, term.revision
             )
-            self._send(self._asked.address, question)
+            self._send(self._target.address, request)
 
-    def note_asked(self, question: AskedHolds) -> None:
+    def handle_request(self, request: HoldsRequest) -> None:
         """Answer a new leader, and lead no more."""
-        if question.process != self._name.process:
+        if request.incarnation != self._identity.incarnation:
             ended_s = float(self._reactor.seconds()) - self._started_s
-            ended = ToldHolds(question.process, question.revision, ended_s)
-            self._send(question.address, ended)
+            response = HoldsResponse(request.incarnation, request.revision, ended_s)
+            self._send(request.address, response)
             return
         term = self._leadership.term
-        if term is not None and term.revision > question.revision:
+        if term is not None and term.revision > request.revision:
             # Late: this host has taken the lead from the one that asked.
             return
         self._leadership.give_way()
         self._keeper.stop()
         holds = self._keeper.lives.holds()
         held = [
-            HeldFor(one.server_id, one.born_ms, one.address, held_s)
-            for one, held_s in holds.of_s.items()
+            ServerHold(holder.server_id, holder.born_ms, holder.address, held_s)
+            for holder, held_s in holds.of_s.items()
         ]
         self._send(
-            question.address,
-            ToldHolds(question.process, question.revision, None, holds.others_s, held),
+            request.address,
+            HoldsResponse(
+                request.incarnation, request.revision, None, holds.others_s, held
+            ),
         )
 
-    def note_told(self, answer: ToldHolds) -> None:
+    def handle_response(self, response: HoldsResponse) -> None:
         """Learn what the former leader's grants hold."""
-        if self._asked is None or answer.process != self._asked.process:
+        if self._target is None or response.incarnation != self._target.incarnation:
             return
         term = self._leadership.term
-        if term is None or answer.revision != term.revision:
+        if term is None or response.revision != term.revision:
             # To an earlier question, late: since then the one that answered may have
             # led again, and granted what its answer does not tell of.
             return
-        holds = self._holds(answer)
-        self._asked = None
+        holds = self._holds(response)
+        self._target = None
         if holds is None:
             return
         log.info(
@@ -131,32 +133,32 @@
         )
         self._keeper.lives.note_holds(holds)
 
-    def _holds(self, answer: ToldHolds) -> Holds | None:
-        if answer.ended_s is None:
+    def _holds(self, response: HoldsResponse) -> Holds | None:
+        if response.ended_s is None:
             held = {
                 Holder(
-                    server_id=one.server_id, born_ms=one.born_ms, address=one.address
-                ): one.held_s
-                for one in answer.held
+                    server_id=hold.server_id, born_ms=hold.born_ms, address=hold.address
+                ): hold.held_s
+                for hold in response.held
             }
-            return Holds(others_s=answer.others_s, of_s=held)
+            return Holds(others_s=response.others_s, of_s=held)
         if not self._is_settled:
             # What it knew of the leaders before it is lost with it.
             return None
-        left_s = self._timing.ended_until_s(ended_s=0.0) - answer.ended_s
+        left_s = self._timing.ended_until_s(ended_s=0.0) - response.ended_s
         return Holds(others_s=max(0.0, left_s))
 
-    def _send(self, address: str, message: AskedHolds | ToldHolds) -> None:
+    def _send(self, address: str, message: HoldsRequest | HoldsResponse) -> None:
         now_s = float(self._reactor.seconds())
-        known = self._links.get(address)
-        if known is None:
-            known = self._links[address] = _Link(link=dial(address), used_s=now_s)
-        known.used_s = now_s
-        known.link.send(msgspec.msgpack.encode(message))
+        link = self._links.get(address)
+        if link is None:
+            link = self._links[address] = _Link(connection=dial(address), used_s=now_s)
+        link.used_s = now_s
+        link.connection.send(msgspec.msgpack.encode(message))
 
     def _close_idle(self) -> None:
         now_s = self._reactor.seconds()
-        for address, one in list(self._links.items()):
-            if now_s > one.used_s + LINK_S:
-                one.link.close()
+        for address, link in list(self._links.items()):
+            if now_s > link.used_s + LINK_IDLE_TIMEOUT_S:
+                link.connection.close()
                 del self._links[address]
--- a/src/gentianwharf/entryhost/_gauges.py
+++ b/src/gentianwharf/entryhost/_gauges.py
@@ -21,7 +21,7 @@
     add = metrics.add
     leadership, mirror, rules = control.leadership, control.mirror, control.rules
     add("leads", "Whether this host leads", lambda: float(leadership.leads))
-    add("hosts", "Hosts that report to the leader", lambda: control.hosts)
+    add("hosts", "Hosts that report to the leader", lambda: control.host_count)
     add(
         "leader_revision",
         "Revision of the item of the leader that this host follows, or followed last",
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -24,14 +24,14 @@
 )
 from gentianwharf.topology import BackendServer, Service
 
+from ._answer_log import AnswerLog
 from ._callers_port import CallersPort
-from ._classes import class_of
 from ._control import Control
 from ._conversions import limits_of, server_of
 from ._gauges import add_gauges
 from ._metrics import METRICS_PORT, HostMetrics, metrics_site
-from ._observer import AnswerLog
 from ._readiness import readiness_site
+from ._request_classes import request_class_of
 
 CONTROL_TICK_S = 0.05
 GATE_TICK_S = 0.02
@@ -79,16 +79,16 @@
             can_serve=self.is_ready,
             reactor=reactor,
         )
-        self._control.on_hosts = self._note_hosts
-        self._control.directory.on_change = self._follow_servers
-        self._control.rules.on_change = self._follow_configuration
+        self._control.on_host_count = self._set_host_count
+        self._control.directory.on_change = self._update_servers
+        self._control.rules.on_change = self._apply_configuration
         self._ticks = Ticks(reactor=reactor)
-        agreed = settings.agreements
+        agreements = settings.agreements
         self.shutdown = Shutdown(
             drained=self,
             clock=reactor,
             notice_s=NOTICE_S,
-            limit_s=agreed.grace_period_s - STOP_MARGIN_S,
+            limit_s=agreements.grace_period_s - STOP_MARGIN_S,
         )
 
     def _build_relay(self) -> None:
@@ -98,7 +98,7 @@
             classes=(),
             domain=self.settings.domain,
             rng=self._rng,
-            daemons=self._control.hosts,
+            daemons=self._control.host_count,
         )
         self._admission = GateAdmission(
             gate=self._gate,
@@ -203,7 +203,7 @@
 
     def in_flight(self) -> list[str]:
         """Return the ids of the requests that are being served."""
-        return [one.ticket.request_id for one in self.relay.in_flight]
+        return [exchange.ticket.request_id for exchange in self.relay.in_flight]
 
     def open_connections(self) -> int:
         """Return how many callers' connections are open."""
@@ -225,14 +225,16 @@
 
     # What the control says.
 
-    def _note_hosts(self, hosts: int) -> None:
-        self._gate.set_daemons(hosts)
+    def _set_host_count(self, host_count: int) -> None:
+        self._gate.set_daemons(host_count)
         for pool in self.relay.connections.values():
-            pool.share_with(hosts)
+            pool.share_with(host_count)
 
-    def _follow_configuration(self, configuration: Configuration) -> None:
-        keyed = {name for name, one in configuration.services.items() if one.keyed}
-        self._control.divide(
+    def _apply_configuration(self, configuration: Configuration) -> None:
+        keyed = {
+            name for name, service in configuration.services.items() if service.keyed
+        }
+        self._control.set_keyed_services(
             {name: configuration.services[name].warm_up_s for name in keyed}
         )
         self._gate.add(
@@ -240,7 +242,7 @@
                 Service(name=name, keyed=name in keyed, shards=0)
                 for name in configuration.services
             ],
-            classes=[class_of(kind) for kind in configuration.kinds.values()],
+            classes=[request_class_of(kind) for kind in configuration.kinds.values()],
         )
         if configuration.limits is not None:
             self._site.take_limits(limits_of(configuration.limits))
@@ -248,19 +250,19 @@
             frozenset(rule.name for rule in configuration.document.rules)
         )
         for name in configuration.services:
-            self._follow_servers(name)
+            self._update_servers(name)
 
-    def _follow_servers(self, service: str) -> None:
+    def _update_servers(self, service: str) -> None:
         configuration = self._control.rules.configuration
         if configuration is None or service not in configuration.services:
             return
         connections = configuration.services[service].connections
         usable = self._control.directory.usable(service)
-        servers = [server_of(one, connections) for one in usable]
+        servers = [server_of(entry, connections) for entry in usable]
         usable_ids = {server.id for server in servers}
-        for known in list(self._servers.values()):
-            if known.service == service and known.id not in usable_ids:
-                del self._servers[known.id]
+        for current in list(self._servers.values()):
+            if current.service == service and current.id not in usable_ids:
+                del self._servers[current.id]
         for server in servers:
             self._servers[server.id] = server
             pool = self.relay.connections.get(server.id)
@@ -269,6 +271,6 @@
                 self.relay.connections[server.id] = pool
             else:
                 pool.follow(server)
-            pool.share_with(self._control.hosts)
+            pool.share_with(self._control.host_count)
         self._admission.set_servers(service, servers)
         self._control.note_servers(service)
--- a/src/gentianwharf/entryhost/_host_list.py
+++ b/src/gentianwharf/entryhost/_host_list.py
@@ -12,11 +12,11 @@
 from gentianwharf.logs import log
 from gentianwharf.store import Change, Item, Put, Store
 
-from ._messages import HostAddress
-from ._roster import Roster
+from ._membership import Membership
+from ._peer_messages import HostAddress
 from ._store_keys import HOSTS_KEY, LEADER_KEY
 
-WRITE_EVERY_S = 2.0
+WRITE_INTERVAL_S = 2.0
 """Many hosts start together, and each write is told to all of them."""
 
 
@@ -29,12 +29,12 @@
         *,
         store: Store,
         leadership: Leadership,
-        roster: Roster,
+        membership: Membership,
         now_s: Callable[[], float],
     ) -> None:
         self._store = store
         self._leadership = leadership
-        self._roster = roster
+        self._membership = membership
         self._now_s = now_s
         self._due_s = float("-inf")
 
@@ -50,22 +50,22 @@
                     error,
                     extra={"peer": item.key, "revision": item.revision},
                 )
-        self._roster.note_listed(hosts)
+        self._membership.note_listed(hosts)
 
     def tick(self) -> None:
         """Write the list where it is not what this leader knows."""
         now_s = self._now_s()
         if now_s < self._due_s or not self._leadership.may_change():
             return
-        self._due_s = now_s + WRITE_EVERY_S
-        if not self._roster.is_listed():
+        self._due_s = now_s + WRITE_INTERVAL_S
+        if not self._membership.is_list_current():
             Deferred.fromCoroutine(self._write()).addErrback(_log_fault)
 
     async def _write(self) -> None:
         term = self._leadership.term
         if term is None:
             return
-        value = msgspec.json.encode(self._roster.hosts())
+        value = msgspec.json.encode(self._membership.hosts())
         change = Change(
             expected={LEADER_KEY: term.revision},
             puts=(Put(key=HOSTS_KEY, value=value),),
--- a/src/gentianwharf/entryhost/_main.py
+++ b/src/gentianwharf/entryhost/_main.py
@@ -50,8 +50,8 @@
     host.on_end = cast(Any, reactor).stop
     host.start()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: _ask_to_stop(host))
-    signal.signal(signal.SIGHUP, lambda *_: _ask_to_reload(host, path))
+        signal.signal(number, lambda *_: _request_stop(host))
+    signal.signal(signal.SIGHUP, lambda *_: _request_reload(host, path))
     if early_reloads:
         reload_settings(host, path)
     freeze_objects()
@@ -67,10 +67,10 @@
         logs.log.error("settings not taken: {}", error)
 
 
-def _ask_to_reload(host: EntryHost, path: Path) -> None:
+def _request_reload(host: EntryHost, path: Path) -> None:
     cast(Any, reactor).callFromThread(reload_settings, host, path)
 
 
-def _ask_to_stop(host: EntryHost) -> None:
+def _request_stop(host: EntryHost) -> None:
     # A signal may come in the middle of anything: the loop takes it up.
     cast(Any, reactor).callFromThread(host.shutdown.ask)
--- a/src/gentianwharf/entryhost/_roster.py
+++ b/src/gentianwharf/entryhost/_membership.py
@@ -6,15 +6,15 @@
 
 from gentianwharf.links import NngLink
 
-from ._messages import HostAddress
+from ._peer_messages import HostAddress
 
-GONE_S = 4.0
+INACTIVE_AFTER_S = 4.0
 """A host that has not reported for so long counts no more."""
 
-FORGOTTEN_S = 60.0
+REMOVE_AFTER_S = 60.0
 """A host that has not reported for so long is no longer called."""
 
-CALL_AGAIN_S = 2.0
+RECONNECT_INTERVAL_S = 2.0
 """Between the news for a host that is gone: it may be back, and not know who leads."""
 
 Dial = Callable[[str], NngLink]
@@ -28,19 +28,19 @@
 
     host: str
     address: str
-    heard_s: float
-    called_s: float
+    last_seen_s: float
+    contacted_s: float
     link: NngLink
-    lacks_after: int | None = None
+    missing_after: int | None = None
     """The revision after which it lacks changes that it can't get."""
 
-    def is_gone(self, now_s: float) -> bool:
+    def is_inactive(self, now_s: float) -> bool:
         """Whether it has not reported for long."""
-        return now_s > self.heard_s + GONE_S
+        return now_s > self.last_seen_s + INACTIVE_AFTER_S
 
 
 @final
-class Roster:
+class Membership:
     """Known hosts by name, and the list of hosts that stands in the store.
 
     A new leader has to reach hosts that can't learn from the store that it leads.
@@ -54,12 +54,12 @@
         self._leads = False
         self._listed: tuple[HostAddress, ...] = ()
 
-    def begin_to_lead(self) -> None:
+    def start_leading(self) -> None:
         """Take all listed hosts for present, until they fall silent."""
         self._leads = True
-        self._meet_listed()
+        self._add_listed()
 
-    def cease_to_lead(self) -> None:
+    def stop_leading(self) -> None:
         """Close every link."""
         self._leads = False
         for peer in self._peers.values():
@@ -68,25 +68,25 @@
 
     def hosts(self) -> tuple[HostAddress, ...]:
         """Return all hosts that this one knows while it leads, itself among them."""
-        known = [HostAddress(one.host, one.address) for one in self._peers.values()]
-        return tuple(sorted([self._own, *known], key=lambda one: one.host))
+        others = [HostAddress(peer.host, peer.address) for peer in self._peers.values()]
+        return tuple(sorted([self._own, *others], key=lambda address: address.host))
 
     def note_listed(self, hosts: Sequence[HostAddress]) -> None:
         """Follow the list in the store; a leader calls those that it doesn't know."""
         self._listed = tuple(hosts)
         if self._leads:
-            self._meet_listed()
+            self._add_listed()
 
-    def _meet_listed(self) -> None:
-        for one in self._listed:
-            if one.host != self._own.host and one.host not in self._peers:
-                self.hear(one.host, one.address)
+    def _add_listed(self) -> None:
+        for listed in self._listed:
+            if listed.host != self._own.host and listed.host not in self._peers:
+                self.mark_alive(listed.host, listed.address)
 
-    def is_listed(self) -> bool:
+    def is_list_current(self) -> bool:
         """Whether the list in the store is what this leader knows."""
         return self._listed == self.hosts()
 
-    def hear(self, host: str, address: str) -> Peer:
+    def mark_alive(self, host: str, address: str) -> Peer:
         """Note a sign of life; return the host, with a link to where it is now."""
         now_s = self._now_s()
         peer = self._peers.get(host)
@@ -94,33 +94,36 @@
             peer = self._peers[host] = Peer(
                 host=host,
                 address=address,
-                heard_s=now_s,
-                called_s=now_s,
+                last_seen_s=now_s,
+                contacted_s=now_s,
                 link=self._dial(address),
             )
-        elif peer.address != address or peer.is_gone(now_s):
+        elif peer.address != address or peer.is_inactive(now_s):
             # What is queued for a host that was gone is no news any more.
             peer.link.close()
             peer.address, peer.link = address, self._dial(address)
-        peer.heard_s = now_s
+        peer.last_seen_s = now_s
         return peer
 
-    def present(self) -> list[Peer]:
+    def active(self) -> list[Peer]:
         """Return the hosts that report."""
         now_s = self._now_s()
-        return [one for one in self._peers.values() if not one.is_gone(now_s)]
+        return [peer for peer in self._peers.values() if not peer.is_inactive(now_s)]
 
-    def due_to_call(self) -> Iterator[Peer]:
+    def reconnect_inactive(self) -> Iterator[Peer]:
         """Yield hosts that are gone and to be called once more, each on a new link."""
         now_s = self._now_s()
         for name, peer in list(self._peers.items()):
-            if not peer.is_gone(now_s) or now_s < peer.called_s + CALL_AGAIN_S:
+            if (
+                not peer.is_inactive(now_s)
+                or now_s < peer.contacted_s + RECONNECT_INTERVAL_S
+            ):
                 continue
             peer.link.close()
-            if now_s > peer.heard_s + FORGOTTEN_S:
+            if now_s > peer.last_seen_s + REMOVE_AFTER_S:
                 del self._peers[name]
-                peer.lacks_after = None
+                peer.missing_after = None
                 continue
-            peer.called_s = now_s
+            peer.contacted_s = now_s
             peer.link = self._dial(peer.address)
             yield peer
--- a/src/gentianwharf/entryhost/_metrics.py
+++ b/src/gentianwharf/entryhost/_metrics.py
@@ -17,11 +17,11 @@
 METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4"
 PREFIX = "gentianwharf_"
 MICROSECONDS = 1_000_000
-LONGEST_US = 60 * MICROSECONDS
-DIGITS = 2
+MAX_TIME_US = 60 * MICROSECONDS
+SIGNIFICANT_DIGITS = 2
 """One in a hundred is enough to see which part of a request took its time."""
 
-MOST_SERIES = 500
+MAX_SERIES = 500
 """Classes come from the operators' configuration, which may change often."""
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
@@ -58,7 +58,7 @@
     def count(self, service: str, request_class: str, status: int, reason: str) -> None:
         """Count an answer; beyond the most series all others are one."""
         key = (service, request_class, status, reason)
-        if key not in self._answers and len(self._answers) >= MOST_SERIES:
+        if key not in self._answers and len(self._answers) >= MAX_SERIES:
             key = ("other", "other", status, "other")
         self._answers[key] = self._answers.get(key, 0) + 1
 
@@ -112,10 +112,10 @@
 ) -> None:
     histogram = table.get(kind)
     if histogram is None:
-        if len(table) >= MOST_SERIES:
+        if len(table) >= MAX_SERIES:
             return
-        histogram = table[kind] = HdrHistogram(1, LONGEST_US, DIGITS)
-    histogram.record_value(min(LONGEST_US, max(1, int(time_s * MICROSECONDS))))
+        histogram = table[kind] = HdrHistogram(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
+    histogram.record_value(min(MAX_TIME_US, max(1, int(time_s * MICROSECONDS))))
 
 
 def _resident_bytes() -> float:
--- a/src/gentianwharf/entryhost/_seen_load.py
+++ b/src/gentianwharf/entryhost/_observed_load.py
@@ -5,7 +5,7 @@
 from gentianwharf.relay import ServerLoad
 from gentianwharf.topology import BackendServer
 
-from ._messages import LoadReport
+from ._peer_messages import LoadReport
 
 Requests = dict[str, dict[int, int]]
 """Counts by service and shard."""
@@ -15,18 +15,18 @@
 
 
 @final
-class SeenLoad:
+class ObservedLoad:
     """Counts requests of shards, and adds up what servers say of their load."""
 
     def __init__(self) -> None:
         self._requests: Requests = {}
         self._loads: Loads = {}
 
-    def take(self) -> tuple[Requests, Loads]:
+    def collect(self) -> tuple[Requests, Loads]:
         """Return what was seen since the last time."""
-        seen = self._requests, self._loads
+        observed = self._requests, self._loads
         self._requests, self._loads = {}, {}
-        return seen
+        return observed
 
     def note_request(self, service: str, shard: int) -> None:
         """Count a request for the next report."""
--- a/src/gentianwharf/entryhost/_messages.py
+++ b/src/gentianwharf/entryhost/_peer_messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-KNOWS_NOTHING = 0
+NO_REVISION = 0
 """The revision of a host that has no copy of the store, or one with gaps."""
 
 
@@ -29,10 +29,10 @@
     address: str
     requests: dict[str, dict[int, int]]
     loads: dict[str, dict[str, LoadReport]]
-    lacks_after: int | None = None
+    missing_after: int | None = None
 
 
-class Granted(msgspec.Struct, array_like=True):
+class GrantNotice(msgspec.Struct, array_like=True):
     """A span whose holder has just been granted it."""
 
     service: str
@@ -41,7 +41,7 @@
     token: int
 
 
-class Change(msgspec.Struct, array_like=True):
+class EncodedChange(msgspec.Struct, array_like=True):
     """An item as it was written, or without a value since its removal.
 
     A large value is compressed against the item's value at ``base_revision``, or by
@@ -56,7 +56,7 @@
     base_revision: int | None
 
 
-class LeaderItem(msgspec.Struct, array_like=True):
+class HostIdentity(msgspec.Struct, array_like=True):
     """What stands in the store of the leader: its name, and where it hears reports.
 
     ``process`` is drawn at each start: a host that was started again knows nothing.
@@ -64,15 +64,15 @@
 
     host: str
     address: str
-    process: int = 0
+    incarnation: int = 0
 
 
-NEWS_FORM = "news-3"
+UPDATE_FORMAT = "news-3"
 """Changes whenever the form of what News hold does. Hosts of another release then can't
 read them and watch the store; they must not take one form for the other."""
 
 
-class News(msgspec.Struct, array_like=True, tag=NEWS_FORM):
+class LeaderUpdate(msgspec.Struct, array_like=True, tag=UPDATE_FORMAT):
     """What the leader tells: how many hosts there are, moves done, the store's changes.
 
     ``changes`` are all between two revisions, and there were no others until
@@ -81,26 +81,26 @@
     ask the store follows the one with the highest.
     """
 
-    leader: LeaderItem
+    leader: HostIdentity
     term: int
-    hosts: int
-    granted: list[Granted]
+    host_count: int
+    granted: list[GrantNotice]
     age_s: float | None
     after_revision: int
     revision: int
-    changes: list[Change]
+    changes: list[EncodedChange]
 
 
-class Everything(msgspec.Struct, array_like=True, tag="everything"):
+class StoreSnapshot(msgspec.Struct, array_like=True, tag="everything"):
     """All that stands in the store at a revision, as the leader of a term knows it.
 
     For a host that knows nothing, or of which it isn't known what it lacks.
     """
 
-    leader: LeaderItem
+    leader: HostIdentity
     term: int
     revision: int
-    items: list[Change]
+    items: list[EncodedChange]
 
 
 class HostAddress(msgspec.Struct, array_like=True, frozen=True):
@@ -110,18 +110,18 @@
     address: str
 
 
-class AskedHolds(msgspec.Struct, array_like=True, tag="asked-holds"):
+class HoldsRequest(msgspec.Struct, array_like=True, tag="asked-holds"):
     """A new leader asks the one before for what its grants hold.
 
     ``revision`` is that of the new leader's term; ``address`` is where it hears.
     """
 
     address: str
-    process: int
+    incarnation: int
     revision: int
 
 
-class HeldFor(msgspec.Struct, array_like=True):
+class ServerHold(msgspec.Struct, array_like=True):
     """For how long a life of a server may hold something."""
 
     server_id: str
@@ -130,7 +130,7 @@
     held_s: float
 
 
-class ToldHolds(msgspec.Struct, array_like=True, tag="told-holds"):
+class HoldsResponse(msgspec.Struct, array_like=True, tag="told-holds"):
     """The answer: for how long grants hold of ``process``, which gives none any more.
 
     ``ended_s`` is how long ago that process must have ended, since another one runs in
@@ -138,8 +138,8 @@
     ``revision`` is the question's.
     """
 
-    process: int
+    incarnation: int
     revision: int
     ended_s: float | None
     others_s: float = 0.0
-    held: list[HeldFor] = []
+    held: list[ServerHold] = []
--- a/src/gentianwharf/entryhost/_peers.py
+++ b/src/gentianwharf/entryhost/_peers.py
@@ -17,35 +17,35 @@
 from gentianwharf.logs import log
 from gentianwharf.store import Events, EventsListener, Item, Page
 
-from ._messages import (
-    AskedHolds,
-    Everything,
-    LeaderItem,
-    News,
+from ._broadcaster import MAX_MESSAGE_BYTES, Broadcaster, StorePosition
+from ._deltas import UnknownBaseError, decode_change
+from ._observed_load import ObservedLoad
+from ._peer_messages import (
+    HoldsRequest,
+    HoldsResponse,
+    HostIdentity,
+    LeaderUpdate,
     Report,
-    ToldHolds,
+    StoreSnapshot,
 )
-from ._seen_load import SeenLoad
-from ._telling import MOST_BYTES, Known, Telling
-from ._told_values import UnknownBaseError, decoded
 
-REPORT_EVERY_S = 0.25
+REPORT_INTERVAL_S = 0.25
 """Hot keys are to be seen within a second; a report of an idle host is 60 bytes."""
 
-MOST_REPORTS_PER_S = 100.0
+MAX_REPORTS_PER_S = 100.0
 """From all hosts together: more hosts report less often each, or 86 of them would take
 a leader with four tenths of a core a quarter of its time."""
 
-FED_S = 1.4
+CHANGES_VALID_S = 1.4
 """So long after the leader last heard the store a host watches the store itself. The
 leader hears it every 0.8 s, or every 1.3 s of a slow one; what it does not hear any
 more reaches the others by themselves within half a second more, before a server that
 leaves may get no more work (2 s)."""
 
-HEARS_S = 2.0
+UPDATE_VALID_S = 2.0
 """News younger than this: what the leader has not told is not done."""
 
-SILENT_S = 3.0
+RECONNECT_AFTER_S = 3.0
 """So long without news, and the link is made anew."""
 
 
@@ -60,83 +60,88 @@
         address: str,
         link_bytes_per_s: float,
         reactor: Any,
-        process: int = 0,
+        incarnation: int = 0,
     ) -> None:
         self.on_requests: Callable[[str, Mapping[int, float]], None]
         self.on_load: Callable[[str, str, LoadSeen], None]
         self.on_granted: Callable[[str, int, int, int], None]
         self.on_events: EventsListener
-        self.on_hosts: Callable[[int], None]
-        self.known: Callable[[], Known | None]
-        self.item: Callable[[str], Item | None]
-        self.lacks_after: Callable[[], int | None] = lambda: None
+        self.on_host_count: Callable[[int], None]
+        self.store_position: Callable[[], StorePosition | None]
+        self.stored_item: Callable[[str], Item | None]
+        self.missing_after: Callable[[], int | None] = lambda: None
         self.changes_after: Callable[[int], Events | None] = lambda revision: None
         self.page: Callable[[], Page | None] = lambda: None
         self.on_page: Callable[[Page], None] = lambda page: None
         self.on_superseded: Callable[[], None] = lambda: None
-        self.on_asked: Callable[[AskedHolds], None] = lambda question: None
-        self.on_told: Callable[[ToldHolds], None] = lambda answer: None
-        self.name = LeaderItem(host=host, address=address, process=process)
+        self.on_holds_request: Callable[[HoldsRequest], None] = lambda request: None
+        self.on_holds_response: Callable[[HoldsResponse], None] = lambda response: None
+        self.identity = HostIdentity(
+            host=host, address=address, incarnation=incarnation
+        )
         self._reactor = reactor
         self._listener: NngListener | None = None
-        self._leader: LeaderItem | None = None
-        self._to_leader: NngLink | None = None
-        self._heard_s = 0.0
-        self._began_s = float(reactor.seconds())
+        self._leader: HostIdentity | None = None
+        self._leader_link: NngLink | None = None
+        self._contacted_s = 0.0
+        self._started_s = float(reactor.seconds())
         self.followed_revision = 0
         """That of the item of the leader whom this host follows, or followed last."""
         self._stored_revision = 0
-        self._news_s = float("-inf")
-        self._fed_until_s = float("-inf")
+        self._updated_s = float("-inf")
+        self._changes_valid_until_s = float("-inf")
         self._reported_s = 0.0
-        self._hosts = 1
-        self._telling = Telling(
-            name=self.name,
+        self._host_count = 1
+        self._broadcaster = Broadcaster(
+            identity=self.identity,
             reactor=reactor,
             link_bytes_per_s=link_bytes_per_s,
-            dial=lambda one: dial(one),
-            known=lambda: self.known(),
+            dial=lambda address: dial(address),
+            store_position=lambda: self.store_position(),
             changes_after=lambda revision: self.changes_after(revision),
             page=lambda: self.page(),
-            on_hosts=self._note_hosts,
+            on_host_count=self._set_host_count,
         )
-        self.roster = self._telling.roster
-        self.seen = SeenLoad()
+        self.membership = self._broadcaster.membership
+        self.observed = ObservedLoad()
 
     def start(self) -> None:
         """Listen for the other hosts."""
         self._listener = NngListener(
             reactor=self._reactor,
-            address=self.name.address,
-            on_data=self._received,
-            most_bytes=MOST_BYTES,
+            address=self.identity.address,
+            on_data=self._on_message,
+            most_bytes=MAX_MESSAGE_BYTES,
         )
 
     def stop(self) -> None:
         """Close every link."""
         if self._listener is not None:
             self._listener.close()
-        self._close_leader()
-        self._telling.close()
+        self._close_leader_link()
+        self._broadcaster.close()
 
-    def hears_leader(self) -> bool:
+    def receives_updates(self) -> bool:
         """Whether the leader's news come: then what it does not tell is not done."""
-        if self._telling.leads:
+        if self._broadcaster.leads:
             return True
-        return self._leader is not None and self._news_age_s() < HEARS_S
+        return self._leader is not None and self._update_age_s() < UPDATE_VALID_S
 
-    def is_fed(self) -> bool:
+    def receives_changes(self) -> bool:
         """Whether the leader tells all that changes in the store."""
-        return not self._telling.leads and self._reactor.seconds() < self._fed_until_s
+        return (
+            not self._broadcaster.leads
+            and self._reactor.seconds() < self._changes_valid_until_s
+        )
 
     def leader_silent_s(self) -> float:
         """Return how old the leader's last news are, 0 while this host leads."""
-        if self._telling.leads:
+        if self._broadcaster.leads:
             return 0.0
-        return float(self._reactor.seconds() - max(self._news_s, self._began_s))
+        return float(self._reactor.seconds() - max(self._updated_s, self._started_s))
 
-    def _news_age_s(self) -> float:
-        return float(self._reactor.seconds() - self._news_s)
+    def _update_age_s(self) -> float:
+        return float(self._reactor.seconds() - self._updated_s)
 
     # Who leads.
 
@@ -154,7 +159,7 @@
             return
         leader = None
         try:
-            leader = msgspec.json.decode(item.value, type=LeaderItem)
+            leader = msgspec.json.decode(item.value, type=HostIdentity)
         except msgspec.DecodeError as error:
             log.warning(
                 "the leader's item can't be read: {}",
@@ -163,98 +168,102 @@
             )
         self._set_leader(leader, item.revision)
 
-    def _set_leader(self, leader: LeaderItem | None, revision: int) -> None:
+    def _set_leader(self, leader: HostIdentity | None, revision: int) -> None:
         self.followed_revision = revision
         if leader == self._leader:
             return
-        self._close_leader()
+        self._close_leader_link()
         self._leader = leader
-        self._news_s = float("-inf")
-        self._fed_until_s = float("-inf")
+        self._updated_s = float("-inf")
+        self._changes_valid_until_s = float("-inf")
 
-    def begin_to_lead(self, revision: int) -> None:
+    def start_leading(self, revision: int) -> None:
         """Tell the others; ``revision`` is that of this host's item in the store."""
-        self._set_leader(self.name, revision)
-        self._telling.begin(revision)
+        self._set_leader(self.identity, revision)
+        self._broadcaster.start(revision)
 
-    def cease_to_lead(self) -> None:
+    def stop_leading(self) -> None:
         """Tell the others no more."""
-        self._telling.cease()
+        self._broadcaster.stop()
 
-    def tell_granted(self, service: str, span: Span) -> None:
+    def broadcast_grant(self, service: str, span: Span) -> None:
         """Tell all hosts that a move is done."""
-        self._telling.note_granted(service, span)
+        self._broadcaster.note_granted(service, span)
 
-    def forget_told(self) -> None:
+    def reset_deltas(self) -> None:
         """Tell whole values from now on: this host missed some changes itself."""
-        self._telling.forget_told()
+        self._broadcaster.reset_deltas()
 
-    def tell_events(self, after_revision: int, events: Events) -> None:
+    def broadcast_events(self, after_revision: int, events: Events) -> None:
         """Tell all hosts what changed in the store."""
-        self._telling.tell_events(after_revision, events)
+        self._broadcaster.broadcast_events(after_revision, events)
 
     def tick(self) -> None:
         """Report and tell what is due."""
         now_s = self._reactor.seconds()
-        report_every_s = max(REPORT_EVERY_S, self._hosts / MOST_REPORTS_PER_S)
+        report_every_s = max(REPORT_INTERVAL_S, self._host_count / MAX_REPORTS_PER_S)
         if now_s >= self._reported_s + report_every_s:
             self._reported_s = now_s
-            self._report(now_s)
-        self._telling.tick(now_s)
+            self._send_report(now_s)
+        self._broadcaster.tick(now_s)
 
-    def _report(self, now_s: float) -> None:
-        requests, loads = self.seen.take()
+    def _send_report(self, now_s: float) -> None:
+        requests, loads = self.observed.collect()
         report = Report(
-            self.name.host,
-            self.name.address,
+            self.identity.host,
+            self.identity.address,
             requests,
             loads,
-            self.lacks_after(),
+            self.missing_after(),
         )
-        if self._telling.leads:
-            self._take(report)
+        if self._broadcaster.leads:
+            self._process_report(report)
             return
-        if self._leader is None or self._leader == self.name:
+        if self._leader is None or self._leader == self.identity:
             return
-        if self._to_leader is None or now_s > self._heard_s + SILENT_S:
-            self._close_leader()
-            self._heard_s = now_s
-            self._to_leader = dial(self._leader.address)
-        self._to_leader.send(msgspec.msgpack.encode(report))
-
-    def _close_leader(self) -> None:
-        if self._to_leader is not None:
-            self._to_leader.close()
-            self._to_leader = None
-
-    def _received(self, data: bytes) -> None:
+        if self._leader_link is None or now_s > self._contacted_s + RECONNECT_AFTER_S:
+            self._close_leader_link()
+            self._contacted_s = now_s
+            self._leader_link = dial(self._leader.address)
+        self._leader_link.send(msgspec.msgpack.encode(report))
+
+    def _close_leader_link(self) -> None:
+        if self._leader_link is not None:
+            self._leader_link.close()
+            self._leader_link = None
+
+    def _on_message(self, data: bytes) -> None:
         try:
             message = msgspec.msgpack.decode(
                 data,
-                type=Report | News | Everything | AskedHolds | ToldHolds,
+                type=Report
+                | LeaderUpdate
+                | StoreSnapshot
+                | HoldsRequest
+                | HoldsResponse,
             )
         except msgspec.DecodeError as error:
             log.warning("a host's message can't be read: {}", error)
             return
         if isinstance(message, Report):
-            if self._telling.leads:
-                self._take(message)
-                self._telling.answer(message)
-        elif isinstance(message, News):
-            self._received_news(message)
-        elif isinstance(message, Everything):
-            self._received_everything(message)
-        elif isinstance(message, AskedHolds):
-            self.on_asked(message)
+            if self._broadcaster.leads:
+                self._process_report(message)
+                self._broadcaster.note_report(message)
+        elif isinstance(message, LeaderUpdate):
+            self._on_update(message)
+        elif isinstance(message, StoreSnapshot):
+            self._on_snapshot(message)
+        elif isinstance(message, HoldsRequest):
+            self.on_holds_request(message)
         else:
-            self.on_told(message)
+            self.on_holds_response(message)
 
-    def _take(self, report: Report) -> None:
+    def _process_report(self, report: Report) -> None:
         for service, counts in report.requests.items():
             self.on_requests(service, counts)
         for service, loads in report.loads.items():
             for server_id, load in loads.items():
-                seen = LoadSeen(
+                reported = LoadSeen(
                     running=load.running,
                     waiting=load.waiting,
                     answers=load.answers,
@@ -263,56 +272,62 @@
                     quick_s=load.quick_s,
                     unanswered=load.unanswered,
                 )
-                self.on_load(service, server_id, seen)
+                self.on_load(service, server_id, reported)
 
-    def _received_news(self, news: News) -> None:
-        if not self._is_followed(news):
+    def _on_update(self, update: LeaderUpdate) -> None:
+        if not self._is_from_leader(update):
             return
-        now_s = self._heard_s = self._news_s = self._reactor.seconds()
-        self._fed_until_s = float("-inf")
-        self._note_hosts(news.hosts)
-        if news.age_s is not None:
-            self._fed_until_s = now_s - news.age_s + FED_S
-            self.on_events(*self._events(news))
-        for one in news.granted:
-            self.on_granted(one.service, one.first, one.last, one.token)
-
-    def _note_hosts(self, hosts: int) -> None:
-        self._hosts = hosts
-        self.on_hosts(hosts)
-
-    def _received_everything(self, told: Everything) -> None:
-        if not self._is_followed(told):
+        now_s = self._contacted_s = self._updated_s = self._reactor.seconds()
+        self._changes_valid_until_s = float("-inf")
+        self._set_host_count(update.host_count)
+        if update.age_s is not None:
+            self._changes_valid_until_s = now_s - update.age_s + CHANGES_VALID_S
+            self.on_events(*self._decode_events(update))
+        for grant in update.granted:
+            self.on_granted(grant.service, grant.first, grant.last, grant.token)
+
+    def _set_host_count(self, host_count: int) -> None:
+        self._host_count = host_count
+        self.on_host_count(host_count)
+
+    def _on_snapshot(self, snapshot: StoreSnapshot) -> None:
+        if not self._is_from_leader(snapshot):
             return
         try:
-            items = [decoded(one, item=lambda key: None) for one in told.items]
+            items = [
+                decode_change(change, item=lambda key: None)
+                for change in snapshot.items
+            ]
         except (UnknownBaseError, InputError) as error:
             log.info("all items not taken: {}", error)
             return
-        found = tuple(one for one in items if isinstance(one, Item))
-        self.on_page(Page(items=found, revision=told.revision))
+        stored = tuple(item for item in items if isinstance(item, Item))
+        self.on_page(Page(items=stored, revision=snapshot.revision))
 
-    def _is_followed(self, news: News | Everything) -> bool:
+    def _is_from_leader(self, update: LeaderUpdate | StoreSnapshot) -> bool:
         """Whether the latest leader tells this: what a former one tells is old."""
-        if news.term > self.followed_revision:
-            self._follow_told(news)
-        return news.term == self.followed_revision and news.leader == self._leader
+        if update.term > self.followed_revision:
+            self._follow_sender(update)
+        return update.term == self.followed_revision and update.leader == self._leader
 
-    def _follow_told(self, news: News | Everything) -> None:
+    def _follow_sender(self, update: LeaderUpdate | StoreSnapshot) -> None:
         """Follow a later leader, of whom the store has not told this host."""
         log.info(
             "following the leader that has told so",
-            extra={"host": news.leader.host, "revision": news.term},
+            extra={"host": update.leader.host, "revision": update.term},
         )
-        if self._telling.leads:
+        if self._broadcaster.leads:
             self.on_superseded()
-        self._set_leader(news.leader, news.term)
+        self._set_leader(update.leader, update.term)
 
-    def _events(self, news: News) -> tuple[int, Events]:
+    def _decode_events(self, update: LeaderUpdate) -> tuple[int, Events]:
         try:
-            changes = tuple(decoded(one, item=self.item) for one in news.changes)
+            changes = tuple(
+                decode_change(change, item=self.stored_item)
+                for change in update.changes
+            )
         except (UnknownBaseError, InputError) as error:
             # As if the message had been lost: the store has what it told.
             log.info("changes not told in full: {}", error)
-            return news.revision, Events(changes=(), revision=news.revision)
-        return news.after_revision, Events(changes=changes, revision=news.revision)
+            return update.revision, Events(changes=(), revision=update.revision)
+        return update.after_revision, Events(changes=changes, revision=update.revision)
--- a/src/gentianwharf/entryhost/_rules.py
+++ b/src/gentianwharf/entryhost/_rules.py
@@ -12,7 +12,7 @@
 from gentianwharf.runs import Run
 from gentianwharf.store import Item
 
-NO_RULES_YET = Problem(
+NO_RULES = Problem(
     status=503,
     title="this host has just started and knows no rules yet",
     run=Run.NOT_RUN,
@@ -20,7 +20,7 @@
     step="match",
 )
 
-UNREAD_RULE = Problem(
+UNREADABLE_RULE = Problem(
     status=503,
     title="this host can't read the rule for this request",
     run=Run.NOT_RUN,
@@ -31,7 +31,7 @@
 """Another host, of a later release, may serve it at once; where none can, callers come
 back for nothing, but are not told for good that their request is wrong."""
 
-MOST_SHOWN_PARTS = 5
+MAX_LOGGED_PARTS = 5
 """Unread parts that one line names; the metric counts them all."""
 
 
@@ -45,7 +45,7 @@
         self._rules: RuleSet | None = None
         self._unread_rules: frozenset[str] = frozenset()
         self._now_s = now_s
-        self._behind_since_s: float | None = None
+        self._refused_since_s: float | None = None
 
     @property
     def version(self) -> int:
@@ -53,14 +53,14 @@
         return self.configuration.version if self.configuration else 0
 
     def refused_s(self) -> float:
-        """Return for how long a newer configuration is known and not in force.
+        """Return for how long a newer configuration is current and not in force.
 
         Without it a host that refuses what all others have in force can't be told from
         one that has not heard of it.
         """
-        if self._behind_since_s is None:
+        if self._refused_since_s is None:
             return 0.0
-        return self._now_s() - self._behind_since_s
+        return self._now_s() - self._refused_since_s
 
     def unread(self) -> int:
         """Return how many parts of the configuration in force can't be read."""
@@ -70,20 +70,20 @@
         """Follow the configuration in the store; what doesn't fit changes nothing."""
         if item is None:
             return
-        if self._behind_since_s is None:
+        if self._refused_since_s is None:
             # Until it is in force, whatever keeps it from that: a refusal, or a fault.
-            self._behind_since_s = self._now_s()
+            self._refused_since_s = self._now_s()
         try:
             configuration = decode_configuration(item.value)
         except InputError as error:
             self._log_refused(item, error)
             return
-        known = self.configuration
-        if known is None or configuration.version > known.version:
-            self._put_in_force(configuration, item)
-        self._behind_since_s = None
+        current = self.configuration
+        if current is None or configuration.version > current.version:
+            self._activate(configuration, item)
+        self._refused_since_s = None
 
-    def _put_in_force(self, configuration: Configuration, item: Item) -> None:
+    def _activate(self, configuration: Configuration, item: Item) -> None:
         self._rules = RuleSet(
             document=configuration.document,
             revision=item.revision,
@@ -101,14 +101,14 @@
     def _log_unread(self, configuration: Configuration) -> None:
         if not configuration.unread:
             return
-        shown = "; ".join(
-            f"{one.part}: {one.reason}"
-            for one in configuration.unread[:MOST_SHOWN_PARTS]
+        details = "; ".join(
+            f"{problem.part}: {problem.reason}"
+            for problem in configuration.unread[:MAX_LOGGED_PARTS]
         )
         log.error(
             "configuration in force but for {} parts: {}",
             len(configuration.unread),
-            shown,
+            details,
             extra={"version": configuration.version},
         )
 
@@ -131,10 +131,10 @@
         that no rule matches: its callers should come back.
         """
         if self._rules is None:
-            raise replace(NO_RULES_YET)
+            raise replace(NO_RULES)
         match = self._rules.match(facts)
         if match is not None and match.rule.name in self._unread_rules:
-            raise replace(UNREAD_RULE)
+            raise replace(UNREADABLE_RULE)
         return match
 
     def sent_to(self, match: RuleMatch, service: str) -> RuleMatch:
--- a/tests/builders_peers.py
+++ b/tests/builders_peers.py
@@ -8,9 +8,9 @@
 from twisted.internet.task import Clock
 
 from gentianwharf.entryhost import _peers
-from gentianwharf.entryhost._messages import HostAddress
+from gentianwharf.entryhost._broadcaster import StorePosition
+from gentianwharf.entryhost._peer_messages import HostAddress
 from gentianwharf.entryhost._peers import Peers
-from gentianwharf.entryhost._telling import Known
 from gentianwharf.store import Events, Item
 from tests.builders_store import LinkNet
 
@@ -30,7 +30,7 @@
     granted: list[tuple[str, int, int, int]] = field(default_factory=list)
     requests: list[tuple[str, Mapping[int, float]]] = field(default_factory=list)
     changes: dict[int, Events] = field(default_factory=dict)
-    lacks_after: int | None = None
+    missing_after: int | None = None
     hosts: int = 0
 
     def __post_init__(self) -> None:
@@ -39,18 +39,18 @@
         peers.on_granted = lambda *granted: self.granted.append(granted)
         peers.on_requests = lambda name, counts: self.requests.append((name, counts))
         peers.on_load = lambda service, server, seen: None
-        peers.on_hosts = lambda hosts: setattr(self, "hosts", hosts)
-        peers.known = self.known
-        peers.item = self.items.get
+        peers.on_host_count = lambda hosts: setattr(self, "hosts", hosts)
+        peers.store_position = self.known
+        peers.stored_item = self.items.get
         peers.changes_after = self.changes.get
-        peers.lacks_after = lambda: self.lacks_after
+        peers.missing_after = lambda: self.missing_after
         peers.start()
 
-    def known(self) -> Known | None:
+    def known(self) -> StorePosition | None:
         """Return up to where this host knows the store."""
         if self.revision is None:
             return None
-        return Known(revision=self.revision, age_s=self.age_s)
+        return StorePosition(revision=self.revision, age_s=self.age_s)
 
 
 @dataclass
@@ -74,11 +74,14 @@
     monkeypatch.setattr(_peers, "dial", net.dial)
     monkeypatch.setattr(_peers, "NngListener", net.listen)
     hosts = [host_of(clock, number) for number in range(3)]
-    listed = [HostAddress(one.peers.name.host, one.peers.name.address) for one in hosts]
+    listed = [
+        HostAddress(one.peers.identity.host, one.peers.identity.address)
+        for one in hosts
+    ]
     for one in hosts:
-        one.peers.roster.note_listed(listed)
+        one.peers.membership.note_listed(listed)
         one.peers.follow(leader_item(hosts[0]))
-    hosts[0].peers.begin_to_lead(5)
+    hosts[0].peers.start_leading(5)
     trio = Trio(clock=clock, net=net, hosts=hosts)
     trio.run(1)
     return trio
@@ -101,5 +104,5 @@
 
 def leader_item(host: Told, *, revision: int = 5) -> Item:
     """Return what stands in the store while a host leads."""
-    value = msgspec.json.encode(host.peers.name)
+    value = msgspec.json.encode(host.peers.identity)
     return Item(key="leader", value=value, revision=revision)
--- a/tests/test_entryhost_catching_up.py
+++ b/tests/test_entryhost_catching_up.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from gentianwharf.entryhost._messages import Report
+from gentianwharf.entryhost._peer_messages import Report
 from tests.builders_peers import TICK_S, Trio, host_of, make_trio
 from tests.builders_store import LinkNet, events, item
 
@@ -33,7 +33,7 @@
     lacking = events(13, item("rules", 12, random_bytes(60_000)), item("a", 13))
     leader.changes[10] = lacking
     leader.revision = 13
-    follower.lacks_after = 10
+    follower.missing_after = 10
     trio.run(0.5)
     assert (10, lacking) in follower.events
     assert (10, lacking) not in other.events
@@ -45,7 +45,7 @@
     leader, follower, _ = trio.hosts
     leader.changes[10] = events(13, item("a", 13))
     leader.revision = None
-    follower.lacks_after = 10
+    follower.missing_after = 10
     trio.run(1)
     assert (10, leader.changes[10]) not in follower.events
 
@@ -57,7 +57,7 @@
     leader.changes[10] = lacking
     leader.revision = 12
     for one in followers:
-        one.lacks_after = 10
+        one.missing_after = 10
     trio.run(0.5)
     told = [one.events.count((10, lacking)) for one in followers]
     assert sum(told) == 1
@@ -70,7 +70,7 @@
 ) -> None:
     """Of 30 hosts that the store turned away half were told nothing for 9 s."""
     leader = host_of(trio.clock, 0, link_bytes_per_s=25_000_000)
-    leader.peers.begin_to_lead(7)
+    leader.peers.start_leading(7)
     lacking = events(12, item("rules", 12, random_bytes(80_000)))
     leader.changes[10] = lacking
     leader.revision = 12
@@ -81,7 +81,9 @@
             "lacking" if len(data) > 80_000 else "news"
         )
         report = Report(f"other{number}", address, {}, {}, 10)
-        trio.net.listeners[leader.peers.name.address](msgspec.msgpack.encode(report))
+        trio.net.listeners[leader.peers.identity.address](
+            msgspec.msgpack.encode(report)
+        )
         trio.clock.advance(TICK_S)
     assert told.count("lacking") == 30
 
@@ -104,10 +106,10 @@
         trio.net.listeners[address] = listener(address)
     for _ in range(4):
         for address in addresses:
-            lacks_after = 10 if address not in told else None
-            report = Report(address, address, {}, {}, lacks_after)
+            missing_after = 10 if address not in told else None
+            report = Report(address, address, {}, {}, missing_after)
             encoded = msgspec.msgpack.encode(report)
-            trio.net.listeners[leader.peers.name.address](encoded)
+            trio.net.listeners[leader.peers.identity.address](encoded)
         trio.run(0.9)
     assert len(told) == 30
 
@@ -128,7 +130,7 @@
     for host, address in (("a", "a:1"), ("b", "b:1"), ("b", "b:2")):
         trio.net.listeners[address] = listener(address)
         report = msgspec.msgpack.encode(Report(host, address, {}, {}, 10))
-        trio.net.listeners[leader.peers.name.address](report)
+        trio.net.listeners[leader.peers.identity.address](report)
     trio.run(2)
     assert told == ["a:1", "b:2"]
 
@@ -144,10 +146,10 @@
     leader.changes[10] = events(13, *lacking)
     leader.changes[11] = events(13, *lacking[1:])
     leader.revision = 13
-    follower.lacks_after = 10
+    follower.missing_after = 10
     trio.run(0.5)
     assert (10, events(11, lacking[0])) in follower.events
-    follower.lacks_after = 11
+    follower.missing_after = 11
     trio.run(1)
     # Changes of one revision stay together, or it would not be known up to which one.
     assert (11, events(13, *lacking[1:])) in follower.events
--- a/tests/test_entryhost_compression.py
+++ b/tests/test_entryhost_compression.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gentianwharf.entryhost._compression import compressed, decompressed
+from gentianwharf.entryhost._compression import compress, decompress
 from gentianwharf.errors import InputError
 from tests.builders_users_platform import configuration, route
 
@@ -33,18 +33,18 @@
     after = before | {name: before[name] | {"timeout": "777ms"}}
     base = configuration(routes=before, version="r7")
     value = configuration(routes=after, version="r8")
-    packed = compressed(value, base)
+    packed = compress(value, base)
     assert len(packed) < FEW_BYTES
-    assert decompressed(packed, base) == value
+    assert decompress(packed, base) == value
 
 
 def test_rules_that_were_added_are_told_without_the_others() -> None:
     before = routes(3_500)
     base = configuration(routes=dict(sorted(before.items())))
     value = configuration(routes=dict(sorted((before | routes(20)).items())))
-    packed = compressed(value, base)
+    packed = compress(value, base)
     assert len(packed) < 2 * FEW_BYTES
-    assert decompressed(packed, base) == value
+    assert decompress(packed, base) == value
 
 
 @pytest.mark.parametrize("seed", range(50))
@@ -55,7 +55,7 @@
     middle = rng.randrange(len(base) + 1)
     value = base[middle:] + b"".join(rng.choices(alphabet, k=9)) + base[:middle]
     for former in (b"", base):
-        assert decompressed(compressed(value, former), former) == value
+        assert decompress(compress(value, former), former) == value
 
 
 @pytest.mark.parametrize(
@@ -64,10 +64,10 @@
         b"",
         b"\x00",
         b"x" * 40,
-        compressed(b"alone", b""),
-        compressed(b"[1],[2]" * 50, b"[1],[3]" * 50),
+        compress(b"alone", b""),
+        compress(b"[1],[2]" * 50, b"[1],[3]" * 50),
     ],
 )
 def test_what_was_packed_against_another_value_is_refused(data: bytes) -> None:
-    with pytest.raises(InputError, match="can't be unpacked"):
-        decompressed(data, json.dumps([1, 2]).encode() * 100)
+    with pytest.raises(InputError, match="can't be decompressed"):
+        decompress(data, json.dumps([1, 2]).encode() * 100)
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -11,7 +11,11 @@
 
 from gentianwharf.entryhost import _former_leader
 from gentianwharf.entryhost._former_leader import FormerLeader
-from gentianwharf.entryhost._messages import AskedHolds, LeaderItem, ToldHolds
+from gentianwharf.entryhost._peer_messages import (
+    HoldsRequest,
+    HoldsResponse,
+    HostIdentity,
+)
 from gentianwharf.keyspace import Former, Holder, Keeper, KeyTable, Leadership, Span
 from gentianwharf.keyspace._keeper import GRANT_TIMEOUT_S
 from gentianwharf.keyspace._leadership import Term
@@ -29,14 +33,14 @@
 class Leader:
     """One host's keeper and its part as a former or a new leader."""
 
-    name: LeaderItem
+    identity: HostIdentity
     keeper: Keeper
     leadership: Leadership
     former: FormerLeader
 
     def word(self, *, is_settled: bool = True) -> Former:
         """Return what it has left in the store."""
-        value = msgspec.json.encode(self.name)
+        value = msgspec.json.encode(self.identity)
         return Former(value=value, is_settled=is_settled, held_s=None)
 
 
@@ -56,33 +60,35 @@
     def host(self, number: int, *, process: int = 1) -> Leader:
         """Return a host that has just started."""
         clock = self.clock
-        name = LeaderItem(f"h{number}", f"10.1.0.{number}:90", process)
+        identity = HostIdentity(f"h{number}", f"10.1.0.{number}:90", process)
         leadership = Leadership(
             store=SimpleStore(clock),
             key="leader",
             former_key="former",
-            value=msgspec.json.encode(name),
+            value=msgspec.json.encode(identity),
             now_s=clock.seconds,
             rng=Random(number),
         )
         keeper = Keeper(orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds)
         former = FormerLeader(
-            name=name,
+            identity=identity,
             keeper=keeper,
             leadership=leadership,
             timing=TIMING,
             reactor=clock,
         )
-        leader = Leader(name, keeper, leadership, former)
+        leader = Leader(identity, keeper, leadership, former)
 
         def received(data: bytes) -> None:
-            message: Any = msgspec.msgpack.decode(data, type=AskedHolds | ToldHolds)
-            if isinstance(message, AskedHolds):
-                leader.former.note_asked(message)
+            message: Any = msgspec.msgpack.decode(
+                data, type=HoldsRequest | HoldsResponse
+            )
+            if isinstance(message, HoldsRequest):
+                leader.former.handle_request(message)
             else:
-                leader.former.note_told(message)
+                leader.former.handle_response(message)
 
-        self.net.listeners[name.address] = received
+        self.net.listeners[identity.address] = received
         return leader
 
     def lead(self, host: Leader, *, revision: int) -> None:
@@ -171,7 +177,7 @@
     former.keeper.stop()
     restarted = place.host(1, process=2)
     if not reached:
-        place.net.cut.add(former.name.address)
+        place.net.cut.add(former.identity.address)
     place.lead(leader, revision=9)
     leader.former.ask(former.word(is_settled=not reached))
     place.move(leader)
@@ -194,9 +200,9 @@
 ) -> None:
     former, leader = led_until_replaced(place)
     place.lead(leader, revision=9)
-    place.net.cut.add(former.name.address)
+    place.net.cut.add(former.identity.address)
     leader.former.ask(former.word())
-    leader.former.note_told(ToldHolds(7, 9, None))
+    leader.former.handle_response(HoldsResponse(7, 9, None))
     assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
 
 
@@ -208,7 +214,7 @@
     """
     former, leader = led_until_replaced(place)
     place.lead(leader, revision=15)
-    place.net.cut.add(former.name.address)
+    place.net.cut.add(former.identity.address)
     leader.former.ask(former.word())
-    leader.former.note_told(ToldHolds(former.name.process, 9, None))
+    leader.former.handle_response(HoldsResponse(former.identity.incarnation, 9, None))
     assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
--- a/tests/test_entryhost_host_list.py
+++ b/tests/test_entryhost_host_list.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from gentianwharf.entryhost._host_list import WRITE_EVERY_S
-from gentianwharf.entryhost._roster import FORGOTTEN_S
+from gentianwharf.entryhost._host_list import WRITE_INTERVAL_S
+from gentianwharf.entryhost._membership import REMOVE_AFTER_S
 from gentianwharf.entryhost._store_keys import HOSTS_KEY
 from tests.builders_entryhost import Fleet
 
@@ -13,7 +13,7 @@
 @pytest.fixture
 def fleet(monkeypatch: pytest.MonkeyPatch) -> Fleet:
     fleet = Fleet(monkeypatch, hosts=HOSTS)
-    fleet.run(4 + 2 * WRITE_EVERY_S)
+    fleet.run(4 + 2 * WRITE_INTERVAL_S)
     return fleet
 
 
@@ -31,7 +31,7 @@
     """Each write is paid, and told to all hosts."""
     for one in fleet.hosts:
         one.way.calls.clear()
-    fleet.run(10 * WRITE_EVERY_S)
+    fleet.run(10 * WRITE_INTERVAL_S)
     assert [one.way.calls.count("change") for one in fleet.hosts] == [0] * HOSTS
 
 
@@ -40,14 +40,14 @@
     gone.control.stop()
     fleet.hosts.remove(gone)
     fleet.net.cut.add(gone.address)
-    fleet.run(FORGOTTEN_S + 3 * WRITE_EVERY_S)
+    fleet.run(REMOVE_AFTER_S + 3 * WRITE_INTERVAL_S)
     assert listed(fleet) == HOSTS - 1
 
 
 @pytest.mark.parametrize("value", [b"", b"{}", b"[[1]]"])
 def test_list_that_can_t_be_read_is_written_anew(fleet: Fleet, value: bytes) -> None:
     fleet.write(HOSTS_KEY, value)
-    fleet.run(2 * WRITE_EVERY_S)
+    fleet.run(2 * WRITE_INTERVAL_S)
     assert listed(fleet) == HOSTS
 
 
--- a/tests/test_entryhost_keys.py
+++ b/tests/test_entryhost_keys.py
@@ -4,7 +4,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from gentianwharf.entryhost._keys import MOST_WAIT_S, MOVING_S, KeyHolders
+from gentianwharf.entryhost._keys import MAX_WAIT_S, MOVE_WAIT_S, KeyHolders
 from gentianwharf.keyspace import KeyTable
 from gentianwharf.relay import Owner, Problem, Ticket
 from gentianwharf.topology import BackendServer
@@ -40,7 +40,7 @@
 ) -> KeyHolders:
     names = {name: server(name) for name in listed}
     keys = KeyHolders(server_of=names.get, reactor=clock)
-    keys.take(current)
+    keys.set_table(current)
     return keys
 
 
@@ -69,12 +69,12 @@
     """A family's request is refused by the new holder, which has no grant yet."""
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)))
-    keys.hears_leader = lambda: True
-    keys.take(table(span(0, 9, 2, token=2, former=(1,))))
+    keys.receives_updates = lambda: True
+    keys.set_table(table(span(0, 9, 2, token=2, former=(1,))))
     asked = ask(keys)
-    clock.advance(MOVING_S / 2)
+    clock.advance(MOVE_WAIT_S / 2)
     assert result(asked) is None
-    keys.open(SERVICE, 0, 2)
+    keys.note_granted(SERVICE, 0, 2)
     found = result(asked)
     assert found is not None
     assert found.server.id == "s2"
@@ -87,8 +87,8 @@
     """
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
-    keys.hears_leader = lambda: True
-    clock.advance(MOVING_S + 0.5)
+    keys.receives_updates = lambda: True
+    clock.advance(MOVE_WAIT_S + 0.5)
     keys.not_owner(ticket(), Owner(server=server("s2"), shard=5, token=2, deadline_s=9))
     asked = ask(keys)
     refused = []
@@ -101,7 +101,7 @@
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
     asked = ask(keys)
-    clock.advance(MOVING_S + 0.01)
+    clock.advance(MOVE_WAIT_S + 0.01)
     found = result(asked)
     assert found is not None
     assert found.server.id == "s2"
@@ -113,7 +113,7 @@
     asked = ask(keys)
     failures = []
     asked.addErrback(lambda failure: failures.append(failure.check(Problem)))
-    clock.advance(MOST_WAIT_S + 0.01)
+    clock.advance(MAX_WAIT_S + 0.01)
     assert failures == [Problem]
 
 
@@ -121,7 +121,7 @@
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)), listed=("s2",))
     asked = ask(keys)
-    keys.take(table(span(0, 9, 2, token=2)))
+    keys.set_table(table(span(0, 9, 2, token=2)))
     found = result(asked)
     assert found is not None
     assert found.server.id == "s2"
--- a/tests/test_entryhost_metrics.py
+++ b/tests/test_entryhost_metrics.py
@@ -1,6 +1,6 @@
 """What on-call engineers read of a host: bounded, whatever callers and rules bring."""
 
-from gentianwharf.entryhost._metrics import MOST_SERIES, HostMetrics
+from gentianwharf.entryhost._metrics import MAX_SERIES, HostMetrics
 from gentianwharf.relay import Answered, Run, Ticket
 
 
@@ -48,8 +48,8 @@
 def test_series_are_bounded() -> None:
     """A configuration a second, each with new classes, fills the memory of a host."""
     metrics = HostMetrics()
-    for number in range(2 * MOST_SERIES):
+    for number in range(2 * MAX_SERIES):
         metrics.answered(answered(request_class=f"class-{number}"))
     lines = [one for one in metrics.text().splitlines() if "answers_total{" in one]
-    assert len(lines) <= MOST_SERIES + 1
+    assert len(lines) <= MAX_SERIES + 1
     assert any('class="other"' in one for one in lines)
--- a/tests/test_entryhost_peers.py
+++ b/tests/test_entryhost_peers.py
@@ -6,8 +6,8 @@
 import pytest
 from twisted.internet.task import Clock
 
-from gentianwharf.entryhost._messages import HostAddress, Report
-from gentianwharf.entryhost._peers import FED_S
+from gentianwharf.entryhost._peer_messages import HostAddress, Report
+from gentianwharf.entryhost._peers import CHANGES_VALID_S
 from gentianwharf.keyspace import Span
 from gentianwharf.store import Events, Removal
 from tests.builders_keyspace import span
@@ -25,10 +25,10 @@
 def test_changes_are_told_as_the_watch_brought_them(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     brought = events(12, item("a", 11, b"1"), Removal(key="b", revision=12))
-    leader.peers.tell_events(10, brought)
+    leader.peers.broadcast_events(10, brought)
     assert follower.events[-1] == (10, brought)
-    assert follower.peers.is_fed()
-    assert not leader.peers.is_fed(), "the leader watches"
+    assert follower.peers.receives_changes()
+    assert not leader.peers.receives_changes(), "the leader watches"
 
 
 def test_all_know_how_many_hosts_there_are(trio: Trio) -> None:
@@ -46,9 +46,9 @@
     # The leader is lost or frozen: its lease runs on for a second, and until somebody
     # else leads nobody tells what changes in the store.
     _, follower, _ = trio.hosts
-    trio.net.cut.add(follower.peers.name.address)
-    trio.run(FED_S + 2 * TICK_S)
-    assert not follower.peers.is_fed()
+    trio.net.cut.add(follower.peers.identity.address)
+    trio.run(CHANGES_VALID_S + 2 * TICK_S)
+    assert not follower.peers.receives_changes()
 
 
 def test_a_leader_that_does_not_hear_the_store_feeds_nobody(trio: Trio) -> None:
@@ -57,8 +57,8 @@
     leader, follower, _ = trio.hosts
     leader.revision = None
     trio.run(1)
-    assert not follower.peers.is_fed()
-    assert follower.peers.hears_leader(), "what it says of moves still holds"
+    assert not follower.peers.receives_changes()
+    assert follower.peers.receives_updates(), "what it says of moves still holds"
 
 
 def test_a_leader_that_resigns_says_so(trio: Trio) -> None:
@@ -66,8 +66,8 @@
     # in which no grant is renewed.
     leader, follower, _ = trio.hosts
     leader.revision = None
-    leader.peers.cease_to_lead()
-    assert not follower.peers.is_fed()
+    leader.peers.stop_leading()
+    assert not follower.peers.receives_changes()
 
 
 def test_news_of_a_former_leader_count_for_nothing(trio: Trio) -> None:
@@ -75,15 +75,15 @@
     leader, follower, other = trio.hosts
     follower.peers.follow(leader_item(other))
     told = len(follower.events)
-    leader.peers.tell_events(10, events(12, item("a", 11)))
+    leader.peers.broadcast_events(10, events(12, item("a", 11)))
     assert len(follower.events) == told
-    assert not follower.peers.is_fed()
+    assert not follower.peers.receives_changes()
 
 
 def test_moves_that_are_done_are_told(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     moved: Span = span(3, 9, 1, token=7, former=(2,))
-    leader.peers.tell_granted("roster", moved)
+    leader.peers.broadcast_grant("roster", moved)
     assert follower.granted == [("roster", 3, 9, 7)]
 
 
@@ -95,16 +95,16 @@
     """
     leader, follower, _ = trio.hosts
     messages: list[int] = []
-    listener = trio.net.listeners[follower.peers.name.address]
+    listener = trio.net.listeners[follower.peers.identity.address]
 
     def count(data: bytes) -> None:
         messages.append(len(data))
         listener(data)
 
-    trio.net.listeners[follower.peers.name.address] = count
+    trio.net.listeners[follower.peers.identity.address] = count
     for first in range(300):
         moved = span(first, first, 1, token=7, former=(2,))
-        leader.peers.tell_granted("roster", moved)
+        leader.peers.broadcast_grant("roster", moved)
     trio.run(0.2)
     assert len(follower.granted) == 300
     assert len(messages) <= 4
@@ -112,15 +112,15 @@
 
 def test_spans_that_did_not_move_are_not_told(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
-    leader.peers.tell_granted("roster", span(3, 9, 1, token=7))
+    leader.peers.broadcast_grant("roster", span(3, 9, 1, token=7))
     trio.run(0.2)
     assert follower.granted == []
 
 
 def test_requests_are_reported(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
-    follower.peers.seen.note_request("roster", 4)
-    follower.peers.seen.note_request("roster", 4)
+    follower.peers.observed.note_request("roster", 4)
+    follower.peers.observed.note_request("roster", 4)
     trio.run(0.5)
     assert leader.requests == [("roster", {4: 2})]
 
@@ -132,11 +132,11 @@
     is about to end.
     """
     leader, follower, _ = trio.hosts
-    leader.age_s = FED_S - 0.3
+    leader.age_s = CHANGES_VALID_S - 0.3
     trio.run(0.45)
-    leader.age_s = FED_S + 0.1
+    leader.age_s = CHANGES_VALID_S + 0.1
     trio.run(0.45)
-    assert not follower.peers.is_fed()
+    assert not follower.peers.receives_changes()
 
 
 def test_large_values_are_told_by_what_changed_in_them(trio: Trio) -> None:
@@ -148,16 +148,16 @@
     first = item("t", 11, bytes(range(256)) * 40)
     second = item("t", 12, first.value[:500] + b"changed" + first.value[507:])
     sizes: list[int] = []
-    listener = trio.net.listeners[follower.peers.name.address]
+    listener = trio.net.listeners[follower.peers.identity.address]
 
     def measure(data: bytes) -> None:
         sizes.append(len(data))
         listener(data)
 
-    trio.net.listeners[follower.peers.name.address] = measure
-    leader.peers.tell_events(10, events(11, first))
+    trio.net.listeners[follower.peers.identity.address] = measure
+    leader.peers.broadcast_events(10, events(11, first))
     follower.items["t"] = first
-    leader.peers.tell_events(11, events(12, second))
+    leader.peers.broadcast_events(11, events(12, second))
     assert follower.events[-1] == (11, events(12, second))
     assert sizes[-1] < 200
 
@@ -165,18 +165,18 @@
 def test_change_of_a_value_that_a_host_lacks_is_fetched(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
-    leader.peers.tell_events(10, events(11, item("t", 11, large)))
-    leader.peers.tell_events(11, events(12, item("t", 12, large + b"more")))
+    leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
+    leader.peers.broadcast_events(11, events(12, item("t", 12, large + b"more")))
     assert follower.events[-1] == (12, Events(changes=(), revision=12))
 
 
 def test_next_leader_tells_whole_values_first(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
-    leader.peers.tell_events(10, events(11, item("t", 11, large)))
-    leader.peers.cease_to_lead()
-    leader.peers.begin_to_lead(5)
-    leader.peers.tell_events(11, events(12, item("t", 12, large + b"more")))
+    leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
+    leader.peers.stop_leading()
+    leader.peers.start_leading(5)
+    leader.peers.broadcast_events(11, events(12, item("t", 12, large + b"more")))
     assert follower.events[-1] == (11, events(12, item("t", 12, large + b"more")))
 
 
@@ -192,7 +192,7 @@
     """
     leader, follower, _ = trio.hosts
     large = events(12, item("rules", 12, random_bytes(1_040_000)))
-    leader.peers.tell_events(10, large)
+    leader.peers.broadcast_events(10, large)
     assert follower.events[-1] == (12, Events(changes=(), revision=12))
 
 
@@ -202,10 +202,12 @@
     """A leader with a fast link sent what is larger than a host takes."""
     former, follower, _ = trio.hosts
     leader = host_of(trio.clock, 0, link_bytes_per_s=125_000_000)
-    leader.peers.roster.note_listed([HostAddress("h1", follower.peers.name.address)])
-    leader.peers.begin_to_lead(7)
+    leader.peers.membership.note_listed(
+        [HostAddress("h1", follower.peers.identity.address)]
+    )
+    leader.peers.start_leading(7)
     large = events(12, item("rules", 12, random_bytes(1_040_000)))
-    leader.peers.tell_events(10, large)
+    leader.peers.broadcast_events(10, large)
     assert follower.events[-1] == (12, Events(changes=(), revision=12))
 
 
@@ -228,11 +230,13 @@
     ]
     for one in others:
         net.listeners[one.address] = lambda data: None
-        net.listeners[leader.peers.name.address](msgspec.msgpack.encode(one))
+        net.listeners[leader.peers.identity.address](msgspec.msgpack.encode(one))
     leader.revision = 12
-    leader.peers.tell_events(10, events(12, item("rules", 12, random_bytes(60_000))))
+    leader.peers.broadcast_events(
+        10, events(12, item("rules", 12, random_bytes(60_000)))
+    )
     leader.revision = 13
-    leader.peers.tell_events(12, events(13, item("servers/i-1", 13, b"leaving")))
+    leader.peers.broadcast_events(12, events(13, item("servers/i-1", 13, b"leaving")))
     trio.run(1)
     assert follower.events[-1][1].revision == 13
 
@@ -245,20 +249,20 @@
     """
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
-    leader.peers.tell_events(10, events(11, item("t", 11, large)))
+    leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
     brought = events(13, item("t", 12, large + b"more"), item("a", 13, b"1"))
     follower.items["t"] = item("t", 12, large + b"more")
-    leader.peers.tell_events(11, brought)
+    leader.peers.broadcast_events(11, brought)
     assert follower.events[-1] == (11, brought)
 
 
 def test_change_older_than_what_a_host_has_brings_nothing_back(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
-    leader.peers.tell_events(10, events(11, item("t", 11, large)))
+    leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
     newest = item("t", 14, large + b"newest")
     follower.items["t"] = newest
-    leader.peers.tell_events(11, events(12, item("t", 12, large + b"more")))
+    leader.peers.broadcast_events(11, events(12, item("t", 12, large + b"more")))
     assert follower.events[-1] == (11, events(12, newest))
 
 
@@ -272,5 +276,5 @@
     _, follower, _ = trio.hosts
     known = list(follower.events)
     former = ["news", "h0", 3, [], 0.1, 10, 11, [["t", 11, b"x", 0, 0]]]
-    trio.net.listeners[follower.peers.name.address](msgspec.msgpack.encode(former))
+    trio.net.listeners[follower.peers.identity.address](msgspec.msgpack.encode(former))
     assert follower.events == known
--- a/tests/test_entryhost_rules.py
+++ b/tests/test_entryhost_rules.py
@@ -8,8 +8,8 @@
 from twisted.internet.task import Clock
 
 from gentianwharf.entryhost import EntryHost
+from gentianwharf.entryhost._answer_log import AnswerLog
 from gentianwharf.entryhost._metrics import HostMetrics
-from gentianwharf.entryhost._observer import AnswerLog
 from gentianwharf.entryhost._rules import RulesInForce
 from gentianwharf.platform import CONFIG_KEY, Configuration, decode_host_settings
 from gentianwharf.relay import Problem, Run
--- a/tests/test_entryhost_servers.py
+++ b/tests/test_entryhost_servers.py
@@ -68,7 +68,7 @@
 
     Hosts that knew a server before go on opening as many as they were allowed then.
     """
-    host._control._note_hosts(2)
+    host._control._set_host_count(2)
     assert host.relay.connections[SERVER_ID].most == 65
     seats = {"max-connections": 10}
     note_configuration(host, revision=4, services={"seats": seats, "calendar": seats})
