--- a/src/gentianwharf/early_port.py
+++ b/src/gentianwharf/early_port.py
@@ -1,17 +1,18 @@
-"""The callers' port, open before the rest of a host is loaded.
+"""Opens the callers' port before the other modules of a host are loaded.
 
-A host that starts again takes half a second to load its modules. Without a listener the
-kernel resets every caller that comes meanwhile, and most try only once more. What is
-listened to early waits in the kernel's queue and is served as soon as the host can.
+A restarted host takes half a second to load its modules. Without a listener the kernel
+resets every connection during that time, and most callers retry only once. Connections
+to an early listener wait in the kernel's queue until the host can serve them.
 
-Only the standard library is imported here: anything more would delay what it is for.
+This module imports only the standard library, since further imports would delay the
+listener.
 """
 
 import socket
 
 BACKLOG = 1024
-"""Callers' connections that wait to be accepted: after a loss of hosts the others get
-all of theirs within a moment."""
+"""Length of the queue of connections that wait to be accepted. After a loss of hosts,
+the remaining ones receive all of their callers at almost the same time."""
 
 
 def open_port(address: str) -> socket.socket:
--- a/src/gentianwharf/entry.py
+++ b/src/gentianwharf/entry.py
@@ -1,16 +1,18 @@
 """Run an entry host: ``python -OO -m gentianwharf.entry``.
 
-A host that starts again serves nobody until its modules are loaded. Of what they make
-nothing is ever garbage, and looking through it again and again takes a seventh of the
-time (0.60 to 0.66 s without, 0.70 to 0.84 s with it, three starts each). So the
-collector begins when they are there. It is switched off before anything else is
-imported, which is why this module is not part of the package that it runs.
-
-The callers' port is opened first of all, where ``GENTIANWHARF_LISTEN`` in the
-environment names it: whoever comes while modules are loaded waits, and isn't reset.
-
-Settings may change while a host starts, and a SIGHUP that nobody handles ends the
-process. So it is noted from the first moment on.
+A restarted host cannot serve requests until its modules are loaded. The objects that
+imports create are never garbage, and repeated scans by the garbage collector take about
+a seventh of the loading time (0.60 to 0.66 s without the collector, 0.70 to 0.84 s with
+it, three starts each). The collector is therefore disabled before anything else is
+imported, and enabled once loading has finished. This module is outside the package that
+it runs because importing the package would come first.
+
+If the environment variable ``GENTIANWHARF_LISTEN`` is set, the callers' port is opened
+before the imports: callers that connect during loading wait in the kernel's queue and
+are not reset.
+
+Settings may change while a host starts, and an unhandled SIGHUP ends the process. A
+handler that records the signal is therefore installed first.
 """
 
 import gc
@@ -24,7 +26,7 @@
 gc.disable()
 signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
 callers_port = None
-# Of a port that can't be had the host itself tells, when it tries once more.
+# If the port cannot be opened here, the host tries again and reports the error.
 with suppress(KeyError, ValueError, OSError):
     callers_port = open_port(os.environ["GENTIANWHARF_LISTEN"])
 
--- a/src/gentianwharf/http_agent.py
+++ b/src/gentianwharf/http_agent.py
@@ -1,4 +1,4 @@
-"""An HTTP client that connects to IP numbers only and starts no thread."""
+"""HTTP client that connects to IP addresses only and starts no thread."""
 
 from collections.abc import Callable
 from ipaddress import IPv6Address, ip_address
@@ -16,7 +16,8 @@
 __all__ = ["BytesBody", "ip_agent"]
 
 Reactor = Any
-"""An ``IReactorTCP`` and ``IReactorTime``: zope interfaces can't be intersected."""
+"""An ``IReactorTCP`` and ``IReactorTime``; zope interfaces have no intersection
+type."""
 
 EndpointWrapper = Callable[[IStreamClientEndpoint], Any]
 
@@ -24,10 +25,10 @@
 @final
 @implementer(IAgentEndpointFactory)
 class _IpEndpoints:
-    """Connects to IP numbers only.
+    """Creates endpoints for IP addresses only.
 
-    Twisted looks names up in a thread pool, and IP numbers too; this project runs one
-    thread, and its settings name addresses by number.
+    Twisted resolves host names in a thread pool, and passes IP addresses through it
+    too. This project is single-threaded, and its settings contain IP addresses only.
     """
 
     def __init__(
@@ -65,9 +66,9 @@
     connect_timeout_s: float,
     wrap_endpoint: EndpointWrapper = lambda endpoint: endpoint,
 ) -> IAgent:
-    """Return an HTTP agent that connects to IP numbers only and starts no thread.
+    """Return an HTTP agent that connects to IP addresses only and starts no thread.
 
-    ``wrap_endpoint`` may change how an endpoint connects.
+    ``wrap_endpoint`` may replace each endpoint by one that connects differently.
     """
     endpoints = _IpEndpoints(
         reactor=reactor,
@@ -80,9 +81,9 @@
 @final
 @implementer(IBodyProducer)
 class BytesBody:
-    """Writes a small body in one go.
+    """Writes a small request body at once.
 
-    treq's own producer takes turns on the global reactor, not on the one given here.
+    treq's own producer is scheduled on the global reactor instead of the given one.
     """
 
     def __init__(self, *, body: bytes) -> None:
@@ -95,10 +96,10 @@
         return succeed(None)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Nothing is left to pause."""
+        """Do nothing: the body has already been written."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Nothing is left to resume."""
+        """Do nothing: the body has already been written."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Nothing is left to stop."""
+        """Do nothing: the body has already been written."""
