--- a/tests/builders_entryhost.py
+++ b/tests/builders_entryhost.py
@@ -34,12 +34,12 @@
 
 
 @dataclass
-class HostWay:
+class FakeStore:
     """One host's way to the store, on which a test may let calls fail."""
 
-    items_: Items
+    backend: Items
     clock: Clock
-    is_turned_away: bool = False
+    refuses_calls: bool = False
     loses_watches: bool = False
     is_silent: bool = False
     history_is_gone: bool = False
@@ -48,64 +48,64 @@
 
     async def items(self, prefix: str) -> Page:
         """Return what stands below a prefix."""
-        await self._begin("items")
+        await self._begin_call("items")
         page = Page(
-            items=tuple(self.items_.below(prefix)), revision=self.items_.revision
+            items=tuple(self.backend.below(prefix)), revision=self.backend.revision
         )
-        await self._bring(page.items)
+        await self._transfer(page.items)
         return page
 
     async def watch(self, prefix: str, *, after_revision: int, wait_s: float) -> Events:
         """Wait for a change; a watch that is lost ends a second after its wait."""
-        await self._begin("watch", wait_s=wait_s)
+        await self._begin_call("watch", wait_s=wait_s)
         if self.history_is_gone:
             await deferLater(self.clock, TICK_S)
             raise HistoryGoneError("gone", step="watch", peer="store")
         end_s = self.clock.seconds() + wait_s
         while not self.loses_watches and self.clock.seconds() < end_s:
-            changes = self.items_.changes_after(prefix, after_revision)
+            changes = self.backend.changes_after(prefix, after_revision)
             if changes:
                 break
             await deferLater(self.clock, TICK_S / 2)
         if self.loses_watches:
             await deferLater(self.clock, end_s + ANSWER_S - self.clock.seconds())
             raise PeerUnavailableError("lost", step="watch", peer="store")
-        found = self.items_.changes_after(prefix, after_revision) or []
-        events = Events(changes=tuple(found), revision=self.items_.revision)
-        await self._bring(events.changes)
+        found = self.backend.changes_after(prefix, after_revision) or []
+        events = Events(changes=tuple(found), revision=self.backend.revision)
+        await self._transfer(events.changes)
         return events
 
     async def change(self, change: Change) -> int:
         """Make a change."""
-        await self._begin("change")
+        await self._begin_call("change")
         try:
-            return self.items_.change(change)
+            return self.backend.change(change)
         except ConditionError as error:
             raise ConflictError("condition", step="change", peer="store") from error
 
     async def open_lease(self, duration_s: float) -> int:
         """Open a lease."""
-        await self._begin("open_lease")
-        return self.items_.open_lease(duration_s)
+        await self._begin_call("open_lease")
+        return self.backend.open_lease(duration_s)
 
     async def renew_lease(self, lease_id: int) -> float:
         """Let a lease begin anew."""
-        await self._begin("renew_lease")
+        await self._begin_call("renew_lease")
         try:
-            return self.items_.renew_lease(lease_id)
+            return self.backend.renew_lease(lease_id)
         except UnknownLeaseError as error:
             raise LeaseEndedError("none", step="renew", peer="store") from error
 
-    async def _bring(self, changes: Sequence[Item | Removal]) -> None:
+    async def _transfer(self, changes: Sequence[Item | Removal]) -> None:
         """Let the time pass that values, as base64, take on this host's link."""
         values = [one.value for one in changes if isinstance(one, Item)]
         transfer_s = sum(len(one) for one in values) * 4 / 3 / self.bytes_per_s
         if transfer_s > 0:
             await deferLater(self.clock, transfer_s)
 
-    async def _begin(self, call: str, *, wait_s: float = 0.0) -> None:
+    async def _begin_call(self, call: str, *, wait_s: float = 0.0) -> None:
         self.calls.append(call)
-        if self.is_turned_away:
+        if self.refuses_calls:
             raise PeerUnavailableError("turned away", step=call, peer="store")
         if self.is_silent:
             await deferLater(self.clock, wait_s + ANSWER_S)
@@ -118,7 +118,7 @@
 
     control: Control
     address: str
-    way: HostWay
+    store: FakeStore
 
     def servers(self) -> list[str]:
         """Return the ids of the servers that this host lists."""
@@ -133,18 +133,18 @@
         self.clock.advance(100)
         self.net = LinkNet()
         self.items = Items(now_s=self.clock.seconds)
-        self.ways: list[HostWay] = []
+        self.stores: list[FakeStore] = []
         monkeypatch.setattr(_peers, "dial", self.net.dial)
         monkeypatch.setattr(_former_leader, "dial", self.net.dial)
         monkeypatch.setattr(_peers, "NngListener", self.net.listen)
-        monkeypatch.setattr(_control, "PlatformStore", self._way)
+        monkeypatch.setattr(_control, "PlatformStore", self._make_store)
         self.hosts = [self._host(number) for number in range(hosts)]
         for one in self.hosts:
             one.control.start()
 
-    def _way(self, **_: Any) -> HostWay:
-        self.ways.append(HostWay(items_=self.items, clock=self.clock))
-        return self.ways[-1]
+    def _make_store(self, **_: Any) -> FakeStore:
+        self.stores.append(FakeStore(backend=self.items, clock=self.clock))
+        return self.stores[-1]
 
     def _host(self, number: int) -> Host:
         ip = f"10.1.0.{number + 1}"
@@ -157,7 +157,7 @@
             rng=Random(number),
         )
         address = f"{ip}:{settings.first_internal_port}"
-        return Host(control=control, address=address, way=self.ways[-1])
+        return Host(control=control, address=address, store=self.stores[-1])
 
     def write(self, key: str, value: bytes) -> None:
         """Write as an operator or a server does."""
@@ -171,12 +171,12 @@
         """Let a server's entry go."""
         self.items.change(Change(removals=(f"servers/{name}",)))
 
-    def restart(self, host: Host, *, is_turned_away: bool) -> Host:
+    def restart(self, host: Host, *, refuses_calls: bool) -> Host:
         """End a host's process and start another one in its place."""
         host.control.stop()
         number = self.hosts.index(host)
         self.hosts[number] = fresh = self._host(number)
-        fresh.way.is_turned_away = is_turned_away
+        fresh.store.refuses_calls = refuses_calls
         fresh.control.start()
         return fresh
 
--- a/tests/builders_peers.py
+++ b/tests/builders_peers.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class Told:
+class RecordingHost:
     """One host's links, and what it was told."""
 
     peers: Peers
@@ -59,7 +59,7 @@
 
     clock: Clock
     net: LinkNet
-    hosts: list[Told]
+    hosts: list[RecordingHost]
 
     def run(self, duration_s: float) -> None:
         """Let all hosts tell what is due."""
@@ -73,7 +73,7 @@
     """Return hosts, all of them listed, that have followed the first one for 1 s."""
     monkeypatch.setattr(_peers, "dial", net.dial)
     monkeypatch.setattr(_peers, "NngListener", net.listen)
-    hosts = [host_of(clock, number) for number in range(3)]
+    hosts = [make_host(clock, number) for number in range(3)]
     listed = [
         HostAddress(one.peers.identity.host, one.peers.identity.address)
         for one in hosts
@@ -87,12 +87,12 @@
     return trio
 
 
-def host_of(
+def make_host(
     clock: Clock, number: int, *, link_bytes_per_s: float = SLOW_LINK_BYTES_PER_S
-) -> Told:
+) -> RecordingHost:
     """Return a host that has just started."""
     address = f"10.0.0.{number}:90"
-    return Told(
+    return RecordingHost(
         Peers(
             host=f"h{number}",
             address=address,
@@ -102,7 +102,7 @@
     )
 
 
-def leader_item(host: Told, *, revision: int = 5) -> Item:
+def leader_item(host: RecordingHost, *, revision: int = 5) -> Item:
     """Return what stands in the store while a host leads."""
     value = msgspec.json.encode(host.peers.identity)
     return Item(key="leader", value=value, revision=revision)
--- a/tests/test_daemon_shutdown.py
+++ b/tests/test_daemon_shutdown.py
@@ -66,7 +66,7 @@
     assert shutdown.phase is Phase.DRAINING
 
 
-def test_process_ends_once_answers_are_whole_and_everything_is_handed_over() -> None:
+def test_process_ends_after_the_last_answer_and_the_hand_over() -> None:
     process, clock, shutdown = start(["a"])
     run_for(clock, 10)
     assert process.hand_over_done is not None
@@ -81,7 +81,7 @@
     assert process.events.count("end") == 1
 
 
-def test_process_waits_until_written_answers_have_left() -> None:
+def test_process_waits_until_written_answers_are_sent() -> None:
     """A caller's connection ends without an answer at a planned stop.
 
     The answer is finished and waits in the connection's buffer when the process
@@ -107,7 +107,7 @@
         pytest.param(7.0, 7.0, id="second-ask-while-draining"),
     ],
 )
-def test_request_that_never_ends_does_not_keep_the_process(
+def test_endless_request_does_not_keep_the_process_running(
     again_after_s: float | None, ended_at_s: float
 ) -> None:
     process, clock, shutdown = start(["stuck"])
--- a/tests/test_entryhost_behind.py
+++ b/tests/test_entryhost_behind.py
@@ -15,26 +15,26 @@
 """A host may take so long to find the store again after it was away."""
 
 
-def _resigns(fleet: Fleet, leader: Host) -> None:
+def _resign(fleet: Fleet, leader: Host) -> None:
     leader.control.resign(4.0)
 
 
-def _is_lost(fleet: Fleet, leader: Host) -> None:
+def _lose(fleet: Fleet, leader: Host) -> None:
     leader.control.stop()
     fleet.hosts.remove(leader)
     fleet.net.cut.add(leader.address)
 
 
-def _is_cut_off(fleet: Fleet, leader: Host) -> None:
+def _cut_off(fleet: Fleet, leader: Host) -> None:
     fleet.net.cut.add(leader.address)
 
 
-def _stays(fleet: Fleet, leader: Host) -> None:
+def _keep(fleet: Fleet, leader: Host) -> None:
     pass
 
 
 Change = Callable[[Fleet, Host], None]
-Ways = Callable[[Fleet], list[Host]]
+Stores = Callable[[Fleet], list[Host]]
 
 
 def _all(fleet: Fleet) -> list[Host]:
@@ -50,12 +50,12 @@
 
 
 LEADERS = [
-    pytest.param(_stays, id="leader-stays"),
-    pytest.param(_resigns, id="leader-resigns"),
-    pytest.param(_is_lost, id="leader-lost"),
-    pytest.param(_is_cut_off, id="leader-cut-off"),
+    pytest.param(_keep, id="leader-stays"),
+    pytest.param(_resign, id="leader-resigns"),
+    pytest.param(_lose, id="leader-lost"),
+    pytest.param(_cut_off, id="leader-cut-off"),
 ]
-WAYS = [
+STORES = [
     pytest.param(_all, id="all"),
     pytest.param(_all_but_one, id="all-but-one"),
     pytest.param(_leader, id="leader"),
@@ -64,13 +64,13 @@
 
 @pytest.mark.parametrize("kind", ["is_silent", "loses_watches"])
 @pytest.mark.parametrize("away_s", [1.0, 3.0, 9.0])
-@pytest.mark.parametrize("ways", WAYS)
+@pytest.mark.parametrize("stores", STORES)
 @pytest.mark.parametrize("change_leader", LEADERS)
-def test_all_hosts_have_what_changed_once_the_store_is_well(
+def test_all_hosts_have_changes_once_the_store_has_recovered(
     monkeypatch: pytest.MonkeyPatch,
     *,
     change_leader: Change,
-    ways: Ways,
+    stores: Stores,
     away_s: float,
     kind: str,
 ) -> None:
@@ -86,15 +86,15 @@
     fleet.list_server("i-1")
     fleet.run(1)
     leader = fleet.leader()
-    silent = [one.way for one in ways(fleet)]
-    for way in silent:
-        setattr(way, kind, True)
+    silent = [one.store for one in stores(fleet)]
+    for store in silent:
+        setattr(store, kind, True)
     fleet.run(away_s / 2)
     change_leader(fleet, leader)
     fleet.run(away_s / 2)
     fleet.list_server("i-2")
-    for way in silent:
-        setattr(way, kind, False)
+    for store in silent:
+        setattr(store, kind, False)
     fleet.run(STABLE_S)
     assert [one.servers() for one in fleet.hosts] == [["i-1", "i-2"]] * len(fleet.hosts)
     fleet.list_server("i-3")
@@ -115,7 +115,7 @@
     assert {len(one.servers()) for one in fleet.hosts} == {1}
 
 
-def test_host_tells_how_old_its_view_is_before_its_watch_has_failed(
+def test_view_age_grows_before_the_watch_has_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Nothing shows for 14 s that a host serves by old rules.
@@ -126,17 +126,17 @@
     fleet.run(4)
     (host,) = fleet.hosts
     assert host.control.mirror.age_s() < IN_FORCE_S
-    host.way.is_silent = True
+    host.store.is_silent = True
     fleet.run(1.7)
     assert host.control.mirror.silent_s() == 0
     # The watch that was on its way may have been answered after its whole wait.
     assert host.control.mirror.age_s() > 1.7 - TELLING_PACE.wait_s - 2 * TICK_S
-    host.way.is_silent = False
+    host.store.is_silent = False
     fleet.run(STABLE_S)
     assert host.control.mirror.age_s() < IN_FORCE_S
 
 
-def test_host_tells_which_leader_it_follows_and_how_old_its_news_are(
+def test_host_reports_its_leader_and_the_age_of_its_last_update(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Nothing shows that a host waits for news of a leader that leads no more."""
--- a/tests/test_entryhost_callers_port.py
+++ b/tests/test_entryhost_callers_port.py
@@ -13,10 +13,10 @@
 from gentianwharf.entryhost._callers_port import CallersPort
 from tests.builders_relay import running_reactor
 
-ASKED = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class _Served(Resource):
+class _ServedResource(Resource):
     isLeaf = True  # noqa: N815
 
     def render_GET(self, request: Request) -> bytes:  # noqa: N802
@@ -38,7 +38,7 @@
     return CallersPort(
         address="127.0.0.1:0",
         listener=listener,
-        site=Site(_Served()),
+        site=Site(_ServedResource()),
         can_serve=can_serve,
         reactor=running_reactor(),
     )
@@ -46,11 +46,11 @@
 
 def ask(address: tuple[str, int]) -> socket.socket:
     caller = socket.create_connection(address, timeout=5.0)
-    caller.sendall(ASKED)
+    caller.sendall(REQUEST)
     return caller
 
 
-def test_caller_that_comes_before_the_host_is_loaded_is_served(
+def test_caller_that_connects_before_the_host_is_loaded_is_served(
     listener: socket.socket,
 ) -> None:
     """All hosts lose power, and for two seconds every caller is reset.
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("learns", [True, False], ids=["rules-come", "rules-stay-away"])
-def test_callers_wait_for_the_rules_but_not_for_long(
+def test_callers_wait_a_limited_time_for_the_rules(
     listener: socket.socket, learns: bool
 ) -> None:
     """A host has just started and refuses all who come in its first moment."""
@@ -83,7 +83,7 @@
     assert len(looked) > 3
 
 
-def test_host_that_stops_before_it_let_anybody_in_listens_no_more(
+def test_host_that_stops_before_accepting_closes_its_listener(
     listener: socket.socket,
 ) -> None:
     address = listener.getsockname()
--- a/tests/test_entryhost_catching_up.py
+++ b/tests/test_entryhost_catching_up.py
@@ -8,7 +8,7 @@
 from twisted.internet.task import Clock
 
 from gentianwharf.entryhost._peer_messages import Report
-from tests.builders_peers import TICK_S, Trio, host_of, make_trio
+from tests.builders_peers import TICK_S, Trio, make_host, make_trio
 from tests.builders_store import LinkNet, events, item
 
 
@@ -23,7 +23,9 @@
     return Random(1).randbytes(size)
 
 
-def test_host_that_can_t_fetch_what_it_lacks_is_told_by_the_leader(trio: Trio) -> None:
+def test_leader_sends_missing_changes_to_a_host_that_cannot_fetch_them(
+    trio: Trio,
+) -> None:
     """A host goes on by old rules for as long as the store turns it away.
 
     One message between the hosts is lost, or was too large for all. What the leader
@@ -39,7 +41,7 @@
     assert (10, lacking) not in other.events
 
 
-def test_leader_that_may_have_missed_something_tells_nobody_what_it_lacks(
+def test_leader_that_may_lack_changes_sends_none(
     trio: Trio,
 ) -> None:
     leader, follower, _ = trio.hosts
@@ -50,7 +52,7 @@
     assert (10, leader.changes[10]) not in follower.events
 
 
-def test_hosts_that_lack_much_are_told_one_after_another(trio: Trio) -> None:
+def test_large_missing_changes_are_sent_to_one_host_at_a_time(trio: Trio) -> None:
     """News of a server that leaves wait behind what many hosts fetch on slow links."""
     leader, *followers = trio.hosts
     lacking = events(12, item("rules", 12, random_bytes(80_000)))
@@ -65,11 +67,11 @@
     assert sum(one.events.count((10, lacking)) for one in followers) == 2
 
 
-def test_leader_with_a_fast_link_tells_many_hosts_at_once_what_they_lack(
+def test_leader_with_a_fast_link_sends_missing_changes_to_many_hosts(
     trio: Trio,
 ) -> None:
     """Of 30 hosts that the store turned away half were told nothing for 9 s."""
-    leader = host_of(trio.clock, 0, link_bytes_per_s=25_000_000)
+    leader = make_host(trio.clock, 0, link_bytes_per_s=25_000_000)
     leader.peers.start_leading(7)
     lacking = events(12, item("rules", 12, random_bytes(80_000)))
     leader.changes[10] = lacking
@@ -88,7 +90,7 @@
     assert told.count("lacking") == 30
 
 
-def test_hosts_that_ask_together_are_all_told(
+def test_all_hosts_that_request_changes_together_receive_them(
     trio: Trio,
 ) -> None:
     """Hosts report in step, and who asked a moment later was passed over."""
@@ -114,7 +116,7 @@
     assert len(told) == 30
 
 
-def test_host_that_moved_while_it_waited_in_line_is_told_where_it_is(
+def test_queued_host_with_a_new_address_receives_changes_there(
     trio: Trio,
 ) -> None:
     """What it lacked went to a closed link, and the leader's tick failed."""
@@ -135,7 +137,7 @@
     assert told == ["a:1", "b:2"]
 
 
-def test_much_that_a_host_lacks_is_told_in_parts(trio: Trio) -> None:
+def test_large_missing_changes_are_sent_in_batches(trio: Trio) -> None:
     """What all hosts are told waits for seconds behind what one of them lacks."""
     leader, follower, _ = trio.hosts
     lacking = [
--- a/tests/test_entryhost_compression.py
+++ b/tests/test_entryhost_compression.py
@@ -22,7 +22,7 @@
     }
 
 
-def test_small_change_of_many_rules_is_told_in_few_bytes() -> None:
+def test_small_change_of_many_rules_compresses_to_few_bytes() -> None:
     """Hosts learn late that a server leaves while operators change weights.
 
     Of 3,500 rules one changes. The packer looks back 32 kB only, so that the rules are
@@ -38,7 +38,7 @@
     assert decompress(packed, base) == value
 
 
-def test_rules_that_were_added_are_told_without_the_others() -> None:
+def test_added_rules_compress_without_the_others() -> None:
     before = routes(3_500)
     base = configuration(routes=dict(sorted(before.items())))
     value = configuration(routes=dict(sorted((before | routes(20)).items())))
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_any_value_comes_back_by_any_former_one(seed: int) -> None:
+def test_decompress_restores_any_value_from_any_base(seed: int) -> None:
     rng = Random(seed)
     alphabet = [b"[", b"]", b"}", b"{", b",", b'"', b"a", b"\\", bytes(range(256))]
     base = b"".join(rng.choices(alphabet, k=rng.randrange(200)))
@@ -68,6 +68,6 @@
         compress(b"[1],[2]" * 50, b"[1],[3]" * 50),
     ],
 )
-def test_what_was_packed_against_another_value_is_refused(data: bytes) -> None:
+def test_data_compressed_against_another_base_is_rejected(data: bytes) -> None:
     with pytest.raises(InputError, match="can't be decompressed"):
         decompress(data, json.dumps([1, 2]).encode() * 100)
--- a/tests/test_entryhost_control.py
+++ b/tests/test_entryhost_control.py
@@ -17,23 +17,23 @@
     return fleet
 
 
-def test_hosts_learn_of_a_change_by_their_leader_alone(fleet: Fleet) -> None:
+def test_hosts_receive_a_change_from_the_leader_alone(fleet: Fleet) -> None:
     follower = fleet.follower()
-    follower.way.calls.clear()
+    follower.store.calls.clear()
     fleet.list_server("i-2")
     fleet.run(0.5)
     assert [one.servers() for one in fleet.hosts] == [["i-1", "i-2"]] * 3
-    assert follower.way.calls == []
+    assert follower.store.calls == []
 
 
-def test_host_that_the_store_turns_away_catches_up(fleet: Fleet) -> None:
+def test_host_refused_by_the_store_catches_up(fleet: Fleet) -> None:
     """A host's callers miss servers that joined, for as long as the store refuses it.
 
     One message of the leader is lost meanwhile. All that it tells later goes on after
     that one.
     """
     follower = fleet.follower()
-    follower.way.is_turned_away = True
+    follower.store.refuses_calls = True
     fleet.net.cut.add(follower.address)
     fleet.list_server("i-2")
     fleet.run(0.5)
@@ -53,17 +53,17 @@
     """
     follower = fleet.follower()
     fleet.net.cut.add(follower.address)
-    follower.way.loses_watches = True
+    follower.store.loses_watches = True
     fleet.run(3)
     fleet.list_server("i-2")
     fleet.run(0.5)
-    follower.way.loses_watches = False
+    follower.store.loses_watches = False
     fleet.net.cut.clear()
     fleet.run(1.5)
     assert follower.servers() == ["i-1", "i-2"]
 
 
-def test_hosts_that_are_told_everything_are_asked_for_nothing(fleet: Fleet) -> None:
+def test_hosts_without_missing_changes_request_none(fleet: Fleet) -> None:
     # Catching up costs the leader's link; a calm fleet must not use it.
     for number in range(2, 40):
         fleet.list_server(f"i-{number}")
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize(
     "value", [b"", b'{"state": "draining"}', b'{"newer": ' + b"[" * 10_000]
 )
-def test_odd_entry_costs_no_host_the_others(fleet: Fleet, value: bytes) -> None:
+def test_invalid_entry_does_not_block_other_entries(fleet: Fleet, value: bytes) -> None:
     """Every host keeps to the servers of an earlier moment, for good.
 
     One server wrote an entry that its reader can't bear, and the hosts' copies of the
@@ -95,7 +95,7 @@
     host as well, and what came after them is told with them or not at all.
     """
     follower = fleet.follower()
-    follower.way.is_turned_away = True
+    follower.store.refuses_calls = True
     fleet.write("tables/large", Random(1).randbytes(260_000))
     fleet.run(0.5)
     fleet.list_server("i-2")
--- a/tests/test_entryhost_directory.py
+++ b/tests/test_entryhost_directory.py
@@ -31,19 +31,19 @@
     return sorted(one.id for one in directory.usable("calendar"))
 
 
-def test_leaving_server_gets_no_work() -> None:
+def test_leaving_server_receives_no_work() -> None:
     directory, _ = make_directory(Clock(), 3)
     directory.note_item(*entry(1, state="draining"))
     assert usable(directory) == ["i-0", "i-2"]
 
 
-def test_entry_that_became_unreadable_names_no_server() -> None:
+def test_server_with_an_unreadable_entry_is_removed() -> None:
     directory, _ = make_directory(Clock(), 2)
     directory.note_item(*entry(1, slots="many"))
     assert usable(directory) == ["i-0"]
 
 
-def test_server_in_doubt_gets_no_work_while_others_do() -> None:
+def test_server_with_a_lapsed_entry_receives_no_work() -> None:
     """A reservation goes to a server that has left, and is lost with it.
 
     The host was cut off from the store when the server left. Back again, it finds the
@@ -61,7 +61,7 @@
     assert len(directory.entries("calendar")) == 3
 
 
-def test_lapse_of_most_servers_at_once_is_not_believed() -> None:
+def test_lapse_of_most_entries_at_once_is_not_applied_at_once() -> None:
     """The store is back after an outage in which every entry lapsed.
 
     The servers are well and will write again; a host that believed the lapse would
@@ -82,7 +82,7 @@
     assert len(directory.entries("calendar")) == 3
 
 
-def test_lapse_long_after_the_store_s_return_is_believed_at_once() -> None:
+def test_lapse_long_after_the_store_recovered_is_applied_at_once() -> None:
     clock = Clock()
     directory, mirror = make_directory(clock, 2)
     mirror.regained_s = clock.seconds()
@@ -91,7 +91,7 @@
     assert len(directory.entries("calendar")) == 1
 
 
-def test_entry_that_can_t_be_read_at_all_leaves_no_former_one_in_use() -> None:
+def test_entry_that_breaks_the_decoder_removes_the_former_one() -> None:
     """Requests go to a server that has written something else since.
 
     What it wrote makes the reader raise an error that nobody expects, and the entry
@@ -103,7 +103,7 @@
     assert usable(directory) == ["i-0"]
 
 
-def test_entry_that_is_refused_is_named_with_its_revision_in_each_life() -> None:
+def test_rejected_entry_is_logged_with_its_revision_for_each_listing() -> None:
     """A server gets no request, and no log says which of its entries was refused.
 
     It is refused, leaves, and comes back under its id with an entry that is refused
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -44,7 +44,7 @@
         return Former(value=value, is_settled=is_settled, held_s=None)
 
 
-class Place:
+class Network:
     """Hosts on one net, and two servers; the first one is lost."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -101,7 +101,7 @@
         """Let a leader give the lost server's shards to the other one."""
         host.keeper.follow(self._table(self.other, 2, former=(self.lost,)))
 
-    def served_after_s(self, host: Leader, *others: Leader) -> float:
+    def time_until_served_s(self, host: Leader, *others: Leader) -> float:
         """Return how long it takes until the shards are served, by one server only."""
         begun_s = self.clock.seconds()
         while self.addresses.holders(SHARD) != [self.other]:
@@ -122,99 +122,103 @@
 
 
 @pytest.fixture
-def place(monkeypatch: pytest.MonkeyPatch) -> Place:
-    return Place(monkeypatch)
+def network(monkeypatch: pytest.MonkeyPatch) -> Network:
+    return Network(monkeypatch)
 
 
-def led_until_replaced(place: Place) -> tuple[Leader, Leader]:
+def former_and_next_leader(network: Network) -> tuple[Leader, Leader]:
     """Return a leader that hears the store no more, and the next one."""
-    former, leader = place.host(1), place.host(2)
-    place.lead(former, revision=5)
-    run_keeper(former.keeper, place.clock, 20.0)
-    place.addresses.living[place.lost.address].is_silent = True
+    former, leader = network.host(1), network.host(2)
+    network.lead(former, revision=5)
+    run_keeper(former.keeper, network.clock, 20.0)
+    network.addresses.living[network.lost.address].is_silent = True
     return former, leader
 
 
-def test_word_of_the_former_leader_spares_the_wait_for_the_worst(place: Place) -> None:
+def test_response_of_the_former_leader_shortens_the_wait(network: Network) -> None:
     """A quarter of a minute without an owner, after each change of the leader.
 
     A server is lost, and so is the lead. The next leader does not know when the server
     was granted its keys last; the former one does, and is well.
     """
-    former, leader = led_until_replaced(place)
-    place.lead(leader, revision=9)
+    former, leader = former_and_next_leader(network)
+    network.lead(leader, revision=9)
     leader.former.ask(former.word())
-    place.move(leader)
+    network.move(leader)
     # The new leader's own try to renew may have arrived until it was given up.
     longest_s = GRANT_TIMEOUT_S + TIMING.grant_s * CLOCK_DRIFT + MARGIN_S
-    assert place.served_after_s(leader, former) <= longest_s + TIMING.retry_every_s
+    assert (
+        network.time_until_served_s(leader, former) <= longest_s + TIMING.retry_every_s
+    )
     assert former.leadership.term is None
 
 
-def test_process_that_has_ended_gives_nothing_any_more(place: Place) -> None:
+def test_ended_process_makes_no_more_grants(network: Network) -> None:
     """All hosts are started again, and keys wait for a leader that is no more.
 
     It may have granted for as long as servers take, up to its end.
     """
-    former, leader = led_until_replaced(place)
+    former, leader = former_and_next_leader(network)
     former.keeper.stop()
-    restarted = place.host(1, process=2)
-    place.clock.advance(4.0)
-    place.lead(leader, revision=9)
+    restarted = network.host(1, process=2)
+    network.clock.advance(4.0)
+    network.lead(leader, revision=9)
     leader.former.ask(former.word())
-    place.move(leader)
+    network.move(leader)
     longest_s = TIMING.longest_grant_s * CLOCK_DRIFT + MARGIN_S - 4.0
-    waited_s = place.served_after_s(leader, restarted)
+    waited_s = network.time_until_served_s(leader, restarted)
     assert waited_s <= longest_s + TIMING.retry_every_s + 0.1
 
 
 @pytest.mark.parametrize(
     "reached", [False, True], ids=["cut-off", "ended-before-it-was-settled"]
 )
-def test_without_a_word_the_worst_is_waited_for(place: Place, reached: bool) -> None:
+def test_without_a_response_the_longest_grant_is_waited_for(
+    network: Network, reached: bool
+) -> None:
     """Two servers run one key: the leader before the last one was forgotten."""
-    former, leader = led_until_replaced(place)
+    former, leader = former_and_next_leader(network)
     former.keeper.stop()
-    restarted = place.host(1, process=2)
+    restarted = network.host(1, process=2)
     if not reached:
-        place.net.cut.add(former.identity.address)
-    place.lead(leader, revision=9)
+        network.net.cut.add(former.identity.address)
+    network.lead(leader, revision=9)
     leader.former.ask(former.word(is_settled=not reached))
-    place.move(leader)
+    network.move(leader)
     longest_s = TIMING.leader_alone_s + TIMING.longest_grant_s
-    assert place.served_after_s(leader, restarted) > longest_s
+    assert network.time_until_served_s(leader, restarted) > longest_s
 
 
-def test_late_question_of_an_earlier_leader_ends_nobody_s_lead(place: Place) -> None:
-    former, leader = led_until_replaced(place)
-    place.lead(former, revision=12)
-    place.lead(leader, revision=9)
+def test_late_request_of_an_earlier_leader_ends_no_leadership(network: Network) -> None:
+    former, leader = former_and_next_leader(network)
+    network.lead(former, revision=12)
+    network.lead(leader, revision=9)
     leader.former.ask(former.word())
     assert former.leadership.leads
-    run_keeper(former.keeper, place.clock, 0.1)
+    run_keeper(former.keeper, network.clock, 0.1)
     assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
 
 
-def test_answer_of_another_process_than_was_asked_counts_for_nothing(
-    place: Place,
+def test_response_of_another_process_is_ignored(
+    network: Network,
 ) -> None:
-    former, leader = led_until_replaced(place)
-    place.lead(leader, revision=9)
-    place.net.cut.add(former.identity.address)
+    former, leader = former_and_next_leader(network)
+    network.lead(leader, revision=9)
+    network.net.cut.add(former.identity.address)
     leader.former.ask(former.word())
     leader.former.handle_response(HoldsResponse(7, 9, None))
     assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
 
 
-def test_late_answer_to_an_earlier_question_counts_for_nothing(place: Place) -> None:
+def test_late_response_to_an_earlier_request_is_ignored(network: Network) -> None:
     """Two servers run one key: an answer had waited on a link that was cut.
 
     Since then the former leader has led again and granted for longer, and was replaced
     once more by the same host.
     """
-    former, leader = led_until_replaced(place)
-    place.lead(leader, revision=15)
-    place.net.cut.add(former.identity.address)
+    former, leader = former_and_next_leader(network)
+    network.lead(leader, revision=15)
+    network.net.cut.add(former.identity.address)
     leader.former.ask(former.word())
     leader.former.handle_response(HoldsResponse(former.identity.incarnation, 9, None))
     assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
--- a/tests/test_entryhost_host_list.py
+++ b/tests/test_entryhost_host_list.py
@@ -27,15 +27,15 @@
     assert listed(fleet) == HOSTS
 
 
-def test_list_is_written_only_where_it_changes(fleet: Fleet) -> None:
+def test_list_is_written_only_when_it_changes(fleet: Fleet) -> None:
     """Each write is paid, and told to all hosts."""
     for one in fleet.hosts:
-        one.way.calls.clear()
+        one.store.calls.clear()
     fleet.run(10 * WRITE_INTERVAL_S)
-    assert [one.way.calls.count("change") for one in fleet.hosts] == [0] * HOSTS
+    assert [one.store.calls.count("change") for one in fleet.hosts] == [0] * HOSTS
 
 
-def test_host_that_is_gone_for_good_is_listed_no_more(fleet: Fleet) -> None:
+def test_host_that_does_not_return_is_removed_from_the_list(fleet: Fleet) -> None:
     gone = fleet.follower()
     gone.control.stop()
     fleet.hosts.remove(gone)
@@ -45,21 +45,21 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"{}", b"[[1]]"])
-def test_list_that_can_t_be_read_is_written_anew(fleet: Fleet, value: bytes) -> None:
+def test_unreadable_list_is_written_again(fleet: Fleet, value: bytes) -> None:
     fleet.write(HOSTS_KEY, value)
     fleet.run(2 * WRITE_INTERVAL_S)
     assert listed(fleet) == HOSTS
 
 
-def test_host_that_has_just_started_reaches_all_others_when_it_leads(
+def test_restarted_host_reaches_all_others_as_leader(
     fleet: Fleet,
 ) -> None:
     """It knew nobody, and hosts that are turned away waited for a former leader."""
     former = fleet.leader()
-    fresh = fleet.restart(fleet.follower(), is_turned_away=False)
+    fresh = fleet.restart(fleet.follower(), refuses_calls=False)
     fleet.run(0.1)
     for one in fleet.hosts:
-        one.way.is_turned_away = one is not fresh
+        one.store.refuses_calls = one is not fresh
     fleet.net.cut.add(former.address)
     fleet.run(4)
     fleet.list_server("i-1")
--- a/tests/test_entryhost_keys.py
+++ b/tests/test_entryhost_keys.py
@@ -65,7 +65,7 @@
     assert (found.server.id, found.token) == ("s1", 1)
 
 
-def test_request_waits_for_the_leader_s_word_that_a_move_is_done() -> None:
+def test_request_waits_for_the_notice_of_a_finished_move() -> None:
     """A family's request is refused by the new holder, which has no grant yet."""
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)))
@@ -80,7 +80,7 @@
     assert found.server.id == "s2"
 
 
-def test_move_that_takes_long_is_not_waited_for() -> None:
+def test_request_does_not_wait_for_a_slow_move() -> None:
     """The former holder is lost: until its grant has run out nobody may run a thing.
 
     Callers that are held meanwhile leave; told at once, they come back in time.
@@ -97,7 +97,7 @@
     assert refused[0].status == 503
 
 
-def test_host_that_hears_no_leader_asks_the_holder_itself() -> None:
+def test_host_without_updates_tries_the_new_holder() -> None:
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
     asked = ask(keys)
@@ -107,7 +107,7 @@
     assert found.server.id == "s2"
 
 
-def test_holder_that_is_not_listed_is_waited_for_a_bounded_time() -> None:
+def test_wait_for_an_unlisted_holder_is_limited() -> None:
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)), listed=("s2",))
     asked = ask(keys)
@@ -117,7 +117,7 @@
     assert failures == [Problem]
 
 
-def test_request_goes_on_when_the_table_names_another_holder() -> None:
+def test_waiting_request_continues_with_a_new_table() -> None:
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)), listed=("s2",))
     asked = ask(keys)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("token", [1, 3])
-def test_refusal_under_another_token_closes_nothing(token: int) -> None:
+def test_refusal_with_another_token_blocks_nothing(token: int) -> None:
     """An old refusal comes late and keeps callers from the holder of today."""
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 2, token=2)))
--- a/tests/test_entryhost_next_leader.py
+++ b/tests/test_entryhost_next_leader.py
@@ -14,7 +14,7 @@
 from gentianwharf.store import Item
 from tests.builders_peers import (
     TICK_S,
-    Told,
+    RecordingHost,
     Trio,
     leader_item,
     make_trio,
@@ -31,14 +31,14 @@
     return make_trio(monkeypatch, clock, LinkNet())
 
 
-def next_leads(trio: Trio) -> Told:
+def start_next_leader(trio: Trio) -> RecordingHost:
     """Let the second host lead, of which the store tells nobody else."""
     _, following, _ = trio.hosts
     following.peers.start_leading(NEXT_TERM)
     return following
 
 
-def is_followed(host: Told, leader: Told) -> bool:
+def is_followed(host: RecordingHost, leader: RecordingHost) -> bool:
     """Whether a host takes what a leader tells."""
     change = events(40, item("probe", 40))
     leader.peers.broadcast_events(39, change)
@@ -47,7 +47,7 @@
 
 def test_next_leader_is_followed_at_once(trio: Trio) -> None:
     _, _, other = trio.hosts
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     assert is_followed(other, leader)
     assert other.peers.receives_updates()
     assert other.peers.followed_revision == NEXT_TERM
@@ -55,23 +55,23 @@
 
 def test_requests_are_reported_to_the_next_leader(trio: Trio) -> None:
     _, _, other = trio.hosts
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     other.peers.observed.note_request("roster", 4)
     trio.run(0.5)
     assert leader.requests == [("roster", {4: 1})]
 
 
-def test_all_hosts_count_from_the_first_moment(trio: Trio) -> None:
+def test_new_leader_counts_all_listed_hosts_at_once(trio: Trio) -> None:
     """Each host takes all room at the servers until the others have reported again."""
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     assert leader.hosts == 3
 
 
-def test_host_that_leads_no_more_hears_so_from_the_next_leader(trio: Trio) -> None:
+def test_former_leader_stops_on_an_update_of_the_next_one(trio: Trio) -> None:
     """Its renewals go on for seconds, and its followers wait for what it tells."""
     former, _, _ = trio.hosts
     former.peers.on_superseded = former.peers.stop_leading
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     assert is_followed(former, leader)
     trio.run(1)
     assert former.peers.leader_silent_s() < 1, "it hears the leader as all others do"
@@ -79,7 +79,7 @@
 
 def test_former_leader_is_not_followed_again(trio: Trio) -> None:
     former, _, other = trio.hosts
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     assert not is_followed(other, former)
     assert is_followed(other, leader)
 
@@ -91,27 +91,27 @@
         pytest.param(lambda former: None, id="former-item-gone"),
     ],
 )
-def test_older_word_of_the_store_changes_nothing(
-    trio: Trio, stored: Callable[[Told], Item | None]
+def test_older_leader_item_from_the_store_is_ignored(
+    trio: Trio, stored: Callable[[RecordingHost], Item | None]
 ) -> None:
     """A host reads the store's changes one by one, after it was told of the last."""
     former, _, other = trio.hosts
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     other.peers.follow(stored(former))
     assert is_followed(other, leader)
 
 
-def test_leader_whose_item_is_gone_is_followed_no_more(trio: Trio) -> None:
+def test_leader_without_its_item_is_not_followed(trio: Trio) -> None:
     _, _, other = trio.hosts
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     other.peers.follow(leader_item(leader, revision=NEXT_TERM))
     other.peers.follow(None)
     assert not is_followed(other, leader)
 
 
-def test_leader_that_gained_the_lead_once_more_is_followed(trio: Trio) -> None:
+def test_leader_that_regained_leadership_is_followed(trio: Trio) -> None:
     _, _, other = trio.hosts
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     leader.peers.stop_leading()
     other.peers.follow(leader_item(leader, revision=NEXT_TERM))
     other.peers.follow(None)
@@ -119,11 +119,11 @@
     assert is_followed(other, leader)
 
 
-def test_host_that_was_away_is_called_again(trio: Trio) -> None:
+def test_inactive_host_is_contacted_again(trio: Trio) -> None:
     """Back, it waits for a former leader; nobody knows that it is there."""
     former, _, other = trio.hosts
     trio.net.cut.add(other.peers.identity.address)
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     former.peers.stop_leading()
     # Its reports still go out, to the former leader.
     trio.run(INACTIVE_AFTER_S + 1)
@@ -133,11 +133,11 @@
     assert is_followed(other, leader)
 
 
-def test_host_that_is_gone_for_good_is_called_no_more(trio: Trio) -> None:
+def test_host_that_does_not_return_is_not_contacted_forever(trio: Trio) -> None:
     former, _, other = trio.hosts
     former.peers.on_superseded = former.peers.stop_leading
     trio.net.cut.add(other.peers.identity.address)
-    leader = next_leads(trio)
+    leader = start_next_leader(trio)
     other.peers.stop()
     trio.hosts.remove(other)
     trio.run(REMOVE_AFTER_S + RECONNECT_INTERVAL_S + HEARTBEAT_INTERVAL_S)
--- a/tests/test_entryhost_outages.py
+++ b/tests/test_entryhost_outages.py
@@ -17,11 +17,11 @@
 STABLE_S = 3.0
 """A host may take so long to find the store again after it was away."""
 
-LEADER_KNEW_NOBODY = (102, 123, 132, 203, 208, 225, 430, 432, 443, 513, 553, 572)
+LEADER_WITHOUT_HOSTS = (102, 123, 132, 203, 208, 225, 430, 432, 443, 513, 553, 572)
 """A host that had just started led before anybody had told it of the others."""
 
 
-class Trouble:
+class Outages:
     """Random troubles on a fleet, and what hosts have to know in spite of them."""
 
     def __init__(self, fleet: Fleet, rng: Random) -> None:
@@ -41,9 +41,9 @@
         self.end()
         rng, fleet = self.rng, self.fleet
         for host in fleet.hosts:
-            kind = rng.choice(("", "", "is_turned_away", "is_silent"))
+            kind = rng.choice(("", "", "refuses_calls", "is_silent"))
             if kind:
-                setattr(host.way, kind, True)
+                setattr(host.store, kind, True)
             if rng.random() < 0.2:
                 fleet.net.cut.add(host.address)
         event = rng.choice(("resign", "restart", "history", ""))
@@ -51,17 +51,17 @@
         if event == "resign":
             host.control.resign(1.0)
         elif event == "restart":
-            fleet.restart(host, is_turned_away=rng.random() < 0.5)
+            fleet.restart(host, refuses_calls=rng.random() < 0.5)
         elif event == "history":
-            host.way.history_is_gone = True
+            host.store.history_is_gone = True
             fleet.run(0.5)
-            host.way.history_is_gone = False
+            host.store.history_is_gone = False
 
     def end(self) -> None:
         """Let everything be well."""
         self.fleet.net.cut.clear()
         for host in self.fleet.hosts:
-            host.way.is_turned_away = host.way.is_silent = False
+            host.store.refuses_calls = host.store.is_silent = False
 
     def reached(self) -> list[Host]:
         """Return the hosts that reach the store, or a leader that does."""
@@ -84,27 +84,27 @@
 
 def is_well(host: Host) -> bool:
     """Whether the store answers a host."""
-    return not host.way.is_turned_away and not host.way.is_silent
+    return not host.store.refuses_calls and not host.store.is_silent
 
 
-@pytest.mark.parametrize("seed", [*range(30), *LEADER_KNEW_NOBODY])
-def test_who_is_reached_by_the_store_or_by_a_leader_knows_what_is_new(
+@pytest.mark.parametrize("seed", [*range(30), *LEADER_WITHOUT_HOSTS])
+def test_hosts_reached_by_the_store_or_a_leader_have_all_changes(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     rng = Random(seed)
-    trouble = Trouble(Fleet(monkeypatch, hosts=HOSTS), rng)
-    fleet = trouble.fleet
+    outages = Outages(Fleet(monkeypatch, hosts=HOSTS), rng)
+    fleet = outages.fleet
     fleet.run(4)
     for _ in range(ROUNDS):
-        trouble.begin()
-        trouble.change()
+        outages.begin()
+        outages.change()
         fleet.run(SETTLED_S)
-        trouble.change()
+        outages.change()
         fleet.run(IN_FORCE_S)
-        known = {one.address: one.servers() for one in trouble.reached()}
-        assert known == dict.fromkeys(known, trouble.expected())
-    trouble.end()
+        known = {one.address: one.servers() for one in outages.reached()}
+        assert known == dict.fromkeys(known, outages.expected())
+    outages.end()
     fleet.run(STABLE_S)
-    trouble.change()
+    outages.change()
     fleet.run(IN_FORCE_S)
-    assert [one.servers() for one in fleet.hosts] == [trouble.expected()] * HOSTS
+    assert [one.servers() for one in fleet.hosts] == [outages.expected()] * HOSTS
--- a/tests/test_entryhost_peers.py
+++ b/tests/test_entryhost_peers.py
@@ -11,7 +11,7 @@
 from gentianwharf.keyspace import Span
 from gentianwharf.store import Events, Removal
 from tests.builders_keyspace import span
-from tests.builders_peers import TICK_S, Trio, host_of, leader_item, make_trio
+from tests.builders_peers import TICK_S, Trio, leader_item, make_host, make_trio
 from tests.builders_store import LinkNet, UplinkNet, events, item
 
 
@@ -22,27 +22,27 @@
     return make_trio(monkeypatch, clock, LinkNet())
 
 
-def test_changes_are_told_as_the_watch_brought_them(trio: Trio) -> None:
+def test_changes_are_sent_as_the_watch_returned_them(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
-    brought = events(12, item("a", 11, b"1"), Removal(key="b", revision=12))
-    leader.peers.broadcast_events(10, brought)
-    assert follower.events[-1] == (10, brought)
+    returned = events(12, item("a", 11, b"1"), Removal(key="b", revision=12))
+    leader.peers.broadcast_events(10, returned)
+    assert follower.events[-1] == (10, returned)
     assert follower.peers.receives_changes()
     assert not leader.peers.receives_changes(), "the leader watches"
 
 
-def test_all_know_how_many_hosts_there_are(trio: Trio) -> None:
+def test_all_hosts_receive_the_number_of_hosts(trio: Trio) -> None:
     assert [one.hosts for one in trio.hosts] == [3, 3, 3]
 
 
-def test_news_at_rest_tell_up_to_where_nothing_changed(trio: Trio) -> None:
+def test_update_without_changes_carries_the_current_revision(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     leader.revision = 17
     trio.run(1)
     assert follower.events[-1] == (17, Events(changes=(), revision=17))
 
 
-def test_a_silent_leader_feeds_nobody(trio: Trio) -> None:
+def test_silent_leader_counts_as_sending_no_changes(trio: Trio) -> None:
     # The leader is lost or frozen: its lease runs on for a second, and until somebody
     # else leads nobody tells what changes in the store.
     _, follower, _ = trio.hosts
@@ -51,7 +51,7 @@
     assert not follower.peers.receives_changes()
 
 
-def test_a_leader_that_does_not_hear_the_store_feeds_nobody(trio: Trio) -> None:
+def test_leader_without_the_store_counts_as_sending_no_changes(trio: Trio) -> None:
     # A cut between the leader and the store, but not between it and the others: they
     # would go on by rules that the operators have changed.
     leader, follower, _ = trio.hosts
@@ -61,7 +61,7 @@
     assert follower.peers.receives_updates(), "what it says of moves still holds"
 
 
-def test_a_leader_that_resigns_says_so(trio: Trio) -> None:
+def test_resigning_leader_sends_a_last_update(trio: Trio) -> None:
     # Nobody would see the leader's place empty until its silence is noticed, a second
     # in which no grant is renewed.
     leader, follower, _ = trio.hosts
@@ -70,7 +70,7 @@
     assert not follower.peers.receives_changes()
 
 
-def test_news_of_a_former_leader_count_for_nothing(trio: Trio) -> None:
+def test_update_of_a_former_leader_is_ignored(trio: Trio) -> None:
     # It was frozen while another host took its place, and wakes with old news.
     leader, follower, other = trio.hosts
     follower.peers.follow(leader_item(other))
@@ -80,14 +80,14 @@
     assert not follower.peers.receives_changes()
 
 
-def test_moves_that_are_done_are_told(trio: Trio) -> None:
+def test_finished_moves_are_sent(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     moved: Span = span(3, 9, 1, token=7, former=(2,))
     leader.peers.broadcast_grant("roster", moved)
     assert follower.granted == [("roster", 3, 9, 7)]
 
 
-def test_moves_that_end_close_together_are_told_together(trio: Trio) -> None:
+def test_moves_that_finish_close_together_share_a_message(trio: Trio) -> None:
     """A new leader of 85 servers told 86 hosts of 300 spans one by one.
 
     Its link and its processor were full for seconds, it could renew neither its lease
@@ -110,7 +110,7 @@
     assert len(messages) <= 4
 
 
-def test_spans_that_did_not_move_are_not_told(trio: Trio) -> None:
+def test_grants_of_unmoved_spans_are_not_sent(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     leader.peers.broadcast_grant("roster", span(3, 9, 1, token=7))
     trio.run(0.2)
@@ -125,7 +125,9 @@
     assert leader.requests == [("roster", {4: 2})]
 
 
-def test_a_leader_whose_watch_has_no_answer_feeds_nobody(trio: Trio) -> None:
+def test_leader_with_an_unanswered_watch_counts_as_sending_no_changes(
+    trio: Trio,
+) -> None:
     """The store leaves the leader's watch without an answer and takes its other calls.
 
     A server leaves meanwhile. Nobody is told of it, and work goes on to a server that
@@ -139,7 +141,7 @@
     assert not follower.peers.receives_changes()
 
 
-def test_large_values_are_told_by_what_changed_in_them(trio: Trio) -> None:
+def test_large_values_are_sent_as_deltas(trio: Trio) -> None:
     """Tables of 15 kB for 86 hosts fill a link of 5 Mbit/s for two seconds.
 
     What else the leader tells, a server that leaves, waits behind them.
@@ -162,7 +164,7 @@
     assert sizes[-1] < 200
 
 
-def test_change_of_a_value_that_a_host_lacks_is_fetched(trio: Trio) -> None:
+def test_change_without_its_base_is_fetched(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
     leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
@@ -170,7 +172,7 @@
     assert follower.events[-1] == (12, Events(changes=(), revision=12))
 
 
-def test_next_leader_tells_whole_values_first(trio: Trio) -> None:
+def test_next_leader_sends_complete_values_first(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
     leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
@@ -184,7 +186,7 @@
     return Random(1).randbytes(size)
 
 
-def test_change_that_is_too_large_to_be_told_is_fetched_at_once(trio: Trio) -> None:
+def test_change_too_large_to_send_is_fetched_at_once(trio: Trio) -> None:
     """Hosts learn of new rules up to 0.4 s later than they could.
 
     The rules' message is larger than a host takes; it is dropped and the link made
@@ -196,12 +198,12 @@
     assert follower.events[-1] == (12, Events(changes=(), revision=12))
 
 
-def test_change_that_no_host_would_read_is_fetched_however_fast_the_link(
+def test_change_above_the_message_limit_is_fetched_on_any_link(
     trio: Trio,
 ) -> None:
     """A leader with a fast link sent what is larger than a host takes."""
     former, follower, _ = trio.hosts
-    leader = host_of(trio.clock, 0, link_bytes_per_s=125_000_000)
+    leader = make_host(trio.clock, 0, link_bytes_per_s=125_000_000)
     leader.peers.membership.note_listed(
         [HostAddress("h1", follower.peers.identity.address)]
     )
@@ -211,7 +213,7 @@
     assert follower.events[-1] == (12, Events(changes=(), revision=12))
 
 
-def test_large_change_does_not_hold_up_what_is_told_after_it(
+def test_large_change_does_not_delay_later_updates(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Callers are sent to a server that said seconds ago that it leaves.
@@ -241,7 +243,7 @@
     assert follower.events[-1][1].revision == 13
 
 
-def test_change_that_a_host_has_already_needs_no_former_value(trio: Trio) -> None:
+def test_change_that_a_host_already_has_needs_no_base(trio: Trio) -> None:
     """A host pays for a watch, and is late with all that came in the same message.
 
     Its own watch brought the table's change before the leader told it. The change is
@@ -250,13 +252,13 @@
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
     leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
-    brought = events(13, item("t", 12, large + b"more"), item("a", 13, b"1"))
+    returned = events(13, item("t", 12, large + b"more"), item("a", 13, b"1"))
     follower.items["t"] = item("t", 12, large + b"more")
-    leader.peers.broadcast_events(11, brought)
-    assert follower.events[-1] == (11, brought)
+    leader.peers.broadcast_events(11, returned)
+    assert follower.events[-1] == (11, returned)
 
 
-def test_change_older_than_what_a_host_has_brings_nothing_back(trio: Trio) -> None:
+def test_older_change_does_not_replace_a_newer_value(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
     leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
@@ -266,7 +268,7 @@
     assert follower.events[-1] == (11, events(12, newest))
 
 
-def test_news_of_a_release_that_packs_otherwise_are_not_read(trio: Trio) -> None:
+def test_update_in_another_format_is_not_decoded(trio: Trio) -> None:
     """During an update of the hosts some take garbage for the newest rules.
 
     A leader of another release tells what changed in a value in another form. It must
--- a/tests/test_entryhost_rules.py
+++ b/tests/test_entryhost_rules.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("count", [500, 501, 819, 4_800])
-def test_as_many_rules_as_the_store_takes_are_in_force(count: int) -> None:
+def test_as_many_rules_as_the_store_accepts_are_in_force(count: int) -> None:
     """Callers on rules that operators have just added get 404, and go away for good.
 
     Operators add 400 rules, and the store acknowledges the change. Every host refuses
@@ -55,7 +55,7 @@
     assert match.rule.name == f"r-{count - 1}"
 
 
-def test_refused_configuration_shows_until_another_one_is_taken() -> None:
+def test_refused_configuration_is_reported_until_another_is_applied() -> None:
     """A host refuses the newest rules and goes on with older ones.
 
     Its metrics were those of a host that has not heard of any change: nothing told the
@@ -76,24 +76,24 @@
     assert (rules.version, rules.refused_s()) == (8, 0.0)
 
 
-def test_fault_in_putting_rules_in_force_shows(
+def test_error_while_applying_rules_is_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A host stumbles over rules that it could read, and looks as if it had them."""
     clock = Clock()
     rules = RulesInForce(now_s=clock.seconds)
 
-    def stumble(configuration: Configuration) -> None:
+    def fail_to_apply(configuration: Configuration) -> None:
         raise KeyError("seats")
 
-    monkeypatch.setattr(rules, "on_change", stumble)
+    monkeypatch.setattr(rules, "on_change", fail_to_apply)
     with pytest.raises(KeyError):
         rules.note_item(item(configuration()))
     clock.advance(2.0)
     assert rules.refused_s() == 2.0
 
 
-def test_request_that_no_rule_matches_names_what_was_asked_and_by_which_rules() -> None:
+def test_refusal_without_a_matching_rule_logs_request_and_version() -> None:
     """A caller complains of a 404, and its line says neither path nor version.
 
     A wrong rule, a rule that is not in force yet and a wrong address look the same.
@@ -127,7 +127,7 @@
         pytest.param(route(service="odd"), {"odd": {"sharded": 7}}, 2, id="service"),
     ],
 )
-def test_rule_that_can_t_be_read_holds_back_no_other(
+def test_unreadable_rule_does_not_block_other_rules(
     odd: dict[str, Any], services: dict[str, Any], unread: int
 ) -> None:
     """Callers of every new rule get 404 because one other rule can't be read.
@@ -169,7 +169,7 @@
     assert match.rule.name == "odd"
 
 
-def test_limits_that_can_t_be_read_hold_back_no_rule() -> None:
+def test_unreadable_limits_do_not_block_rules() -> None:
     """A limit on callers' heads, in a form that is new, keeps new rules from a host."""
     rules = RulesInForce(now_s=Clock().seconds)
     rules.note_item(item(configuration(version="r7", limits={})))
@@ -178,7 +178,7 @@
     assert rules.configuration.limits is None
 
 
-def test_limits_that_can_t_be_read_leave_those_in_force() -> None:
+def test_unreadable_limits_leave_the_current_ones_in_force() -> None:
     """Callers of a busy host are cut off while its operators look for a spelling."""
     clock: Any = Clock()
     host = EntryHost(
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize("warm_up", ["1m", 3, None])
-def test_warm_up_that_can_t_be_read_leaves_its_service_in_force(warm_up: Any) -> None:
+def test_unreadable_warm_up_leaves_its_service_in_force(warm_up: Any) -> None:
     """All requests to a service are refused for a time that only tunes its moves."""
     services = json.loads(configuration())["services"]
     services["calendar"]["warm-up"] = warm_up
@@ -204,7 +204,7 @@
     assert rules.match(facts("/visits/1")) is not None
 
 
-def test_rule_without_a_place_is_refused_with_its_version() -> None:
+def test_rule_without_a_prefix_is_refused_with_its_version() -> None:
     """Which requests it is for can't be told: any could be sent to a wrong service."""
     rules = RulesInForce(now_s=Clock().seconds)
     rules.note_item(item(configuration(version="r7")))
--- a/tests/test_entryhost_servers.py
+++ b/tests/test_entryhost_servers.py
@@ -53,7 +53,7 @@
     host._control.directory.note_item(key, item)
 
 
-def test_server_born_again_at_another_address_is_reached_there(host: EntryHost) -> None:
+def test_server_restarted_at_another_address_is_reached_there(host: EntryHost) -> None:
     """Every request to one server fails, on all hosts that knew it before.
 
     It starts again under its id, elsewhere. Hosts list its new address and go on
@@ -63,7 +63,7 @@
     assert host.relay.connections[SERVER_ID].server.address == "10.128.0.77:8080"
 
 
-def test_connections_follow_what_operators_allow(host: EntryHost) -> None:
+def test_connections_follow_the_configured_limit(host: EntryHost) -> None:
     """Operators lower a service's connections, and its servers reset what is beyond.
 
     Hosts that knew a server before go on opening as many as they were allowed then.
@@ -75,7 +75,7 @@
     assert host.relay.connections[SERVER_ID].most == 5
 
 
-def test_gate_follows_what_a_listed_server_is() -> None:
+def test_gate_follows_changes_of_a_listed_server() -> None:
     """A server that was born again with more slots gets as little as it did before."""
     registry = Registry(
         services=[service(servers=0)],
@@ -123,7 +123,7 @@
     assert pool.idle() == ()
 
 
-def test_connection_that_comes_after_a_move_is_not_used(
+def test_connection_made_after_an_address_change_is_not_used(
     pool: ServerConnections,
 ) -> None:
     """The same, of a connection that was being made while its server moved."""
@@ -138,7 +138,9 @@
 
 
 @pytest.mark.parametrize("services", [20, 40])
-def test_new_rules_look_at_each_server_once(host: EntryHost, services: int) -> None:
+def test_new_configuration_scans_all_servers_once(
+    host: EntryHost, services: int
+) -> None:
     """A host stands still for seconds when a configuration has many services.
 
     Each of them had all listed servers looked through, those of the others as well:
--- a/tests/test_entryhost_settings.py
+++ b/tests/test_entryhost_settings.py
@@ -25,7 +25,7 @@
     )
 
 
-def test_settings_that_changed_are_used(host: EntryHost, tmp_path: Path) -> None:
+def test_changed_settings_are_applied(host: EntryHost, tmp_path: Path) -> None:
     path = tmp_path / "boot.toml"
     path.write_text(SETTINGS.replace("grace-period=6s", "grace-period=9s"))
     reload_settings(host, path)
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "node-name = 7", "[["])
-def test_settings_that_don_t_fit_change_nothing(
+def test_invalid_settings_change_nothing(
     host: EntryHost, tmp_path: Path, text: str
 ) -> None:
     """A file is read while it is being written, and the host ends in the middle."""
@@ -49,7 +49,7 @@
     assert not host.is_ready()
 
 
-def test_reload_during_the_start_ends_no_host(tmp_path: Path) -> None:
+def test_reload_signal_during_startup_does_not_end_the_host(tmp_path: Path) -> None:
     """Settings change while a host starts, and the host is gone before it served.
 
     A process that does not handle SIGHUP yet is ended by it; imports take most of a
@@ -75,7 +75,7 @@
     return bool(int(caught.split()[1], 16) >> (signal.SIGHUP - 1) & 1)
 
 
-def test_start_without_settings_says_what_is_missing(tmp_path: Path) -> None:
+def test_start_without_settings_names_the_missing_file(tmp_path: Path) -> None:
     env = {**os.environ, SETTINGS_PATH_VARIABLE: str(tmp_path / "none.toml")}
     ended = subprocess.run(
         [sys.executable, "-OO", "-m", "gentianwharf.entry"],
--- a/tests/test_entryhost_turned_away.py
+++ b/tests/test_entryhost_turned_away.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.builders_entryhost import Fleet, HostWay
+from tests.builders_entryhost import FakeStore, Fleet
 from tests.builders_users_platform import configuration
 
 HOSTS = 7
@@ -21,20 +21,20 @@
 SLOW_LINK_BYTES_PER_S = 625_000
 TABLE_BYTES = 60_000
 
-Ways = Callable[[Fleet], list[HostWay]]
+Stores = Callable[[Fleet], list[FakeStore]]
 
 
-def _leader(fleet: Fleet) -> list[HostWay]:
-    return [fleet.leader().way]
+def _leader(fleet: Fleet) -> list[FakeStore]:
+    return [fleet.leader().store]
 
 
-def _leader_and_one(fleet: Fleet) -> list[HostWay]:
-    return [fleet.leader().way, fleet.follower().way]
+def _leader_and_one(fleet: Fleet) -> list[FakeStore]:
+    return [fleet.leader().store, fleet.follower().store]
 
 
-def _all_but_one(fleet: Fleet) -> list[HostWay]:
-    kept = fleet.follower().way
-    return [one.way for one in fleet.hosts if one.way is not kept]
+def _all_but_one(fleet: Fleet) -> list[FakeStore]:
+    kept = fleet.follower().store
+    return [one.store for one in fleet.hosts if one.store is not kept]
 
 
 @pytest.fixture
@@ -46,21 +46,21 @@
     return fleet
 
 
-@pytest.mark.parametrize("kind", ["is_turned_away", "is_silent"])
+@pytest.mark.parametrize("kind", ["refuses_calls", "is_silent"])
 @pytest.mark.parametrize(
-    "ways",
+    "stores",
     [
         pytest.param(_leader, id="leader"),
         pytest.param(_leader_and_one, id="leader-and-one"),
         pytest.param(_all_but_one, id="all-but-one"),
     ],
 )
-def test_hosts_turned_away_with_their_leader_hear_of_changes_by_the_next_one(
-    fleet: Fleet, *, ways: Ways, kind: str
+def test_hosts_refused_with_their_leader_receive_changes_from_the_next(
+    fleet: Fleet, *, stores: Stores, kind: str
 ) -> None:
     """Hosts knew who leads from the store alone, and waited for the former leader."""
-    for way in ways(fleet):
-        setattr(way, kind, True)
+    for store in stores(fleet):
+        setattr(store, kind, True)
     fleet.run(ELECTION_S)
     for number in (2, 3):
         fleet.list_server(f"i-{number}")
@@ -69,14 +69,14 @@
     assert max(one.control.mirror.age_s() for one in fleet.hosts) < IN_FORCE_S
 
 
-def test_hosts_that_were_cut_off_have_the_newest_rules_soon_after(
+def test_reconnected_hosts_have_the_newest_rules_soon(
     fleet: Fleet,
 ) -> None:
     """Every version of all values was fetched over a slow link before one was used."""
     back = [one for one in fleet.hosts if one is not fleet.leader()][1:]
     for host in back:
-        host.way.bytes_per_s = SLOW_LINK_BYTES_PER_S
-        host.way.is_silent = True
+        host.store.bytes_per_s = SLOW_LINK_BYTES_PER_S
+        host.store.is_silent = True
         fleet.net.cut.add(host.address)
     rng = Random(1)
     for version in range(1, 51):
@@ -84,17 +84,17 @@
         fleet.write("op/config", configuration(version=f"r{version}"))
         fleet.run(0.2)
     for host in back:
-        host.way.is_silent = False
+        host.store.is_silent = False
     fleet.net.cut.clear()
     fleet.run(STABLE_S)
     assert {one.control.rules.version for one in fleet.hosts} == {50}
 
 
-def test_host_that_starts_while_it_is_turned_away_is_told_everything(
+def test_host_refused_at_its_start_receives_a_snapshot(
     fleet: Fleet,
 ) -> None:
     """It had no rules and refused everyone until the store let it in."""
-    host = fleet.restart(fleet.follower(), is_turned_away=True)
+    host = fleet.restart(fleet.follower(), refuses_calls=True)
     fleet.run(STABLE_S)
     assert host.servers() == ["i-1"]
     fleet.list_server("i-2")
@@ -103,15 +103,15 @@
     assert host.servers() == ["i-2"]
 
 
-def test_host_whose_history_is_gone_and_that_is_turned_away_is_told_everything(
+def test_refused_host_without_history_receives_a_snapshot(
     fleet: Fleet,
 ) -> None:
     """It can use no change any more, since it doesn't know what it missed."""
     host = fleet.follower()
     fleet.net.cut.add(host.address)
-    host.way.history_is_gone = True
+    host.store.history_is_gone = True
     fleet.run(2)
-    host.way.is_turned_away = True
+    host.store.refuses_calls = True
     fleet.list_server("i-2")
     fleet.remove_server("i-1")
     fleet.run(1)
@@ -120,18 +120,18 @@
     assert host.servers() == ["i-2"]
 
 
-def test_host_that_lacks_more_than_its_leader_remembers_is_told_everything(
+def test_host_behind_the_leaders_history_receives_a_snapshot(
     fleet: Fleet,
 ) -> None:
     """The leader doesn't know what was removed before it read the store itself."""
     host, leader = fleet.follower(), fleet.leader()
-    host.way.is_turned_away = True
+    host.store.refuses_calls = True
     fleet.net.cut.add(host.address)
     fleet.list_server("i-2")
     fleet.remove_server("i-1")
-    leader.way.history_is_gone = True
+    leader.store.history_is_gone = True
     fleet.run(1)
-    leader.way.history_is_gone = False
+    leader.store.history_is_gone = False
     fleet.net.cut.clear()
     fleet.run(STABLE_S)
     assert host.servers() == ["i-2"]
