--- a/tests/builders_entryhost.py
+++ b/tests/builders_entryhost.py
@@ -70,8 +70,8 @@
         if self.loses_watches:
             await deferLater(self.clock, end_s + ANSWER_S - self.clock.seconds())
             raise PeerUnavailableError("lost", step="watch", peer="store")
-        found = self.backend.changes_after(prefix, after_revision) or []
-        events = Events(changes=tuple(found), revision=self.backend.revision)
+        returned = self.backend.changes_after(prefix, after_revision) or []
+        events = Events(changes=tuple(returned), revision=self.backend.revision)
         await self._transfer(events.changes)
         return events
 
@@ -98,8 +98,8 @@
 
     async def _transfer(self, changes: Sequence[Item | Removal]) -> None:
         """Let the time pass that values, as base64, take on this host's link."""
-        values = [one.value for one in changes if isinstance(one, Item)]
-        transfer_s = sum(len(one) for one in values) * 4 / 3 / self.bytes_per_s
+        values = [change.value for change in changes if isinstance(change, Item)]
+        transfer_s = sum(len(value) for value in values) * 4 / 3 / self.bytes_per_s
         if transfer_s > 0:
             await deferLater(self.clock, transfer_s)
 
@@ -122,7 +122,7 @@
 
     def servers(self) -> list[str]:
         """Return the ids of the servers that this host lists."""
-        return sorted(one.id for one in self.control.directory.all())
+        return sorted(entry.id for entry in self.control.directory.all())
 
 
 class Fleet:
@@ -139,8 +139,8 @@
         monkeypatch.setattr(_peers, "NngListener", self.net.listen)
         monkeypatch.setattr(_control, "PlatformStore", self._make_store)
         self.hosts = [self._host(number) for number in range(hosts)]
-        for one in self.hosts:
-            one.control.start()
+        for host in self.hosts:
+            host.control.start()
 
     def _make_store(self, **_: Any) -> FakeStore:
         self.stores.append(FakeStore(backend=self.items, clock=self.clock))
@@ -175,24 +175,24 @@
         """End a host's process and start another one in its place."""
         host.control.stop()
         number = self.hosts.index(host)
-        self.hosts[number] = fresh = self._host(number)
-        fresh.store.refuses_calls = refuses_calls
-        fresh.control.start()
-        return fresh
+        self.hosts[number] = restarted = self._host(number)
+        restarted.store.refuses_calls = refuses_calls
+        restarted.control.start()
+        return restarted
 
     def run(self, duration_s: float) -> None:
         """Let time pass for all hosts."""
         for _ in range(round(duration_s / TICK_S)):
             self.items.expire()
-            for one in self.hosts:
-                one.control.tick()
+            for host in self.hosts:
+                host.control.tick()
             self.clock.advance(TICK_S)
 
     def leader(self) -> Host:
         """Return the host that leads."""
-        (leader,) = [one for one in self.hosts if one.control.leadership.leads]
+        (leader,) = [host for host in self.hosts if host.control.leadership.leads]
         return leader
 
     def follower(self) -> Host:
         """Return a host that does not lead."""
-        return next(one for one in self.hosts if not one.control.leadership.leads)
+        return next(host for host in self.hosts if not host.control.leadership.leads)
--- a/tests/builders_peers.py
+++ b/tests/builders_peers.py
@@ -31,22 +31,22 @@
     requests: list[tuple[str, Mapping[int, float]]] = field(default_factory=list)
     changes: dict[int, Events] = field(default_factory=dict)
     missing_after: int | None = None
-    hosts: int = 0
+    host_count: int = 0
 
     def __post_init__(self) -> None:
         peers = self.peers
-        peers.on_events = lambda after, told: self.events.append((after, told))
+        peers.on_events = lambda after, events: self.events.append((after, events))
         peers.on_granted = lambda *granted: self.granted.append(granted)
         peers.on_requests = lambda name, counts: self.requests.append((name, counts))
         peers.on_load = lambda service, server, seen: None
-        peers.on_host_count = lambda hosts: setattr(self, "hosts", hosts)
-        peers.store_position = self.known
+        peers.on_host_count = lambda count: setattr(self, "host_count", count)
+        peers.store_position = self.store_position
         peers.stored_item = self.items.get
         peers.changes_after = self.changes.get
         peers.missing_after = lambda: self.missing_after
         peers.start()
 
-    def known(self) -> StorePosition | None:
+    def store_position(self) -> StorePosition | None:
         """Return up to where this host knows the store."""
         if self.revision is None:
             return None
@@ -64,8 +64,8 @@
     def run(self, duration_s: float) -> None:
         """Let all hosts tell what is due."""
         for _ in range(round(duration_s / TICK_S)):
-            for one in self.hosts:
-                one.peers.tick()
+            for host in self.hosts:
+                host.peers.tick()
             self.clock.advance(TICK_S)
 
 
@@ -75,12 +75,12 @@
     monkeypatch.setattr(_peers, "NngListener", net.listen)
     hosts = [make_host(clock, number) for number in range(3)]
     listed = [
-        HostAddress(one.peers.identity.host, one.peers.identity.address)
-        for one in hosts
+        HostAddress(host.peers.identity.host, host.peers.identity.address)
+        for host in hosts
     ]
-    for one in hosts:
-        one.peers.membership.note_listed(listed)
-        one.peers.follow(leader_item(hosts[0]))
+    for host in hosts:
+        host.peers.membership.note_listed(listed)
+        host.peers.follow(leader_item(hosts[0]))
     hosts[0].peers.start_leading(5)
     trio = Trio(clock=clock, net=net, hosts=hosts)
     trio.run(1)
--- a/tests/test_entryhost_behind.py
+++ b/tests/test_entryhost_behind.py
@@ -19,7 +19,7 @@
     leader.control.resign(4.0)
 
 
-def _lose(fleet: Fleet, leader: Host) -> None:
+def _remove(fleet: Fleet, leader: Host) -> None:
     leader.control.stop()
     fleet.hosts.remove(leader)
     fleet.net.cut.add(leader.address)
@@ -29,11 +29,11 @@
     fleet.net.cut.add(leader.address)
 
 
-def _keep(fleet: Fleet, leader: Host) -> None:
+def _keep_leader(fleet: Fleet, leader: Host) -> None:
     pass
 
 
-Change = Callable[[Fleet, Host], None]
+LeaderChange = Callable[[Fleet, Host], None]
 Stores = Callable[[Fleet], list[Host]]
 
 
@@ -50,9 +50,9 @@
 
 
 LEADERS = [
-    pytest.param(_keep, id="leader-stays"),
+    pytest.param(_keep_leader, id="leader-stays"),
     pytest.param(_resign, id="leader-resigns"),
-    pytest.param(_lose, id="leader-lost"),
+    pytest.param(_remove, id="leader-lost"),
     pytest.param(_cut_off, id="leader-cut-off"),
 ]
 STORES = [
@@ -69,7 +69,7 @@
 def test_all_hosts_have_changes_once_the_store_has_recovered(
     monkeypatch: pytest.MonkeyPatch,
     *,
-    change_leader: Change,
+    change_leader: LeaderChange,
     stores: Stores,
     away_s: float,
     kind: str,
@@ -86,7 +86,7 @@
     fleet.list_server("i-1")
     fleet.run(1)
     leader = fleet.leader()
-    silent = [one.store for one in stores(fleet)]
+    silent = [host.store for host in stores(fleet)]
     for store in silent:
         setattr(store, kind, True)
     fleet.run(away_s / 2)
@@ -96,15 +96,17 @@
     for store in silent:
         setattr(store, kind, False)
     fleet.run(STABLE_S)
-    assert [one.servers() for one in fleet.hosts] == [["i-1", "i-2"]] * len(fleet.hosts)
+    assert [host.servers() for host in fleet.hosts] == [["i-1", "i-2"]] * len(
+        fleet.hosts
+    )
     fleet.list_server("i-3")
     fleet.run(IN_FORCE_S)
-    assert {len(one.servers()) for one in fleet.hosts} == {3}
+    assert {len(host.servers()) for host in fleet.hosts} == {3}
 
 
 @pytest.mark.parametrize("change_leader", LEADERS)
 def test_hosts_follow_changes_while_the_leader_changes(
-    monkeypatch: pytest.MonkeyPatch, change_leader: Change
+    monkeypatch: pytest.MonkeyPatch, change_leader: LeaderChange
 ) -> None:
     fleet = Fleet(monkeypatch, hosts=HOSTS)
     fleet.run(4)
@@ -112,7 +114,7 @@
     change_leader(fleet, leader)
     fleet.list_server("i-1")
     fleet.run(IN_FORCE_S)
-    assert {len(one.servers()) for one in fleet.hosts} == {1}
+    assert {len(host.servers()) for host in fleet.hosts} == {1}
 
 
 def test_view_age_grows_before_the_watch_has_failed(
@@ -143,7 +145,7 @@
     fleet = Fleet(monkeypatch, hosts=3)
     fleet.run(4)
     item = fleet.items.below("gentianwharf/leader")[0]
-    assert {one.control.peers.followed_revision for one in fleet.hosts} == {
+    assert {host.control.peers.followed_revision for host in fleet.hosts} == {
         item.revision
     }
     follower, leader = fleet.follower(), fleet.leader()
--- a/tests/test_entryhost_callers_port.py
+++ b/tests/test_entryhost_callers_port.py
@@ -25,9 +25,9 @@
 
 @pytest.fixture
 def listener() -> Iterator[socket.socket]:
-    made = open_port("127.0.0.1:0")
-    yield made
-    made.close()
+    opened = open_port("127.0.0.1:0")
+    yield opened
+    opened.close()
 
 
 def in_reactor(call: Callable[[], Any]) -> Any:
@@ -64,23 +64,25 @@
         in_reactor(port.stop)
 
 
-@pytest.mark.parametrize("learns", [True, False], ids=["rules-come", "rules-stay-away"])
+@pytest.mark.parametrize(
+    "receives_rules", [True, False], ids=["rules-come", "rules-stay-away"]
+)
 def test_callers_wait_a_limited_time_for_the_rules(
-    listener: socket.socket, learns: bool
+    listener: socket.socket, receives_rules: bool
 ) -> None:
     """A host has just started and refuses all who come in its first moment."""
-    looked: list[float] = []
+    polled_s: list[float] = []
 
     def can_serve() -> bool:
-        looked.append(running_reactor().seconds())
-        return learns and len(looked) > 3
+        polled_s.append(running_reactor().seconds())
+        return receives_rules and len(polled_s) > 3
 
     with ask(listener.getsockname()) as caller:
         port = callers_port(listener, can_serve)
         in_reactor(port.start)
         assert b"served" in caller.recv(1000)
         in_reactor(port.stop)
-    assert len(looked) > 3
+    assert len(polled_s) > 3
 
 
 def test_host_that_stops_before_accepting_closes_its_listener(
--- a/tests/test_entryhost_catching_up.py
+++ b/tests/test_entryhost_catching_up.py
@@ -32,13 +32,13 @@
     tells later it can't take without that one, and the store gives it nothing.
     """
     leader, follower, other = trio.hosts
-    lacking = events(13, item("rules", 12, random_bytes(60_000)), item("a", 13))
-    leader.changes[10] = lacking
+    missing = events(13, item("rules", 12, random_bytes(60_000)), item("a", 13))
+    leader.changes[10] = missing
     leader.revision = 13
     follower.missing_after = 10
     trio.run(0.5)
-    assert (10, lacking) in follower.events
-    assert (10, lacking) not in other.events
+    assert (10, missing) in follower.events
+    assert (10, missing) not in other.events
 
 
 def test_leader_that_may_lack_changes_sends_none(
@@ -55,16 +55,16 @@
 def test_large_missing_changes_are_sent_to_one_host_at_a_time(trio: Trio) -> None:
     """News of a server that leaves wait behind what many hosts fetch on slow links."""
     leader, *followers = trio.hosts
-    lacking = events(12, item("rules", 12, random_bytes(80_000)))
-    leader.changes[10] = lacking
+    missing = events(12, item("rules", 12, random_bytes(80_000)))
+    leader.changes[10] = missing
     leader.revision = 12
-    for one in followers:
-        one.missing_after = 10
+    for follower in followers:
+        follower.missing_after = 10
     trio.run(0.5)
-    told = [one.events.count((10, lacking)) for one in followers]
-    assert sum(told) == 1
+    received = [follower.events.count((10, missing)) for follower in followers]
+    assert sum(received) == 1
     trio.run(1)
-    assert sum(one.events.count((10, lacking)) for one in followers) == 2
+    assert sum(follower.events.count((10, missing)) for follower in followers) == 2
 
 
 def test_leader_with_a_fast_link_sends_missing_changes_to_many_hosts(
@@ -73,13 +73,13 @@
     """Of 30 hosts that the store turned away half were told nothing for 9 s."""
     leader = make_host(trio.clock, 0, link_bytes_per_s=25_000_000)
     leader.peers.start_leading(7)
-    lacking = events(12, item("rules", 12, random_bytes(80_000)))
-    leader.changes[10] = lacking
+    missing = events(12, item("rules", 12, random_bytes(80_000)))
+    leader.changes[10] = missing
     leader.revision = 12
-    told: list[str] = []
+    received: list[str] = []
     for number in range(30):
         address = f"10.0.1.{number}:90"
-        trio.net.listeners[address] = lambda data: told.append(
+        trio.net.listeners[address] = lambda data: received.append(
             "lacking" if len(data) > 80_000 else "news"
         )
         report = Report(f"other{number}", address, {}, {}, 10)
@@ -87,7 +87,7 @@
             msgspec.msgpack.encode(report)
         )
         trio.clock.advance(TICK_S)
-    assert told.count("lacking") == 30
+    assert received.count("lacking") == 30
 
 
 def test_all_hosts_that_request_changes_together_receive_them(
@@ -95,25 +95,25 @@
 ) -> None:
     """Hosts report in step, and who asked a moment later was passed over."""
     leader = trio.hosts[0]
-    lacking = events(12, item("rules", 12, random_bytes(10_000)))
-    leader.changes[10] = lacking
+    missing = events(12, item("rules", 12, random_bytes(10_000)))
+    leader.changes[10] = missing
     leader.revision = 12
-    told: set[str] = set()
+    received: set[str] = set()
 
     def listener(address: str) -> Callable[[bytes], None]:
-        return lambda data: told.add(address) if len(data) > 10_000 else None
+        return lambda data: received.add(address) if len(data) > 10_000 else None
 
     addresses = [f"10.0.1.{number}:90" for number in range(30)]
     for address in addresses:
         trio.net.listeners[address] = listener(address)
     for _ in range(4):
         for address in addresses:
-            missing_after = 10 if address not in told else None
+            missing_after = 10 if address not in received else None
             report = Report(address, address, {}, {}, missing_after)
             encoded = msgspec.msgpack.encode(report)
             trio.net.listeners[leader.peers.identity.address](encoded)
         trio.run(0.9)
-    assert len(told) == 30
+    assert len(received) == 30
 
 
 def test_queued_host_with_a_new_address_receives_changes_there(
@@ -121,37 +121,37 @@
 ) -> None:
     """What it lacked went to a closed link, and the leader's tick failed."""
     leader = trio.hosts[0]
-    lacking = events(12, item("rules", 12, random_bytes(80_000)))
-    leader.changes[10] = lacking
+    missing = events(12, item("rules", 12, random_bytes(80_000)))
+    leader.changes[10] = missing
     leader.revision = 12
-    told: list[str] = []
+    received: list[str] = []
 
     def listener(address: str) -> Callable[[bytes], None]:
-        return lambda data: told.append(address) if len(data) > 80_000 else None
+        return lambda data: received.append(address) if len(data) > 80_000 else None
 
     for host, address in (("a", "a:1"), ("b", "b:1"), ("b", "b:2")):
         trio.net.listeners[address] = listener(address)
         report = msgspec.msgpack.encode(Report(host, address, {}, {}, 10))
         trio.net.listeners[leader.peers.identity.address](report)
     trio.run(2)
-    assert told == ["a:1", "b:2"]
+    assert received == ["a:1", "b:2"]
 
 
 def test_large_missing_changes_are_sent_in_batches(trio: Trio) -> None:
     """What all hosts are told waits for seconds behind what one of them lacks."""
     leader, follower, _ = trio.hosts
-    lacking = [
+    missing = [
         item("a", 11, random_bytes(60_000)),
         item("b", 12, random_bytes(60_000)),
         item("c", 12, random_bytes(60_000)),
     ]
-    leader.changes[10] = events(13, *lacking)
-    leader.changes[11] = events(13, *lacking[1:])
+    leader.changes[10] = events(13, *missing)
+    leader.changes[11] = events(13, *missing[1:])
     leader.revision = 13
     follower.missing_after = 10
     trio.run(0.5)
-    assert (10, events(11, lacking[0])) in follower.events
+    assert (10, events(11, missing[0])) in follower.events
     follower.missing_after = 11
     trio.run(1)
     # Changes of one revision stay together, or it would not be known up to which one.
-    assert (11, events(13, *lacking[1:])) in follower.events
+    assert (11, events(13, *missing[1:])) in follower.events
--- a/tests/test_entryhost_control.py
+++ b/tests/test_entryhost_control.py
@@ -22,7 +22,7 @@
     follower.store.calls.clear()
     fleet.list_server("i-2")
     fleet.run(0.5)
-    assert [one.servers() for one in fleet.hosts] == [["i-1", "i-2"]] * 3
+    assert [host.servers() for host in fleet.hosts] == [["i-1", "i-2"]] * 3
     assert follower.store.calls == []
 
 
@@ -68,8 +68,8 @@
     for number in range(2, 40):
         fleet.list_server(f"i-{number}")
         fleet.run(0.25)
-    assert all(len(one.servers()) == 39 for one in fleet.hosts)
-    assert all(one.control.mirror.lacking_s() == 0 for one in fleet.hosts)
+    assert all(len(host.servers()) == 39 for host in fleet.hosts)
+    assert all(host.control.mirror.lacking_s() == 0 for host in fleet.hosts)
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
     fleet.run(0.5)
     fleet.list_server("i-2")
     fleet.run(0.5)
-    assert [one.servers() for one in fleet.hosts] == [["i-2"]] * 3
+    assert [host.servers() for host in fleet.hosts] == [["i-2"]] * 3
 
 
 def test_host_that_lacks_a_large_value_catches_up(fleet: Fleet) -> None:
--- a/tests/test_entryhost_directory.py
+++ b/tests/test_entryhost_directory.py
@@ -28,7 +28,7 @@
 
 
 def usable(directory: Directory) -> list[str]:
-    return sorted(one.id for one in directory.usable("calendar"))
+    return sorted(server.id for server in directory.usable("calendar"))
 
 
 def test_leaving_server_receives_no_work() -> None:
@@ -116,12 +116,12 @@
             directory.note_item("servers/i-9", refused)
             directory.note_item("servers/i-9", refused)
             directory.note_item("servers/i-9", None)
-    named = [
-        (one.extra["peer"], one.extra["revision"])
-        for one in logs.records
-        if "not taken" in one.message
+    logged = [
+        (record.extra["peer"], record.extra["revision"])
+        for record in logs.records
+        if "not taken" in record.message
     ]
-    assert named == [("servers/i-9", 7), ("servers/i-9", 8)]
+    assert logged == [("servers/i-9", 7), ("servers/i-9", 8)]
 
 
 def test_servers_listed_together_are_coalesced() -> None:
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -38,7 +38,7 @@
     leadership: Leadership
     former: FormerLeader
 
-    def word(self, *, is_settled: bool = True) -> Former:
+    def stored_former(self, *, is_settled: bool = True) -> Former:
         """Return what it has left in the store."""
         value = msgspec.json.encode(self.identity)
         return Former(value=value, is_settled=is_settled, held_s=None)
@@ -57,10 +57,10 @@
         self.lost = self.addresses.start("a", "10.0.0.1:80")
         self.other = self.addresses.start("b", "10.0.0.2:80")
 
-    def host(self, number: int, *, process: int = 1) -> Leader:
+    def host(self, number: int, *, incarnation: int = 1) -> Leader:
         """Return a host that has just started."""
         clock = self.clock
-        identity = HostIdentity(f"h{number}", f"10.1.0.{number}:90", process)
+        identity = HostIdentity(f"h{number}", f"10.1.0.{number}:90", incarnation)
         leadership = Leadership(
             store=SimpleStore(clock),
             key="leader",
@@ -103,16 +103,16 @@
 
     def time_until_served_s(self, host: Leader, *others: Leader) -> float:
         """Return how long it takes until the shards are served, by one server only."""
-        begun_s = self.clock.seconds()
+        started_s = self.clock.seconds()
         while self.addresses.holders(SHARD) != [self.other]:
-            assert self.clock.seconds() < begun_s + 30
+            assert self.clock.seconds() < started_s + 30
             host.keeper.note_heard(self.clock.seconds())
-            for one in (host, *others):
-                one.former.tick()
-                one.keeper.tick()
+            for leader in (host, *others):
+                leader.former.tick()
+                leader.keeper.tick()
             self.clock.advance(0.05)
             assert len(self.addresses.holders(SHARD)) <= 1
-        return self.clock.seconds() - begun_s
+        return self.clock.seconds() - started_s
 
     def _table(
         self, holder: Holder, token: int, *, former: tuple[Holder, ...] = ()
@@ -143,7 +143,7 @@
     """
     former, leader = former_and_next_leader(network)
     network.lead(leader, revision=9)
-    leader.former.ask(former.word())
+    leader.former.ask(former.stored_former())
     network.move(leader)
     # The new leader's own try to renew may have arrived until it was given up.
     longest_s = GRANT_TIMEOUT_S + TIMING.grant_s * CLOCK_DRIFT + MARGIN_S
@@ -160,10 +160,10 @@
     """
     former, leader = former_and_next_leader(network)
     former.keeper.stop()
-    restarted = network.host(1, process=2)
+    restarted = network.host(1, incarnation=2)
     network.clock.advance(4.0)
     network.lead(leader, revision=9)
-    leader.former.ask(former.word())
+    leader.former.ask(former.stored_former())
     network.move(leader)
     longest_s = TIMING.longest_grant_s * CLOCK_DRIFT + MARGIN_S - 4.0
     waited_s = network.time_until_served_s(leader, restarted)
@@ -179,11 +179,11 @@
     """Two servers run one key: the leader before the last one was forgotten."""
     former, leader = former_and_next_leader(network)
     former.keeper.stop()
-    restarted = network.host(1, process=2)
+    restarted = network.host(1, incarnation=2)
     if not reached:
         network.net.cut.add(former.identity.address)
     network.lead(leader, revision=9)
-    leader.former.ask(former.word(is_settled=not reached))
+    leader.former.ask(former.stored_former(is_settled=not reached))
     network.move(leader)
     longest_s = TIMING.leader_alone_s + TIMING.longest_grant_s
     assert network.time_until_served_s(leader, restarted) > longest_s
@@ -193,7 +193,7 @@
     former, leader = former_and_next_leader(network)
     network.lead(former, revision=12)
     network.lead(leader, revision=9)
-    leader.former.ask(former.word())
+    leader.former.ask(former.stored_former())
     assert former.leadership.leads
     run_keeper(former.keeper, network.clock, 0.1)
     assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
@@ -205,7 +205,7 @@
     former, leader = former_and_next_leader(network)
     network.lead(leader, revision=9)
     network.net.cut.add(former.identity.address)
-    leader.former.ask(former.word())
+    leader.former.ask(former.stored_former())
     leader.former.handle_response(HoldsResponse(7, 9, None))
     assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
 
@@ -219,6 +219,6 @@
     former, leader = former_and_next_leader(network)
     network.lead(leader, revision=15)
     network.net.cut.add(former.identity.address)
-    leader.former.ask(former.word())
+    leader.former.ask(former.stored_former())
     leader.former.handle_response(HoldsResponse(former.identity.incarnation, 9, None))
     assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
--- a/tests/test_entryhost_host_list.py
+++ b/tests/test_entryhost_host_list.py
@@ -29,17 +29,17 @@
 
 def test_list_is_written_only_when_it_changes(fleet: Fleet) -> None:
     """Each write is paid, and told to all hosts."""
-    for one in fleet.hosts:
-        one.store.calls.clear()
+    for host in fleet.hosts:
+        host.store.calls.clear()
     fleet.run(10 * WRITE_INTERVAL_S)
-    assert [one.store.calls.count("change") for one in fleet.hosts] == [0] * HOSTS
+    assert [host.store.calls.count("change") for host in fleet.hosts] == [0] * HOSTS
 
 
 def test_host_that_does_not_return_is_removed_from_the_list(fleet: Fleet) -> None:
-    gone = fleet.follower()
-    gone.control.stop()
-    fleet.hosts.remove(gone)
-    fleet.net.cut.add(gone.address)
+    removed = fleet.follower()
+    removed.control.stop()
+    fleet.hosts.remove(removed)
+    fleet.net.cut.add(removed.address)
     fleet.run(REMOVE_AFTER_S + 3 * WRITE_INTERVAL_S)
     assert listed(fleet) == HOSTS - 1
 
@@ -56,13 +56,13 @@
 ) -> None:
     """It knew nobody, and hosts that are turned away waited for a former leader."""
     former = fleet.leader()
-    fresh = fleet.restart(fleet.follower(), refuses_calls=False)
+    restarted = fleet.restart(fleet.follower(), refuses_calls=False)
     fleet.run(0.1)
-    for one in fleet.hosts:
-        one.store.refuses_calls = one is not fresh
+    for host in fleet.hosts:
+        host.store.refuses_calls = host is not restarted
     fleet.net.cut.add(former.address)
     fleet.run(4)
     fleet.list_server("i-1")
     fleet.run(2)
-    others = [one for one in fleet.hosts if one is not former]
-    assert [one.servers() for one in others] == [["i-1"]] * (HOSTS - 1)
+    others = [host for host in fleet.hosts if host is not former]
+    assert [host.servers() for host in others] == [["i-1"]] * (HOSTS - 1)
--- a/tests/test_entryhost_keys.py
+++ b/tests/test_entryhost_keys.py
@@ -44,25 +44,25 @@
     return keys
 
 
-def ask(keys: KeyHolders) -> "Deferred[Owner]":
+def request_owner(keys: KeyHolders) -> "Deferred[Owner]":
     return Deferred.fromCoroutine(keys.owner(ticket()))
 
 
-def result(asked: "Deferred[Owner]") -> Owner | None:
-    found: list[Owner] = []
+def result(pending: "Deferred[Owner]") -> Owner | None:
+    owners: list[Owner] = []
 
     def keep(owner: Owner) -> Owner:
-        found.append(owner)
+        owners.append(owner)
         return owner
 
-    asked.addCallback(keep)
-    return found[0] if found else None
+    pending.addCallback(keep)
+    return owners[0] if owners else None
 
 
 def test_holder_is_found_at_once() -> None:
-    found = result(ask(make_keys(Clock(), table(span(0, 9, 1)))))
-    assert found is not None
-    assert (found.server.id, found.token) == ("s1", 1)
+    owner = result(request_owner(make_keys(Clock(), table(span(0, 9, 1)))))
+    assert owner is not None
+    assert (owner.server.id, owner.token) == ("s1", 1)
 
 
 def test_request_waits_for_the_notice_of_a_finished_move() -> None:
@@ -71,13 +71,13 @@
     keys = make_keys(clock, table(span(0, 9, 1)))
     keys.receives_updates = lambda: True
     keys.set_table(table(span(0, 9, 2, token=2, former=(1,))))
-    asked = ask(keys)
+    pending = request_owner(keys)
     clock.advance(MOVE_WAIT_S / 2)
-    assert result(asked) is None
+    assert result(pending) is None
     keys.note_granted(SERVICE, 0, 2)
-    found = result(asked)
-    assert found is not None
-    assert found.server.id == "s2"
+    owner = result(pending)
+    assert owner is not None
+    assert owner.server.id == "s2"
 
 
 def test_request_does_not_wait_for_a_slow_move() -> None:
@@ -90,9 +90,9 @@
     keys.receives_updates = lambda: True
     clock.advance(MOVE_WAIT_S + 0.5)
     keys.not_owner(ticket(), Owner(server=server("s2"), shard=5, token=2, deadline_s=9))
-    asked = ask(keys)
+    pending = request_owner(keys)
     refused = []
-    asked.addErrback(lambda failure: refused.append(failure.value))
+    pending.addErrback(lambda failure: refused.append(failure.value))
     assert isinstance(refused[0], Problem)
     assert refused[0].status == 503
 
@@ -100,19 +100,19 @@
 def test_host_without_updates_tries_the_new_holder() -> None:
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
-    asked = ask(keys)
+    pending = request_owner(keys)
     clock.advance(MOVE_WAIT_S + 0.01)
-    found = result(asked)
-    assert found is not None
-    assert found.server.id == "s2"
+    owner = result(pending)
+    assert owner is not None
+    assert owner.server.id == "s2"
 
 
 def test_wait_for_an_unlisted_holder_is_limited() -> None:
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)), listed=("s2",))
-    asked = ask(keys)
+    pending = request_owner(keys)
     failures = []
-    asked.addErrback(lambda failure: failures.append(failure.check(Problem)))
+    pending.addErrback(lambda failure: failures.append(failure.check(Problem)))
     clock.advance(MAX_WAIT_S + 0.01)
     assert failures == [Problem]
 
@@ -120,11 +120,11 @@
 def test_waiting_request_continues_with_a_new_table() -> None:
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)), listed=("s2",))
-    asked = ask(keys)
+    pending = request_owner(keys)
     keys.set_table(table(span(0, 9, 2, token=2)))
-    found = result(asked)
-    assert found is not None
-    assert found.server.id == "s2"
+    owner = result(pending)
+    assert owner is not None
+    assert owner.server.id == "s2"
 
 
 @pytest.mark.parametrize("token", [1, 3])
@@ -135,5 +135,5 @@
     keys.not_owner(
         ticket(), Owner(server=server("s1"), shard=5, token=token, deadline_s=9)
     )
-    assert result(ask(keys)) is not None
+    assert result(request_owner(keys)) is not None
     assert holder(2).server_id == "s2"
--- a/tests/test_entryhost_metrics.py
+++ b/tests/test_entryhost_metrics.py
@@ -50,6 +50,6 @@
     metrics = HostMetrics()
     for number in range(2 * MAX_SERIES):
         metrics.answered(answered(request_class=f"class-{number}"))
-    lines = [one for one in metrics.text().splitlines() if "answers_total{" in one]
+    lines = [line for line in metrics.text().splitlines() if "answers_total{" in line]
     assert len(lines) <= MAX_SERIES + 1
-    assert any('class="other"' in one for one in lines)
+    assert any('class="other"' in line for line in lines)
--- a/tests/test_entryhost_next_leader.py
+++ b/tests/test_entryhost_next_leader.py
@@ -64,7 +64,7 @@
 def test_new_leader_counts_all_listed_hosts_at_once(trio: Trio) -> None:
     """Each host takes all room at the servers until the others have reported again."""
     leader = start_next_leader(trio)
-    assert leader.hosts == 3
+    assert leader.host_count == 3
 
 
 def test_former_leader_stops_on_an_update_of_the_next_one(trio: Trio) -> None:
@@ -145,4 +145,4 @@
     other.events.clear()
     trio.run(2 * RECONNECT_INTERVAL_S)
     assert other.events == []
-    assert leader.hosts == 2
+    assert leader.host_count == 2
--- a/tests/test_entryhost_outages.py
+++ b/tests/test_entryhost_outages.py
@@ -63,14 +63,20 @@
         for host in self.fleet.hosts:
             host.store.refuses_calls = host.store.is_silent = False
 
-    def reached(self) -> list[Host]:
+    def reachable(self) -> list[Host]:
         """Return the hosts that reach the store, or a leader that does."""
-        well = [one for one in self.fleet.hosts if is_well(one)]
+        available = [host for host in self.fleet.hosts if is_store_available(host)]
         leads = any(
-            one.control.leadership.may_change() and not self.is_cut(one) for one in well
+            host.control.leadership.may_change() and not self.is_cut(host)
+            for host in available
         )
-        told = [one for one in self.fleet.hosts if leads and not self.is_cut(one)]
-        return [*well, *(one for one in told if not is_well(one))]
+        connected = [
+            host for host in self.fleet.hosts if leads and not self.is_cut(host)
+        ]
+        return [
+            *available,
+            *(host for host in connected if not is_store_available(host)),
+        ]
 
     def is_cut(self, host: Host) -> bool:
         """Whether a host hears no other."""
@@ -79,10 +85,10 @@
     def expected(self) -> list[str]:
         """Return the servers that the store lists."""
         items = self.fleet.items.below("servers/")
-        return sorted(one.key.removeprefix("servers/") for one in items)
+        return sorted(item.key.removeprefix("servers/") for item in items)
 
 
-def is_well(host: Host) -> bool:
+def is_store_available(host: Host) -> bool:
     """Whether the store answers a host."""
     return not host.store.refuses_calls and not host.store.is_silent
 
@@ -101,10 +107,10 @@
         fleet.run(SETTLED_S)
         outages.change()
         fleet.run(IN_FORCE_S)
-        known = {one.address: one.servers() for one in outages.reached()}
-        assert known == dict.fromkeys(known, outages.expected())
+        actual = {host.address: host.servers() for host in outages.reachable()}
+        assert actual == dict.fromkeys(actual, outages.expected())
     outages.end()
     fleet.run(STABLE_S)
     outages.change()
     fleet.run(IN_FORCE_S)
-    assert [one.servers() for one in fleet.hosts] == [outages.expected()] * HOSTS
+    assert [host.servers() for host in fleet.hosts] == [outages.expected()] * HOSTS
--- a/tests/test_entryhost_peers.py
+++ b/tests/test_entryhost_peers.py
@@ -32,7 +32,7 @@
 
 
 def test_all_hosts_receive_the_number_of_hosts(trio: Trio) -> None:
-    assert [one.hosts for one in trio.hosts] == [3, 3, 3]
+    assert [host.host_count for host in trio.hosts] == [3, 3, 3]
 
 
 def test_update_without_changes_carries_the_current_revision(trio: Trio) -> None:
@@ -74,9 +74,9 @@
     # It was frozen while another host took its place, and wakes with old news.
     leader, follower, other = trio.hosts
     follower.peers.follow(leader_item(other))
-    told = len(follower.events)
+    event_count = len(follower.events)
     leader.peers.broadcast_events(10, events(12, item("a", 11)))
-    assert len(follower.events) == told
+    assert len(follower.events) == event_count
     assert not follower.peers.receives_changes()
 
 
@@ -230,9 +230,9 @@
     others = [
         Report(f"other{number}", f"10.0.1.{number}:90", {}, {}) for number in range(83)
     ]
-    for one in others:
-        net.listeners[one.address] = lambda data: None
-        net.listeners[leader.peers.identity.address](msgspec.msgpack.encode(one))
+    for report in others:
+        net.listeners[report.address] = lambda data: None
+        net.listeners[leader.peers.identity.address](msgspec.msgpack.encode(report))
     leader.revision = 12
     leader.peers.broadcast_events(
         10, events(12, item("rules", 12, random_bytes(60_000)))
@@ -276,7 +276,7 @@
     watches the store.
     """
     _, follower, _ = trio.hosts
-    known = list(follower.events)
+    events_before = list(follower.events)
     former = ["news", "h0", 3, [], 0.1, 10, 11, [["t", 11, b"x", 0, 0]]]
     trio.net.listeners[follower.peers.identity.address](msgspec.msgpack.encode(former))
-    assert follower.events == known
+    assert follower.events == events_before
--- a/tests/test_entryhost_rules.py
+++ b/tests/test_entryhost_rules.py
@@ -22,7 +22,7 @@
     return Item(key=CONFIG_KEY, value=value, revision=revision, lease_id=0)
 
 
-MOST_VALUE_BYTES = 1_048_576
+MAX_VALUE_BYTES = 1_048_576
 """What the users' store takes for one value: the only bound on a configuration."""
 
 
@@ -45,7 +45,7 @@
     the check of a change that an operator asks for, where it can still be refused.
     """
     value = many_routes(count)
-    assert len(value) <= MOST_VALUE_BYTES
+    assert len(value) <= MAX_VALUE_BYTES
     rules = RulesInForce(now_s=Clock().seconds)
     rules.note_item(item(configuration(version="r8")))
     rules.note_item(item(value, revision=2))
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize(
-    ("odd", "services", "unread"),
+    ("unreadable", "services", "unread"),
     [
         pytest.param(route(timeout="soon"), {}, 1, id="time"),
         pytest.param(route(timeout="9" * 400 + "s"), {}, 1, id="time-without-end"),
@@ -128,7 +128,7 @@
     ],
 )
 def test_unreadable_rule_does_not_block_other_rules(
-    odd: dict[str, Any], services: dict[str, Any], unread: int
+    unreadable: dict[str, Any], services: dict[str, Any], unread: int
 ) -> None:
     """Callers of every new rule get 404 because one other rule can't be read.
 
@@ -143,7 +143,7 @@
         routes={
             "wide": route(prefix="/", service="seats"),
             "new": route(prefix="/new/", service="seats"),
-            "odd": odd | {"prefix": "/odd/"},
+            "odd": unreadable | {"prefix": "/odd/"},
         },
         services=usual | services,
     )
@@ -152,7 +152,7 @@
     with logbook.TestHandler() as handler:
         rules.note_item(item(value, revision=2))
     assert (rules.version, rules.unread()) == (8, unread)
-    assert any("routes.odd" in (one.message or "") for one in handler.records)
+    assert any("routes.odd" in (record.message or "") for record in handler.records)
     match = rules.match(facts("/new/1"))
     assert match is not None
     assert match.rule.name == "new"
@@ -161,8 +161,8 @@
     problem = caught.value
     assert (problem.status, problem.run) == (503, Run.NOT_RUN)
     assert problem.retry_after_s is not None
-    mended = configuration(version="r9", routes={"odd": route(prefix="/odd/")})
-    rules.note_item(item(mended, revision=3))
+    corrected = configuration(version="r9", routes={"odd": route(prefix="/odd/")})
+    rules.note_item(item(corrected, revision=3))
     assert rules.unread() == 0
     match = rules.match(facts("/odd/1"))
     assert match is not None
--- a/tests/test_entryhost_servers.py
+++ b/tests/test_entryhost_servers.py
@@ -32,12 +32,12 @@
 @pytest.fixture
 def host() -> EntryHost:
     clock: Any = Clock()
-    made = EntryHost(
+    host = EntryHost(
         settings=decode_host_settings(SETTINGS, peer="test"), reactor=clock
     )
-    note_configuration(made, revision=1)
-    note_entry(made, revision=2)
-    return made
+    note_configuration(host, revision=1)
+    note_entry(host, revision=2)
+    return host
 
 
 def note_configuration(host: EntryHost, *, revision: int, **services: Any) -> None:
@@ -95,7 +95,7 @@
     assert pool.limit.most == 8.0
 
 
-def at_another_address(server: BackendServer) -> BackendServer:
+def with_another_address(server: BackendServer) -> BackendServer:
     return replace(server, address="10.128.0.77:8080")
 
 
@@ -115,11 +115,11 @@
 
 def test_connections_to_a_former_address_are_closed(pool: ServerConnections) -> None:
     """A request reaches another server, which has the address by now."""
-    taken = Deferred.fromCoroutine(pool.acquire())
+    connection = Deferred.fromCoroutine(pool.acquire())
     connected(pool)
-    taken.addCallback(pool.put_back)
+    connection.addCallback(pool.put_back)
     assert len(pool.idle()) == 1
-    pool.follow(at_another_address(pool.server))
+    pool.follow(with_another_address(pool.server))
     assert pool.idle() == ()
 
 
@@ -127,10 +127,10 @@
     pool: ServerConnections,
 ) -> None:
     """The same, of a connection that was being made while its server moved."""
-    taken = Deferred.fromCoroutine(pool.acquire())
+    connection = Deferred.fromCoroutine(pool.acquire())
     failed: list[Failure] = []
-    taken.addErrback(failed.append)
-    pool.follow(at_another_address(pool.server))
+    connection.addErrback(failed.append)
+    pool.follow(with_another_address(pool.server))
     connected(pool)
     assert failed
     assert failed[0].check(PeerUnavailableError)
@@ -146,18 +146,18 @@
     Each of them had all listed servers looked through, those of the others as well:
     1,219 services with a server each took 4.3 s.
     """
-    looked = 0
+    scans = 0
     all_entries = host._control.directory.all
 
     def counted() -> list[ServerEntry]:
-        nonlocal looked
-        looked += 1
+        nonlocal scans
+        scans += 1
         return all_entries()
 
     host._control.directory.all = counted  # type: ignore[method-assign]
     many = {f"s{number}": {"max-connections": 10} for number in range(services)}
     note_configuration(host, revision=5, services=many, routes={})
-    assert looked <= 1
+    assert scans <= 1
 
 
 def test_server_that_changes_its_service_serves_the_new_one() -> None:
@@ -175,8 +175,8 @@
     registry.set_servers(before.service, [], 1.0)
     pool = registry.set_servers("documents", [after], 1.0)
     assert pool is not None
-    assert [one.server for one in pool.states] == [after]
-    assert [one.local for one in pool.states] == [False]
+    assert [state.server for state in pool.states] == [after]
+    assert [state.local for state in pool.states] == [False]
     former = registry.set_servers(before.service, [], 2.0)
     assert former is not None
     assert former.states == []
--- a/tests/test_entryhost_turned_away.py
+++ b/tests/test_entryhost_turned_away.py
@@ -33,8 +33,8 @@
 
 
 def _all_but_one(fleet: Fleet) -> list[FakeStore]:
-    kept = fleet.follower().store
-    return [one.store for one in fleet.hosts if one.store is not kept]
+    excluded = fleet.follower().store
+    return [host.store for host in fleet.hosts if host.store is not excluded]
 
 
 @pytest.fixture
@@ -65,16 +65,16 @@
     for number in (2, 3):
         fleet.list_server(f"i-{number}")
         fleet.run(IN_FORCE_S)
-        assert {len(one.servers()) for one in fleet.hosts} == {number}
-    assert max(one.control.mirror.age_s() for one in fleet.hosts) < IN_FORCE_S
+        assert {len(host.servers()) for host in fleet.hosts} == {number}
+    assert max(host.control.mirror.age_s() for host in fleet.hosts) < IN_FORCE_S
 
 
 def test_reconnected_hosts_have_the_newest_rules_soon(
     fleet: Fleet,
 ) -> None:
     """Every version of all values was fetched over a slow link before one was used."""
-    back = [one for one in fleet.hosts if one is not fleet.leader()][1:]
-    for host in back:
+    returning = [host for host in fleet.hosts if host is not fleet.leader()][1:]
+    for host in returning:
         host.store.bytes_per_s = SLOW_LINK_BYTES_PER_S
         host.store.is_silent = True
         fleet.net.cut.add(host.address)
@@ -83,11 +83,11 @@
         fleet.write("tables/large", rng.randbytes(TABLE_BYTES))
         fleet.write("op/config", configuration(version=f"r{version}"))
         fleet.run(0.2)
-    for host in back:
+    for host in returning:
         host.store.is_silent = False
     fleet.net.cut.clear()
     fleet.run(STABLE_S)
-    assert {one.control.rules.version for one in fleet.hosts} == {50}
+    assert {host.control.rules.version for host in fleet.hosts} == {50}
 
 
 def test_host_refused_at_its_start_receives_a_snapshot(
