--- a/tests/builders_entryhost.py
+++ b/tests/builders_entryhost.py
@@ -1,4 +1,4 @@
-"""Entry hosts' controls on one store in memory and links without a net."""
+"""Controls of entry hosts on a store in memory and simulated links."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -30,12 +30,12 @@
 TICK_S = 0.05
 
 ANSWER_S = 1.0
-"""For how long a call waits for its answer, a watch beyond its own wait."""
+"""Time after which an unanswered call fails; for a watch, after its own wait."""
 
 
 @dataclass
 class FakeStore:
-    """One host's way to the store, on which a test may let calls fail."""
+    """One host's connection to the store, whose calls a test can make fail."""
 
     backend: Items
     clock: Clock
@@ -47,7 +47,7 @@
     calls: list[str] = field(default_factory=list)
 
     async def items(self, prefix: str) -> Page:
-        """Return what stands below a prefix."""
+        """Return all items below a prefix."""
         await self._begin_call("items")
         page = Page(
             items=tuple(self.backend.below(prefix)), revision=self.backend.revision
@@ -56,7 +56,7 @@
         return page
 
     async def watch(self, prefix: str, *, after_revision: int, wait_s: float) -> Events:
-        """Wait for a change; a watch that is lost ends a second after its wait."""
+        """Wait for a change; a lost watch fails a second after its wait."""
         await self._begin_call("watch", wait_s=wait_s)
         if self.history_is_gone:
             await deferLater(self.clock, TICK_S)
@@ -89,7 +89,7 @@
         return self.backend.open_lease(duration_s)
 
     async def renew_lease(self, lease_id: int) -> float:
-        """Let a lease begin anew."""
+        """Renew a lease."""
         await self._begin_call("renew_lease")
         try:
             return self.backend.renew_lease(lease_id)
@@ -97,7 +97,7 @@
             raise LeaseEndedError("none", step="renew", peer="store") from error
 
     async def _transfer(self, changes: Sequence[Item | Removal]) -> None:
-        """Let the time pass that values, as base64, take on this host's link."""
+        """Wait while the values, encoded as base64, use this host's link."""
         values = [change.value for change in changes if isinstance(change, Item)]
         transfer_s = sum(len(value) for value in values) * 4 / 3 / self.bytes_per_s
         if transfer_s > 0:
@@ -114,19 +114,19 @@
 
 @dataclass
 class Host:
-    """One host's control, its address between hosts and its way to the store."""
+    """One host's control, address for other hosts, and store connection."""
 
     control: Control
     address: str
     store: FakeStore
 
     def servers(self) -> list[str]:
-        """Return the ids of the servers that this host lists."""
+        """Return the ids of the servers that this host has listed."""
         return sorted(entry.id for entry in self.control.directory.all())
 
 
 class Fleet:
-    """Hosts that run on one clock."""
+    """Hosts that share one clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, hosts: int) -> None:
         self.clock = Clock()
@@ -160,19 +160,19 @@
         return Host(control=control, address=address, store=self.stores[-1])
 
     def write(self, key: str, value: bytes) -> None:
-        """Write as an operator or a server does."""
+        """Write an item, like an operator or a server."""
         self.items.change(Change(puts=(Put(key=key, value=value),)))
 
     def list_server(self, name: str) -> None:
-        """Let a server write its entry."""
+        """Write the entry of a server."""
         self.write(f"servers/{name}", server_entry())
 
     def remove_server(self, name: str) -> None:
-        """Let a server's entry go."""
+        """Remove the entry of a server."""
         self.items.change(Change(removals=(f"servers/{name}",)))
 
     def restart(self, host: Host, *, refuses_calls: bool) -> Host:
-        """End a host's process and start another one in its place."""
+        """Replace a host's process by a new one."""
         host.control.stop()
         number = self.hosts.index(host)
         self.hosts[number] = restarted = self._host(number)
@@ -181,7 +181,7 @@
         return restarted
 
     def run(self, duration_s: float) -> None:
-        """Let time pass for all hosts."""
+        """Advance the time of all hosts."""
         for _ in range(round(duration_s / TICK_S)):
             self.items.expire()
             for host in self.hosts:
--- a/tests/builders_peers.py
+++ b/tests/builders_peers.py
@@ -1,4 +1,4 @@
-"""Three hosts on links without a net, and what each was told."""
+"""Three hosts on simulated links that record the messages they receive."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -20,7 +20,7 @@
 
 @dataclass
 class RecordingHost:
-    """One host's links, and what it was told."""
+    """One host's peers, and the messages that it received."""
 
     peers: Peers
     revision: int | None = 10
@@ -47,7 +47,7 @@
         peers.start()
 
     def store_position(self) -> StorePosition | None:
-        """Return up to where this host knows the store."""
+        """Return this host's position in the store."""
         if self.revision is None:
             return None
         return StorePosition(revision=self.revision, age_s=self.age_s)
@@ -55,14 +55,14 @@
 
 @dataclass
 class Trio:
-    """Three hosts; the first one leads."""
+    """Three hosts, the first of which leads."""
 
     clock: Clock
     net: LinkNet
     hosts: list[RecordingHost]
 
     def run(self, duration_s: float) -> None:
-        """Let all hosts tell what is due."""
+        """Advance the time, and send all messages that are due."""
         for _ in range(round(duration_s / TICK_S)):
             for host in self.hosts:
                 host.peers.tick()
@@ -70,7 +70,7 @@
 
 
 def make_trio(monkeypatch: pytest.MonkeyPatch, clock: Clock, net: LinkNet) -> Trio:
-    """Return hosts, all of them listed, that have followed the first one for 1 s."""
+    """Return three listed hosts that have followed the first one for a second."""
     monkeypatch.setattr(_peers, "dial", net.dial)
     monkeypatch.setattr(_peers, "NngListener", net.listen)
     hosts = [make_host(clock, number) for number in range(3)]
@@ -103,6 +103,6 @@
 
 
 def leader_item(host: RecordingHost, *, revision: int = 5) -> Item:
-    """Return what stands in the store while a host leads."""
+    """Return the item in the store while a host leads."""
     value = msgspec.json.encode(host.peers.identity)
     return Item(key="leader", value=value, revision=revision)
--- a/tests/test_daemon_shutdown.py
+++ b/tests/test_daemon_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no request off."""
+"""A planned shutdown does not interrupt requests."""
 
 from collections.abc import Callable
 
@@ -53,10 +53,10 @@
 
 
 def test_requests_are_accepted_until_the_balancer_has_noticed() -> None:
-    """Families get connection errors at every release.
+    """Guards against connection errors at every release.
 
-    The daemon stops listening at SIGTERM, while the balancer goes on sending until
-    its next look at readiness.
+    The daemon stopped listening at SIGTERM, while the balancer kept sending requests
+    until its next check of readiness.
     """
     process, clock, shutdown = start([])
     run_for(clock, 4.9)
@@ -82,10 +82,10 @@
 
 
 def test_process_waits_until_written_answers_are_sent() -> None:
-    """A caller's connection ends without an answer at a planned stop.
+    """Guards against connections that end without the answer at a planned shutdown.
 
-    The answer is finished and waits in the connection's buffer when the process
-    sees that no request is in flight, and ends.
+    The answer is complete but still in the connection's buffer when the process has no
+    more requests in flight, and ends.
     """
     process, clock, _ = start([])
     process.connections = 1
--- a/tests/test_entryhost_behind.py
+++ b/tests/test_entryhost_behind.py
@@ -1,4 +1,4 @@
-"""No host stays behind the store for long, whoever leads and whatever was lost."""
+"""Hosts receive changes of the store in time, whoever leads and whatever fails."""
 
 from collections.abc import Callable
 
@@ -9,10 +9,10 @@
 
 HOSTS = 5
 IN_FORCE_S = 2.0
-"""After the store took a change it is in force at every host."""
+"""A change is in force at every host this long after the store accepted it."""
 
 STABLE_S = 3.0
-"""A host may take so long to find the store again after it was away."""
+"""Maximum time for a host to reconnect to a store that was unavailable."""
 
 
 def _resign(fleet: Fleet, leader: Host) -> None:
@@ -74,12 +74,11 @@
     away_s: float,
     kind: str,
 ) -> None:
-    """Five of nine hosts serve by old rules for 14 s after the store was silent.
+    """Guards against hosts that keep old rules after the store has recovered.
 
-    The store leaves calls without an answer, and the leader is gone meanwhile. Each
-    other host watches by itself, and waits for an answer that never comes. The store is
-    well again and another host leads, of which those that wait can't know: they report
-    to the former one, and nobody tells them anything.
+    The store leaves calls unanswered while the leader is replaced. The other hosts wait
+    for watches that are never answered, and report to the former leader, so that the
+    new one does not send them updates: five of nine hosts served by old rules for 14 s.
     """
     fleet = Fleet(monkeypatch, hosts=HOSTS)
     fleet.run(4)
@@ -120,9 +119,10 @@
 def test_view_age_grows_before_the_watch_has_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing shows for 14 s that a host serves by old rules.
+    """Guards against a host that serves by old rules while its metrics look normal.
 
-    Its watch may still be answered, so the store is not lost to it.
+    As long as its watch may still be answered, a host does not count the store as lost.
+    Old rules went unnoticed for 14 s.
     """
     fleet = Fleet(monkeypatch, hosts=1)
     fleet.run(4)
@@ -131,7 +131,7 @@
     host.store.is_silent = True
     fleet.run(1.7)
     assert host.control.mirror.silent_s() == 0
-    # The watch that was on its way may have been answered after its whole wait.
+    # The watch in progress may be answered at the end of its wait.
     assert host.control.mirror.age_s() > 1.7 - TELLING_PACE.wait_s - 2 * TICK_S
     host.store.is_silent = False
     fleet.run(STABLE_S)
@@ -141,7 +141,7 @@
 def test_host_reports_its_leader_and_the_age_of_its_last_update(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing shows that a host waits for news of a leader that leads no more."""
+    """Guards against a host that waits unnoticed for updates of a former leader."""
     fleet = Fleet(monkeypatch, hosts=3)
     fleet.run(4)
     item = fleet.items.below("gentianwharf/leader")[0]
--- a/tests/test_entryhost_callers_port.py
+++ b/tests/test_entryhost_callers_port.py
@@ -1,4 +1,4 @@
-"""Callers that come while a host starts."""
+"""Callers that connect while a host starts."""
 
 import socket
 from collections.abc import Callable, Iterator
@@ -53,9 +53,10 @@
 def test_caller_that_connects_before_the_host_is_loaded_is_served(
     listener: socket.socket,
 ) -> None:
-    """All hosts lose power, and for two seconds every caller is reset.
+    """Guards against connections that are reset while a host loads its modules.
 
-    Half a second of that is the loading of modules, with nobody listening.
+    After a power loss of all hosts every caller was reset for two seconds. For half a
+    second of that time, modules were being loaded and no socket was listening.
     """
     with ask(listener.getsockname()) as caller:
         port = callers_port(listener, lambda: True)
@@ -70,7 +71,7 @@
 def test_callers_wait_a_limited_time_for_the_rules(
     listener: socket.socket, receives_rules: bool
 ) -> None:
-    """A host has just started and refuses all who come in its first moment."""
+    """Guards against a restarted host that refuses requests before it has its rules."""
     polled_s: list[float] = []
 
     def can_serve() -> bool:
--- a/tests/test_entryhost_catching_up.py
+++ b/tests/test_entryhost_catching_up.py
@@ -1,4 +1,4 @@
-"""Hosts that lack something are told by their leader, each what it lacks."""
+"""The leader sends missing changes to the hosts that lack them."""
 
 from collections.abc import Callable
 from random import Random
@@ -26,10 +26,10 @@
 def test_leader_sends_missing_changes_to_a_host_that_cannot_fetch_them(
     trio: Trio,
 ) -> None:
-    """A host goes on by old rules for as long as the store turns it away.
+    """Guards against a host that keeps old rules while the store refuses its calls.
 
-    One message between the hosts is lost, or was too large for all. What the leader
-    tells later it can't take without that one, and the store gives it nothing.
+    A message between the hosts is lost, or was too large to be sent to all of them. The
+    host cannot apply later updates without it, and cannot read the store either.
     """
     leader, follower, other = trio.hosts
     missing = events(13, item("rules", 12, random_bytes(60_000)), item("a", 13))
@@ -53,7 +53,7 @@
 
 
 def test_large_missing_changes_are_sent_to_one_host_at_a_time(trio: Trio) -> None:
-    """News of a server that leaves wait behind what many hosts fetch on slow links."""
+    """Guards against updates that queue behind missing changes on a slow link."""
     leader, *followers = trio.hosts
     missing = events(12, item("rules", 12, random_bytes(80_000)))
     leader.changes[10] = missing
@@ -70,7 +70,10 @@
 def test_leader_with_a_fast_link_sends_missing_changes_to_many_hosts(
     trio: Trio,
 ) -> None:
-    """Of 30 hosts that the store turned away half were told nothing for 9 s."""
+    """Guards against hosts that wait for changes although the link has capacity.
+
+    Of 30 hosts whose calls the store refused, half received nothing for 9 s.
+    """
     leader = make_host(trio.clock, 0, link_bytes_per_s=25_000_000)
     leader.peers.start_leading(7)
     missing = events(12, item("rules", 12, random_bytes(80_000)))
@@ -93,7 +96,10 @@
 def test_all_hosts_that_request_changes_together_receive_them(
     trio: Trio,
 ) -> None:
-    """Hosts report in step, and who asked a moment later was passed over."""
+    """Guards against hosts that are skipped because they request changes too late.
+
+    Hosts report almost simultaneously, and those that came a moment later were skipped.
+    """
     leader = trio.hosts[0]
     missing = events(12, item("rules", 12, random_bytes(10_000)))
     leader.changes[10] = missing
@@ -119,7 +125,7 @@
 def test_queued_host_with_a_new_address_receives_changes_there(
     trio: Trio,
 ) -> None:
-    """What it lacked went to a closed link, and the leader's tick failed."""
+    """Guards against sending to a closed link, which made the leader's tick fail."""
     leader = trio.hosts[0]
     missing = events(12, item("rules", 12, random_bytes(80_000)))
     leader.changes[10] = missing
@@ -138,7 +144,7 @@
 
 
 def test_large_missing_changes_are_sent_in_batches(trio: Trio) -> None:
-    """What all hosts are told waits for seconds behind what one of them lacks."""
+    """Guards against updates to all hosts that are delayed by changes for one host."""
     leader, follower, _ = trio.hosts
     missing = [
         item("a", 11, random_bytes(60_000)),
@@ -153,5 +159,6 @@
     assert (10, events(11, missing[0])) in follower.events
     follower.missing_after = 11
     trio.run(1)
-    # Changes of one revision stay together, or it would not be known up to which one.
+    # The changes of a revision are not divided: a host that had received a part of them
+    # could not state up to which revision it is complete.
     assert (11, events(13, *missing[1:])) in follower.events
--- a/tests/test_entryhost_compression.py
+++ b/tests/test_entryhost_compression.py
@@ -1,4 +1,4 @@
-"""Large values as hosts tell them: what changed in them, by the former value."""
+"""Compression of large values against the values that they replace."""
 
 import json
 from random import Random
@@ -14,7 +14,7 @@
 
 
 def routes(count: int) -> dict[str, dict[str, Any]]:
-    """Return as many routes with names that have nothing in common."""
+    """Return routes with random names and prefixes."""
     rng = Random(count)
     return {
         f"r{rng.getrandbits(64):x}": route(prefix=f"/p{rng.getrandbits(64):x}/")
@@ -23,10 +23,10 @@
 
 
 def test_small_change_of_many_rules_compresses_to_few_bytes() -> None:
-    """Hosts learn late that a server leaves while operators change weights.
+    """Guards against late notice of a leaving server while operators change weights.
 
-    Of 3,500 rules one changes. The packer looks back 32 kB only, so that the rules are
-    told whole, 60 kB for each of 86 hosts, and what else is told waits behind them.
+    One of 3,500 rules changes. The window of zlib is 32 kB, so without a delta all
+    rules are sent, 60 kB for each of 86 hosts, and other updates queue behind them.
     """
     before = routes(3_500)
     name = sorted(before)[1_700]
--- a/tests/test_entryhost_control.py
+++ b/tests/test_entryhost_control.py
@@ -1,4 +1,4 @@
-"""What hosts learn together of the store, when one of its ways fails them."""
+"""Hosts follow the store together while the store or a link fails for one of them."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 def fleet(monkeypatch: pytest.MonkeyPatch) -> Fleet:
     fleet = Fleet(monkeypatch, hosts=3)
     fleet.run(4)
-    # Ends the watches of before there was a leader.
+    # This change ends the watches that were started before there was a leader.
     fleet.list_server("i-1")
     fleet.run(1)
     return fleet
@@ -27,10 +27,9 @@
 
 
 def test_host_refused_by_the_store_catches_up(fleet: Fleet) -> None:
-    """A host's callers miss servers that joined, for as long as the store refuses it.
+    """Guards against a host that misses changes for as long as the store refuses it.
 
-    One message of the leader is lost meanwhile. All that it tells later goes on after
-    that one.
+    An update of the leader is lost, and all later updates depend on it.
     """
     follower = fleet.follower()
     follower.store.refuses_calls = True
@@ -43,13 +42,14 @@
     assert follower.servers() == ["i-1", "i-2"]
     fleet.list_server("i-3")
     fleet.run(0.5)
-    assert follower.servers() == ["i-1", "i-2", "i-3"], "it is fed again"
+    assert follower.servers() == ["i-1", "i-2", "i-3"], "updates are applied again"
 
 
 def test_host_whose_watch_was_lost_catches_up(fleet: Fleet) -> None:
-    """A host is cut off from the leader, and the answer of its own watch is lost.
+    """Guards against a host that waits for a lost watch after it has reconnected.
 
-    Back again, it stayed with what it knew until that watch ran out, 21 s.
+    The host was cut off from the leader, and its own watch was not answered. It kept
+    its former state for 21 s, until the watch timed out.
     """
     follower = fleet.follower()
     fleet.net.cut.add(follower.address)
@@ -64,7 +64,8 @@
 
 
 def test_hosts_without_missing_changes_request_none(fleet: Fleet) -> None:
-    # Catching up costs the leader's link; a calm fleet must not use it.
+    # Missing changes are sent over the leader's link, which must not happen unless some
+    # are missing.
     for number in range(2, 40):
         fleet.list_server(f"i-{number}")
         fleet.run(0.25)
@@ -76,10 +77,10 @@
     "value", [b"", b'{"state": "draining"}', b'{"newer": ' + b"[" * 10_000]
 )
 def test_invalid_entry_does_not_block_other_entries(fleet: Fleet, value: bytes) -> None:
-    """Every host keeps to the servers of an earlier moment, for good.
+    """Guards against an entry that stops the hosts' copies of the store.
 
-    One server wrote an entry that its reader can't bear, and the hosts' copies of the
-    store ended with it.
+    A server wrote an entry that made the decoder raise an unexpected error. The copies
+    ended, and all hosts kept the servers of that moment.
     """
     fleet.write("servers/i-1", value)
     fleet.run(0.5)
@@ -89,10 +90,10 @@
 
 
 def test_host_that_lacks_a_large_value_catches_up(fleet: Fleet) -> None:
-    """A host that the store turns away hears of no server that joins or leaves.
+    """Guards against a large value that blocks all later changes for one host.
 
-    Rules that were too large to be told to all came first. They were too large for one
-    host as well, and what came after them is told with them or not at all.
+    The store refuses the host's calls. A value that is too large for an update to all
+    hosts was also too large to be sent to one host, and later changes depend on it.
     """
     follower = fleet.follower()
     follower.store.refuses_calls = True
--- a/tests/test_entryhost_directory.py
+++ b/tests/test_entryhost_directory.py
@@ -1,4 +1,4 @@
-"""Which servers a host sends to, by what the store lists and what it can't know."""
+"""Selection of the servers to send work to, by the entries in the store."""
 
 from itertools import pairwise
 from random import Random
@@ -44,11 +44,11 @@
 
 
 def test_server_with_a_lapsed_entry_receives_no_work() -> None:
-    """A reservation goes to a server that has left, and is lost with it.
+    """Guards against sending work to a server that left while the host was cut off.
 
-    The host was cut off from the store when the server left. Back again, it finds the
-    entry gone and can't tell that from an outage of the store, after which it would
-    come back; it has to be right within two seconds all the same.
+    After the host has reconnected, the missing entry could also be the result of an
+    outage of the store, after which live servers write their entries again. The host
+    must stop sending work to the server within two seconds all the same.
     """
     clock = Clock()
     directory, mirror = make_directory(clock, 4)
@@ -62,10 +62,9 @@
 
 
 def test_lapse_of_most_entries_at_once_is_not_applied_at_once() -> None:
-    """The store is back after an outage in which every entry lapsed.
+    """Guards against refusing all requests after every entry lapsed in an outage.
 
-    The servers are well and will write again; a host that believed the lapse would
-    refuse every request meanwhile.
+    The servers are running, and write their entries again once the store is back.
     """
     clock = Clock()
     directory, mirror = make_directory(clock, 4)
@@ -92,10 +91,9 @@
 
 
 def test_entry_that_breaks_the_decoder_removes_the_former_one() -> None:
-    """Requests go to a server that has written something else since.
+    """Guards against keeping a server's former entry after the decoder has failed.
 
-    What it wrote makes the reader raise an error that nobody expects, and the entry
-    of before stays in use for good.
+    The new entry makes the decoder raise an error that is not an ``InputError``.
     """
     directory, _ = make_directory(Clock(), 2)
     deep = b'{"newer": ' + b"[" * 10_000 + b"]" * 10_000 + b"}"
@@ -104,10 +102,10 @@
 
 
 def test_rejected_entry_is_logged_with_its_revision_for_each_listing() -> None:
-    """A server gets no request, and no log says which of its entries was refused.
+    """Guards against a rejected entry that is missing from the log.
 
-    It is refused, leaves, and comes back under its id with an entry that is refused
-    as well: only the first one was logged, without the revision to look for.
+    A server's entry is rejected, removed, and rejected again after the server returned
+    under the same id. Only the first one was logged, and without its revision.
     """
     directory, _ = make_directory(Clock(), 1)
     with logbook.TestHandler() as logs:
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -1,4 +1,4 @@
-"""A new leader asks the one before what its grants hold."""
+"""A new leader requests the holds of the former leader's grants."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
 
 @dataclass
 class Leader:
-    """One host's keeper and its part as a former or a new leader."""
+    """One host's keeper and its exchange with other leaders."""
 
     identity: HostIdentity
     keeper: Keeper
@@ -39,13 +39,13 @@
     former: FormerLeader
 
     def stored_former(self, *, is_settled: bool = True) -> Former:
-        """Return what it has left in the store."""
+        """Return the information that this leader leaves in the store."""
         value = msgspec.json.encode(self.identity)
         return Former(value=value, is_settled=is_settled, held_s=None)
 
 
 class Network:
-    """Hosts on one net, and two servers; the first one is lost."""
+    """Hosts on simulated links, and two servers, the first of which fails."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.clock = Clock()
@@ -92,17 +92,20 @@
         return leader
 
     def lead(self, host: Leader, *, revision: int) -> None:
-        """Let a host begin to lead by the table in which the lost server has all."""
+        """Make a host the leader; its table gives all shards to the lost server."""
         host.leadership.term = Term(lease_id=1, revision=revision)
         host.keeper.take_over(self.clock.seconds())
         host.keeper.follow(self._table(self.lost, 1))
 
     def move(self, host: Leader) -> None:
-        """Let a leader give the lost server's shards to the other one."""
+        """Move the lost server's shards to the other server."""
         host.keeper.follow(self._table(self.other, 2, former=(self.lost,)))
 
     def time_until_served_s(self, host: Leader, *others: Leader) -> float:
-        """Return how long it takes until the shards are served, by one server only."""
+        """Return the time until the other server holds the shards.
+
+        Checks that two servers never hold them at once.
+        """
         started_s = self.clock.seconds()
         while self.addresses.holders(SHARD) != [self.other]:
             assert self.clock.seconds() < started_s + 30
@@ -127,7 +130,7 @@
 
 
 def former_and_next_leader(network: Network) -> tuple[Leader, Leader]:
-    """Return a leader that hears the store no more, and the next one."""
+    """Return a leader that has lost the store, and the next leader."""
     former, leader = network.host(1), network.host(2)
     network.lead(former, revision=5)
     run_keeper(former.keeper, network.clock, 20.0)
@@ -136,16 +139,16 @@
 
 
 def test_response_of_the_former_leader_shortens_the_wait(network: Network) -> None:
-    """A quarter of a minute without an owner, after each change of the leader.
+    """Guards against 15 s without an owner after each change of the leader.
 
-    A server is lost, and so is the lead. The next leader does not know when the server
-    was granted its keys last; the former one does, and is well.
+    A server is lost together with the leader. The next leader does not have the time of
+    the server's last grant; the former one does, and still runs.
     """
     former, leader = former_and_next_leader(network)
     network.lead(leader, revision=9)
     leader.former.ask(former.stored_former())
     network.move(leader)
-    # The new leader's own try to renew may have arrived until it was given up.
+    # The new leader's own renewal may have reached the server until it timed out.
     longest_s = GRANT_TIMEOUT_S + TIMING.grant_s * CLOCK_DRIFT + MARGIN_S
     assert (
         network.time_until_served_s(leader, former) <= longest_s + TIMING.retry_every_s
@@ -154,9 +157,10 @@
 
 
 def test_ended_process_makes_no_more_grants(network: Network) -> None:
-    """All hosts are started again, and keys wait for a leader that is no more.
+    """Guards against waiting for a leader whose process has ended.
 
-    It may have granted for as long as servers take, up to its end.
+    All hosts are restarted. The former process may have made grants of the maximum
+    duration until its end, but none after it.
     """
     former, leader = former_and_next_leader(network)
     former.keeper.stop()
@@ -176,7 +180,10 @@
 def test_without_a_response_the_longest_grant_is_waited_for(
     network: Network, reached: bool
 ) -> None:
-    """Two servers run one key: the leader before the last one was forgotten."""
+    """Guards against two servers that run one key.
+
+    The grants of the leader before the former one were not taken into account.
+    """
     former, leader = former_and_next_leader(network)
     former.keeper.stop()
     restarted = network.host(1, incarnation=2)
@@ -211,10 +218,10 @@
 
 
 def test_late_response_to_an_earlier_request_is_ignored(network: Network) -> None:
-    """Two servers run one key: an answer had waited on a link that was cut.
+    """Guards against two servers that run one key.
 
-    Since then the former leader has led again and granted for longer, and was replaced
-    once more by the same host.
+    A response is delayed on a link that was cut. Since then the former leader has led
+    again and extended grants, and was replaced once more by the same host.
     """
     former, leader = former_and_next_leader(network)
     network.lead(leader, revision=15)
--- a/tests/test_entryhost_host_list.py
+++ b/tests/test_entryhost_host_list.py
@@ -28,7 +28,7 @@
 
 
 def test_list_is_written_only_when_it_changes(fleet: Fleet) -> None:
-    """Each write is paid, and told to all hosts."""
+    """Guards against needless writes: each is paid for and sent to all hosts."""
     for host in fleet.hosts:
         host.store.calls.clear()
     fleet.run(10 * WRITE_INTERVAL_S)
@@ -54,7 +54,10 @@
 def test_restarted_host_reaches_all_others_as_leader(
     fleet: Fleet,
 ) -> None:
-    """It knew nobody, and hosts that are turned away waited for a former leader."""
+    """Guards against a restarted leader that has no contact with the other hosts.
+
+    Hosts whose calls the store refuses kept waiting for updates of the former leader.
+    """
     former = fleet.leader()
     restarted = fleet.restart(fleet.follower(), refuses_calls=False)
     fleet.run(0.1)
--- a/tests/test_entryhost_keys.py
+++ b/tests/test_entryhost_keys.py
@@ -1,4 +1,4 @@
-"""Who is asked for a key while it moves, and who is told to come back."""
+"""Lookup of a key's holder while the key moves."""
 
 import pytest
 from twisted.internet.defer import Deferred
@@ -66,7 +66,7 @@
 
 
 def test_request_waits_for_the_notice_of_a_finished_move() -> None:
-    """A family's request is refused by the new holder, which has no grant yet."""
+    """Guards against requests to a new holder that has no grant yet."""
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)))
     keys.receives_updates = lambda: True
@@ -81,9 +81,10 @@
 
 
 def test_request_does_not_wait_for_a_slow_move() -> None:
-    """The former holder is lost: until its grant has run out nobody may run a thing.
+    """Guards against callers that are held until they give up.
 
-    Callers that are held meanwhile leave; told at once, they come back in time.
+    The former holder is lost, and no server may run the key until its grant has
+    expired. Callers that are refused at once retry in time.
     """
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
@@ -129,7 +130,7 @@
 
 @pytest.mark.parametrize("token", [1, 3])
 def test_refusal_with_another_token_blocks_nothing(token: int) -> None:
-    """An old refusal comes late and keeps callers from the holder of today."""
+    """Guards against a delayed refusal that blocks the current holder."""
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 2, token=2)))
     keys.not_owner(
--- a/tests/test_entryhost_metrics.py
+++ b/tests/test_entryhost_metrics.py
@@ -1,4 +1,4 @@
-"""What on-call engineers read of a host: bounded, whatever callers and rules bring."""
+"""Metrics of an entry host, and their limit."""
 
 from gentianwharf.entryhost._metrics import MAX_SERIES, HostMetrics
 from gentianwharf.relay import Answered, Run, Ticket
@@ -46,7 +46,7 @@
 
 
 def test_series_are_bounded() -> None:
-    """A configuration a second, each with new classes, fills the memory of a host."""
+    """Guards against memory growth when configurations keep adding request classes."""
     metrics = HostMetrics()
     for number in range(2 * MAX_SERIES):
         metrics.answered(answered(request_class=f"class-{number}"))
--- a/tests/test_entryhost_next_leader.py
+++ b/tests/test_entryhost_next_leader.py
@@ -1,4 +1,4 @@
-"""Hosts follow the next leader by its own word, whatever the store tells them."""
+"""Hosts follow a new leader by its own updates, before they read it from the store."""
 
 from collections.abc import Callable
 
@@ -32,14 +32,14 @@
 
 
 def start_next_leader(trio: Trio) -> RecordingHost:
-    """Let the second host lead, of which the store tells nobody else."""
+    """Make the second host the leader without changing the store's items elsewhere."""
     _, following, _ = trio.hosts
     following.peers.start_leading(NEXT_TERM)
     return following
 
 
 def is_followed(host: RecordingHost, leader: RecordingHost) -> bool:
-    """Whether a host takes what a leader tells."""
+    """Whether a host applies the changes that a leader sends."""
     change = events(40, item("probe", 40))
     leader.peers.broadcast_events(39, change)
     return (39, change) in host.events
@@ -62,19 +62,26 @@
 
 
 def test_new_leader_counts_all_listed_hosts_at_once(trio: Trio) -> None:
-    """Each host takes all room at the servers until the others have reported again."""
+    """Guards against hosts that use the servers' full capacity each.
+
+    The limits per host depend on the number of hosts, which a new leader only had after
+    the others had reported again.
+    """
     leader = start_next_leader(trio)
     assert leader.host_count == 3
 
 
 def test_former_leader_stops_on_an_update_of_the_next_one(trio: Trio) -> None:
-    """Its renewals go on for seconds, and its followers wait for what it tells."""
+    """Guards against a former leader that keeps renewing its lease.
+
+    Its renewals may continue for seconds, while its followers wait for its updates.
+    """
     former, _, _ = trio.hosts
     former.peers.on_superseded = former.peers.stop_leading
     leader = start_next_leader(trio)
     assert is_followed(former, leader)
     trio.run(1)
-    assert former.peers.leader_silent_s() < 1, "it hears the leader as all others do"
+    assert former.peers.leader_silent_s() < 1, "it receives updates as others do"
 
 
 def test_former_leader_is_not_followed_again(trio: Trio) -> None:
@@ -94,7 +101,11 @@
 def test_older_leader_item_from_the_store_is_ignored(
     trio: Trio, stored: Callable[[RecordingHost], Item | None]
 ) -> None:
-    """A host reads the store's changes one by one, after it was told of the last."""
+    """Guards against following a former leader again.
+
+    A host reads the changes of the store one by one, after it received the latest
+    leader's update.
+    """
     former, _, other = trio.hosts
     leader = start_next_leader(trio)
     other.peers.follow(stored(former))
@@ -120,12 +131,12 @@
 
 
 def test_inactive_host_is_contacted_again(trio: Trio) -> None:
-    """Back, it waits for a former leader; nobody knows that it is there."""
+    """Guards against a host that waits for a former leader after it has reconnected."""
     former, _, other = trio.hosts
     trio.net.cut.add(other.peers.identity.address)
     leader = start_next_leader(trio)
     former.peers.stop_leading()
-    # Its reports still go out, to the former leader.
+    # The host still sends reports to the former leader.
     trio.run(INACTIVE_AFTER_S + 1)
     assert not is_followed(other, leader)
     trio.net.cut.clear()
--- a/tests/test_entryhost_outages.py
+++ b/tests/test_entryhost_outages.py
@@ -1,4 +1,4 @@
-"""Random outages of the store and of links: who is told anything knows what is new."""
+"""Random outages of the store and of links: all reachable hosts have every change."""
 
 from random import Random
 
@@ -9,20 +9,21 @@
 HOSTS = 6
 ROUNDS = 5
 SETTLED_S = 6.0
-"""A lease runs out, another host leads, and hosts are told what they lack."""
+"""Time for a lease to expire, for an election, and for sending missing changes."""
 
 IN_FORCE_S = 2.0
-"""After the store took a change it is in force at every host that hears of it."""
+"""A change is in force at every reachable host this long after the store accepted
+it."""
 
 STABLE_S = 3.0
-"""A host may take so long to find the store again after it was away."""
+"""Maximum time for a host to reconnect to a store that was unavailable."""
 
 LEADER_WITHOUT_HOSTS = (102, 123, 132, 203, 208, 225, 430, 432, 443, 513, 553, 572)
-"""A host that had just started led before anybody had told it of the others."""
+"""Seeds that failed when a restarted host led before it had the list of hosts."""
 
 
 class Outages:
-    """Random troubles on a fleet, and what hosts have to know in spite of them."""
+    """Random outages of a fleet, and the state that hosts must have despite them."""
 
     def __init__(self, fleet: Fleet, rng: Random) -> None:
         self.fleet = fleet
@@ -30,14 +31,14 @@
         self.listed = 0
 
     def change(self) -> None:
-        """Let servers come and go."""
+        """Add a server, and remove an older one at random."""
         self.listed += 1
         self.fleet.list_server(f"i-{self.listed}")
         if self.listed > 3 and self.rng.random() < 0.5:
             self.fleet.remove_server(f"i-{self.listed - 3}")
 
     def begin(self) -> None:
-        """Replace the troubles of before by others."""
+        """Replace the current outages by random ones."""
         self.end()
         rng, fleet = self.rng, self.fleet
         for host in fleet.hosts:
@@ -58,7 +59,7 @@
             host.store.history_is_gone = False
 
     def end(self) -> None:
-        """Let everything be well."""
+        """End all outages."""
         self.fleet.net.cut.clear()
         for host in self.fleet.hosts:
             host.store.refuses_calls = host.store.is_silent = False
@@ -79,7 +80,7 @@
         ]
 
     def is_cut(self, host: Host) -> bool:
-        """Whether a host hears no other."""
+        """Whether a host is cut off from all others."""
         return host.address in self.fleet.net.cut
 
     def expected(self) -> list[str]:
--- a/tests/test_entryhost_peers.py
+++ b/tests/test_entryhost_peers.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other: reports to the leader, and its news to all."""
+"""Messages between hosts: reports to the leader, and its updates to all hosts."""
 
 from random import Random
 
@@ -28,7 +28,7 @@
     leader.peers.broadcast_events(10, returned)
     assert follower.events[-1] == (10, returned)
     assert follower.peers.receives_changes()
-    assert not leader.peers.receives_changes(), "the leader watches"
+    assert not leader.peers.receives_changes(), "the leader has its own watch"
 
 
 def test_all_hosts_receive_the_number_of_hosts(trio: Trio) -> None:
@@ -43,8 +43,8 @@
 
 
 def test_silent_leader_counts_as_sending_no_changes(trio: Trio) -> None:
-    # The leader is lost or frozen: its lease runs on for a second, and until somebody
-    # else leads nobody tells what changes in the store.
+    # A leader that is lost or frozen keeps its lease for another second, in which no
+    # host sends the changes of the store.
     _, follower, _ = trio.hosts
     trio.net.cut.add(follower.peers.identity.address)
     trio.run(CHANGES_VALID_S + 2 * TICK_S)
@@ -52,18 +52,18 @@
 
 
 def test_leader_without_the_store_counts_as_sending_no_changes(trio: Trio) -> None:
-    # A cut between the leader and the store, but not between it and the others: they
-    # would go on by rules that the operators have changed.
+    # The leader is cut off from the store but not from the other hosts, which would
+    # keep rules that operators have changed.
     leader, follower, _ = trio.hosts
     leader.revision = None
     trio.run(1)
     assert not follower.peers.receives_changes()
-    assert follower.peers.receives_updates(), "what it says of moves still holds"
+    assert follower.peers.receives_updates(), "notices of moves still arrive"
 
 
 def test_resigning_leader_sends_a_last_update(trio: Trio) -> None:
-    # Nobody would see the leader's place empty until its silence is noticed, a second
-    # in which no grant is renewed.
+    # Without the last update, hosts would notice the missing leader a second later, and
+    # no grant would be renewed in that time.
     leader, follower, _ = trio.hosts
     leader.revision = None
     leader.peers.stop_leading()
@@ -71,7 +71,8 @@
 
 
 def test_update_of_a_former_leader_is_ignored(trio: Trio) -> None:
-    # It was frozen while another host took its place, and wakes with old news.
+    # The former leader was frozen while another host replaced it, and then continues
+    # with outdated updates.
     leader, follower, other = trio.hosts
     follower.peers.follow(leader_item(other))
     event_count = len(follower.events)
@@ -88,10 +89,11 @@
 
 
 def test_moves_that_finish_close_together_share_a_message(trio: Trio) -> None:
-    """A new leader of 85 servers told 86 hosts of 300 spans one by one.
+    """Guards against one message per span when a leader starts.
 
-    Its link and its processor were full for seconds, it could renew neither its lease
-    nor the grants, and the next leader did the same.
+    A new leader of 85 servers sent 300 grants to 86 hosts one by one. This used its
+    whole link and processor for seconds, so that it could renew neither its lease nor
+    the grants, and the next leader failed in the same way.
     """
     leader, follower, _ = trio.hosts
     messages: list[int] = []
@@ -128,10 +130,10 @@
 def test_leader_with_an_unanswered_watch_counts_as_sending_no_changes(
     trio: Trio,
 ) -> None:
-    """The store leaves the leader's watch without an answer and takes its other calls.
+    """Guards against work sent to a leaving server while the leader lacks changes.
 
-    A server leaves meanwhile. Nobody is told of it, and work goes on to a server that
-    is about to end.
+    The store does not answer the leader's watch but answers its other calls, so that
+    the other hosts do not receive the change of the server's state.
     """
     leader, follower, _ = trio.hosts
     leader.age_s = CHANGES_VALID_S - 0.3
@@ -142,9 +144,10 @@
 
 
 def test_large_values_are_sent_as_deltas(trio: Trio) -> None:
-    """Tables of 15 kB for 86 hosts fill a link of 5 Mbit/s for two seconds.
+    """Guards against complete tables that fill the leader's link.
 
-    What else the leader tells, a server that leaves, waits behind them.
+    Tables of 15 kB for 86 hosts take two seconds on a link of 5 Mbit/s, and other
+    updates, such as a leaving server, queue behind them.
     """
     leader, follower, _ = trio.hosts
     first = item("t", 11, bytes(range(256)) * 40)
@@ -187,10 +190,10 @@
 
 
 def test_change_too_large_to_send_is_fetched_at_once(trio: Trio) -> None:
-    """Hosts learn of new rules up to 0.4 s later than they could.
+    """Guards against rules that arrive up to 0.4 s late.
 
-    The rules' message is larger than a host takes; it is dropped and the link made
-    anew. The news at rest are the first to tell that there was one.
+    A message above the receivers' limit is dropped and the link is opened again. Hosts
+    then learned of the change from the next update without changes.
     """
     leader, follower, _ = trio.hosts
     large = events(12, item("rules", 12, random_bytes(1_040_000)))
@@ -201,7 +204,7 @@
 def test_change_above_the_message_limit_is_fetched_on_any_link(
     trio: Trio,
 ) -> None:
-    """A leader with a fast link sent what is larger than a host takes."""
+    """Guards against a leader with a fast link that exceeds the message limit."""
     former, follower, _ = trio.hosts
     leader = make_host(trio.clock, 0, link_bytes_per_s=125_000_000)
     leader.peers.membership.note_listed(
@@ -216,11 +219,11 @@
 def test_large_change_does_not_delay_later_updates(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Callers are sent to a server that said seconds ago that it leaves.
+    """Guards against requests sent to a server that announced its leaving before.
 
-    86 hosts are told of 3,500 new rules, 5 MB over the leader's link of 5 Mbit/s. What
-    it tells next waits behind them, and takes the age that it had at its sending: so
-    hosts think that they know all, and don't watch the store.
+    86 hosts are sent 3,500 new rules, 5 MB over the leader's link of 5 Mbit/s. Later
+    updates queue behind them for seconds, and carry the age of the state at the time of
+    sending: hosts take themselves to be up to date and do not watch the store.
     """
     clock = Clock()
     clock.advance(100)
@@ -244,10 +247,11 @@
 
 
 def test_change_that_a_host_already_has_needs_no_base(trio: Trio) -> None:
-    """A host pays for a watch, and is late with all that came in the same message.
+    """Guards against a needless watch, and a delay of all changes in the same update.
 
-    Its own watch brought the table's change before the leader told it. The change is
-    told against the value of before, which the host no longer has.
+    The host's own watch returned the change of the table before the leader's update.
+    The update's change is a delta against the former value, which the host has
+    replaced.
     """
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
@@ -269,11 +273,10 @@
 
 
 def test_update_in_another_format_is_not_decoded(trio: Trio) -> None:
-    """During an update of the hosts some take garbage for the newest rules.
+    """Guards against misreading updates while hosts are upgraded.
 
-    A leader of another release tells what changed in a value in another form. It must
-    not be read as one that this release knows: a host that can't read its leader's news
-    watches the store.
+    A leader of another release encodes deltas in another format. A host that cannot
+    decode an update watches the store instead.
     """
     _, follower, _ = trio.hosts
     events_before = list(follower.events)
--- a/tests/test_entryhost_rules.py
+++ b/tests/test_entryhost_rules.py
@@ -1,4 +1,4 @@
-"""The operators' rules on one host: what is in force, what is refused, what shows."""
+"""The operators' rules on one host: which are in force, refused or reported."""
 
 import json
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 MAX_VALUE_BYTES = 1_048_576
-"""What the users' store takes for one value: the only bound on a configuration."""
+"""Maximum size of a value in the users' store, the only limit on a configuration."""
 
 
 def many_routes(count: int) -> bytes:
@@ -36,13 +36,13 @@
 
 @pytest.mark.parametrize("count", [500, 501, 819, 4_800])
 def test_as_many_rules_as_the_store_accepts_are_in_force(count: int) -> None:
-    """Callers on rules that operators have just added get 404, and go away for good.
+    """Guards against a limit on the number of rules that the store does not have.
 
-    Operators add 400 rules, and the store acknowledges the change. Every host refuses
-    it: "Tuple should have at most 500 items after validation, not 819", on twelve hosts
-    at once, and each later version too. They serve by older rules until they restart;
-    after that they have no rules at all, and refuse everything. The bound was meant for
-    the check of a change that an operator asks for, where it can still be refused.
+    Operators added 400 rules, and the store acknowledged the change. All twelve hosts
+    refused it and all later versions: "Tuple should have at most 500 items after
+    validation, not 819". Callers of the new rules received 404, and restarted hosts had
+    no rules at all. The limit was meant for the check of a change, where it can be
+    refused.
     """
     value = many_routes(count)
     assert len(value) <= MAX_VALUE_BYTES
@@ -56,10 +56,10 @@
 
 
 def test_refused_configuration_is_reported_until_another_is_applied() -> None:
-    """A host refuses the newest rules and goes on with older ones.
+    """Guards against a host that serves by old rules without reporting it.
 
-    Its metrics were those of a host that has not heard of any change: nothing told the
-    operators, for a minute, that their rules were not in force.
+    Its metrics were those of a host that has not received a change, and for a minute
+    operators could not see that their rules were not in force.
     """
     clock = Clock()
     rules = RulesInForce(now_s=clock.seconds)
@@ -79,7 +79,7 @@
 def test_error_while_applying_rules_is_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A host stumbles over rules that it could read, and looks as if it had them."""
+    """Guards against a host that reports rules as in force after an error."""
     clock = Clock()
     rules = RulesInForce(now_s=clock.seconds)
 
@@ -94,9 +94,10 @@
 
 
 def test_refusal_without_a_matching_rule_logs_request_and_version() -> None:
-    """A caller complains of a 404, and its line says neither path nor version.
+    """Guards against a 404 whose log line has neither the path nor the version.
 
-    A wrong rule, a rule that is not in force yet and a wrong address look the same.
+    A wrong rule, a rule that is not in force yet and a wrong address look the same
+    then.
     """
     observer = AnswerLog(
         metrics=HostMetrics(), rules_version=lambda: 8, view_age_s=lambda: 1.5
@@ -130,12 +131,12 @@
 def test_unreadable_rule_does_not_block_other_rules(
     unreadable: dict[str, Any], services: dict[str, Any], unread: int
 ) -> None:
-    """Callers of every new rule get 404 because one other rule can't be read.
+    """Guards against one unreadable rule that keeps all other rules from being used.
 
-    A host of an older release meets a rule with something that it doesn't know. It
-    refuses the whole version, serves by the one before, and by none after a restart.
-    Requests of the one rule must not fall through to a wider one, to a service that
-    they aren't meant for, nor be told for good that they are wrong.
+    A host of an older release receives a rule with an unknown field. It refused the
+    whole version and kept the former one, and had no rules after a restart. Requests
+    that match the rule must neither fall through to a wider rule, and so to another
+    service, nor be refused permanently.
     """
     usual = json.loads(configuration())["services"]
     value = configuration(
@@ -170,7 +171,7 @@
 
 
 def test_unreadable_limits_do_not_block_rules() -> None:
-    """A limit on callers' heads, in a form that is new, keeps new rules from a host."""
+    """Guards against limits in an unknown form that keep new rules from being used."""
     rules = RulesInForce(now_s=Clock().seconds)
     rules.note_item(item(configuration(version="r7", limits={})))
     assert (rules.version, rules.unread()) == (7, 1)
@@ -179,7 +180,7 @@
 
 
 def test_unreadable_limits_leave_the_current_ones_in_force() -> None:
-    """Callers of a busy host are cut off while its operators look for a spelling."""
+    """Guards against cutting off callers while operators correct a misspelled limit."""
     clock: Any = Clock()
     host = EntryHost(
         settings=decode_host_settings(SETTINGS, peer="test"), reactor=clock
@@ -195,7 +196,7 @@
 
 @pytest.mark.parametrize("warm_up", ["1m", 3, None])
 def test_unreadable_warm_up_leaves_its_service_in_force(warm_up: Any) -> None:
-    """All requests to a service are refused for a time that only tunes its moves."""
+    """Guards against refusing a service for an invalid time that is only for moves."""
     services = json.loads(configuration())["services"]
     services["calendar"]["warm-up"] = warm_up
     rules = RulesInForce(now_s=Clock().seconds)
@@ -205,7 +206,10 @@
 
 
 def test_rule_without_a_prefix_is_refused_with_its_version() -> None:
-    """Which requests it is for can't be told: any could be sent to a wrong service."""
+    """Guards against requests sent to a wrong service.
+
+    Without a prefix it is unknown which requests the rule is for.
+    """
     rules = RulesInForce(now_s=Clock().seconds)
     rules.note_item(item(configuration(version="r7")))
     routes = {"odd": route(prefix=None), "new": route(prefix="/new/")}
--- a/tests/test_entryhost_servers.py
+++ b/tests/test_entryhost_servers.py
@@ -1,4 +1,4 @@
-"""What a host knows of a backend server follows what the store says of it."""
+"""A host's view of a backend server follows the server's entry in the store."""
 
 from dataclasses import replace
 from random import Random
@@ -54,19 +54,20 @@
 
 
 def test_server_restarted_at_another_address_is_reached_there(host: EntryHost) -> None:
-    """Every request to one server fails, on all hosts that knew it before.
+    """Guards against connecting to the former address of a restarted server.
 
-    It starts again under its id, elsewhere. Hosts list its new address and go on
-    connecting to the one of before; those that have just started reach it.
+    The server restarts elsewhere under the same id. Hosts listed its new address but
+    kept connecting to the former one; only restarted hosts reached it.
     """
     note_entry(host, revision=3, address="10.128.0.77:8080", born=1_780_000_009_000)
     assert host.relay.connections[SERVER_ID].server.address == "10.128.0.77:8080"
 
 
 def test_connections_follow_the_configured_limit(host: EntryHost) -> None:
-    """Operators lower a service's connections, and its servers reset what is beyond.
+    """Guards against more connections to a server than operators allow.
 
-    Hosts that knew a server before go on opening as many as they were allowed then.
+    After operators lowered the limit, hosts kept the former one, and the servers reset
+    the excess connections.
     """
     host._control._set_host_count(2)
     assert host.relay.connections[SERVER_ID].most == 65
@@ -76,7 +77,7 @@
 
 
 def test_gate_follows_changes_of_a_listed_server() -> None:
-    """A server that was born again with more slots gets as little as it did before."""
+    """Guards against a restarted server that is used with its former slots."""
     registry = Registry(
         services=[service(servers=0)],
         classes=[],
@@ -114,7 +115,7 @@
 
 
 def test_connections_to_a_former_address_are_closed(pool: ServerConnections) -> None:
-    """A request reaches another server, which has the address by now."""
+    """Guards against requests to another server that now has the former address."""
     connection = Deferred.fromCoroutine(pool.acquire())
     connected(pool)
     connection.addCallback(pool.put_back)
@@ -126,7 +127,7 @@
 def test_connection_made_after_an_address_change_is_not_used(
     pool: ServerConnections,
 ) -> None:
-    """The same, of a connection that was being made while its server moved."""
+    """Guards against the same through a connection that was being established."""
     connection = Deferred.fromCoroutine(pool.acquire())
     failed: list[Failure] = []
     connection.addErrback(failed.append)
@@ -141,10 +142,10 @@
 def test_new_configuration_scans_all_servers_once(
     host: EntryHost, services: int
 ) -> None:
-    """A host stands still for seconds when a configuration has many services.
+    """Guards against blocking a host by a configuration with many services.
 
-    Each of them had all listed servers looked through, those of the others as well:
-    1,219 services with a server each took 4.3 s.
+    All listed servers were scanned for each service: 1,219 services with one server
+    each took 4.3 s.
     """
     scans = 0
     all_entries = host._control.directory.all
@@ -161,7 +162,7 @@
 
 
 def test_server_that_changes_its_service_serves_the_new_one() -> None:
-    """A service has no server, though one is listed, until something else changes."""
+    """Guards against a service without servers after its server changed its service."""
     registry = Registry(
         services=[service(servers=0), service(name="documents", servers=0)],
         classes=[],
--- a/tests/test_entryhost_settings.py
+++ b/tests/test_entryhost_settings.py
@@ -1,4 +1,4 @@
-"""A settings file that changes while a host runs."""
+"""Reloading of a settings file while a host runs."""
 
 import os
 import signal
@@ -36,7 +36,7 @@
 def test_invalid_settings_change_nothing(
     host: EntryHost, tmp_path: Path, text: str
 ) -> None:
-    """A file is read while it is being written, and the host ends in the middle."""
+    """Guards against a host that ends because it read a partly written file."""
     path = tmp_path / "boot.toml"
     path.write_text(text)
     before = host.settings
@@ -45,15 +45,15 @@
 
 
 def test_host_without_a_configuration_is_not_ready(host: EntryHost) -> None:
-    """The balancer sends callers to a host that can only refuse them."""
+    """Guards against callers that the balancer sends to a host without rules."""
     assert not host.is_ready()
 
 
 def test_reload_signal_during_startup_does_not_end_the_host(tmp_path: Path) -> None:
-    """Settings change while a host starts, and the host is gone before it served.
+    """Guards against a host that SIGHUP ends while it starts.
 
-    A process that does not handle SIGHUP yet is ended by it; imports take most of a
-    second.
+    Imports take most of a second, and a process without a handler is ended by the
+    signal.
     """
     env = {**os.environ, SETTINGS_PATH_VARIABLE: str(tmp_path / "none.toml")}
     started = subprocess.Popen(
@@ -65,7 +65,7 @@
     wait_until(lambda: _handles_reload(started.pid), what="a handler of SIGHUP")
     started.send_signal(signal.SIGHUP)
     output, _ = started.communicate(timeout=60)
-    assert started.returncode == EXIT_USAGE, "it got as far as the missing settings"
+    assert started.returncode == EXIT_USAGE, "it continued until it read the settings"
     assert "none.toml" in output
 
 
--- a/tests/test_entryhost_turned_away.py
+++ b/tests/test_entryhost_turned_away.py
@@ -1,4 +1,4 @@
-"""Hosts that the store turns away, and those that come back to it."""
+"""Hosts whose calls the store refuses, and hosts that reconnect to the store."""
 
 from collections.abc import Callable
 from random import Random
@@ -10,13 +10,14 @@
 
 HOSTS = 7
 IN_FORCE_S = 2.0
-"""After the store took a change it is in force at every host that hears of it."""
+"""A change is in force at every reachable host this long after the store accepted
+it."""
 
 ELECTION_S = 4.0
-"""A leader's lease runs out, and all that hear the store know who leads next."""
+"""Time for a leader's lease to expire and for all hosts to follow the next leader."""
 
 STABLE_S = 3.0
-"""A host may take so long to find the store again after it was away."""
+"""Maximum time for a host to reconnect to a store that was unavailable."""
 
 SLOW_LINK_BYTES_PER_S = 625_000
 TABLE_BYTES = 60_000
@@ -58,7 +59,10 @@
 def test_hosts_refused_with_their_leader_receive_changes_from_the_next(
     fleet: Fleet, *, stores: Stores, kind: str
 ) -> None:
-    """Hosts knew who leads from the store alone, and waited for the former leader."""
+    """Guards against hosts that wait for the former leader.
+
+    Hosts read only from the store which host leads.
+    """
     for store in stores(fleet):
         setattr(store, kind, True)
     fleet.run(ELECTION_S)
@@ -72,7 +76,7 @@
 def test_reconnected_hosts_have_the_newest_rules_soon(
     fleet: Fleet,
 ) -> None:
-    """Every version of all values was fetched over a slow link before one was used."""
+    """Guards against fetching every version of all values over a slow link first."""
     returning = [host for host in fleet.hosts if host is not fleet.leader()][1:]
     for host in returning:
         host.store.bytes_per_s = SLOW_LINK_BYTES_PER_S
@@ -93,7 +97,7 @@
 def test_host_refused_at_its_start_receives_a_snapshot(
     fleet: Fleet,
 ) -> None:
-    """It had no rules and refused everyone until the store let it in."""
+    """Guards against a host without rules while the store refuses its calls."""
     host = fleet.restart(fleet.follower(), refuses_calls=True)
     fleet.run(STABLE_S)
     assert host.servers() == ["i-1"]
@@ -106,7 +110,7 @@
 def test_refused_host_without_history_receives_a_snapshot(
     fleet: Fleet,
 ) -> None:
-    """It can use no change any more, since it doesn't know what it missed."""
+    """Guards against a host that can apply no change since it lacks earlier ones."""
     host = fleet.follower()
     fleet.net.cut.add(host.address)
     host.store.history_is_gone = True
@@ -123,7 +127,10 @@
 def test_host_behind_the_leaders_history_receives_a_snapshot(
     fleet: Fleet,
 ) -> None:
-    """The leader doesn't know what was removed before it read the store itself."""
+    """Guards against removals that a host misses.
+
+    The leader does not have removals from before its own last reading of the store.
+    """
     host, leader = fleet.follower(), fleet.leader()
     host.store.refuses_calls = True
     fleet.net.cut.add(host.address)
