--- a/src/gentianwharf/entryhost/_control.py
+++ b/src/gentianwharf/entryhost/_coordinator.py
@@ -42,7 +42,7 @@
 from ._directory import Directory, accepts_work
 from ._former_leader import FormerLeader
 from ._host_list import HostList
-from ._keys import KeyHolders, ServerOf
+from ._keys import KeyHolders, ServerLookup
 from ._peer_messages import NO_REVISION
 from ._peers import Peers
 from ._rules import RulesInForce
@@ -72,14 +72,14 @@
 
 
 @final
-class Control:
+class Coordinator:
     """The state that hosts share; ``tick`` is called about every 50 ms."""
 
     def __init__(
         self,
         *,
         settings: HostSettings,
-        server_of: ServerOf,
+        server_by_id: ServerLookup,
         reactor: Any,
         rng: Random,
     ) -> None:
@@ -92,7 +92,7 @@
         self.mirror = Mirror(store=store, prefix="", reactor=reactor, rng=rng)
         self.rules = RulesInForce(now_s=now_s)
         self.directory = Directory(mirror=self.mirror, reactor=reactor)
-        self.keys = KeyHolders(server_of=server_of, reactor=reactor)
+        self.keys = KeyHolders(server_by_id=server_by_id, reactor=reactor)
         self.peers = Peers(
             host=settings.name,
             address=f"{settings.ip}:{settings.first_internal_port}",
--- a/src/gentianwharf/entryhost/_gauges.py
+++ b/src/gentianwharf/entryhost/_gauges.py
@@ -5,32 +5,36 @@
 from gentianwharf.relay import CallerSite, RelayApp
 from gentianwharf.topology import BackendServer
 
-from ._control import Control
+from ._coordinator import Coordinator
 from ._metrics import HostMetrics
 
 
 def add_gauges(
     metrics: HostMetrics,
     *,
-    control: Control,
+    coordinator: Coordinator,
     relay: RelayApp,
     site: CallerSite,
     servers: Mapping[str, BackendServer],
 ) -> None:
     """Add gauges of the state, which are read whenever metrics are requested."""
-    add = metrics.add
-    leadership, mirror, rules = control.leadership, control.mirror, control.rules
+    add = metrics.add_gauge
+    leadership, mirror, rules = (
+        coordinator.leadership,
+        coordinator.mirror,
+        coordinator.rules,
+    )
     add("leads", "Whether this host leads", lambda: float(leadership.leads))
-    add("hosts", "Hosts that report to the leader", lambda: control.host_count)
+    add("hosts", "Hosts that report to the leader", lambda: coordinator.host_count)
     add(
         "leader_revision",
         "Revision of the item of the leader that this host follows, or followed last",
-        lambda: control.peers.followed_revision,
+        lambda: coordinator.peers.followed_revision,
     )
     add(
         "leader_silent_seconds",
         "Since the leader that this host follows was heard",
-        control.peers.leader_silent_s,
+        coordinator.peers.leader_silent_s,
     )
     add("store_age_seconds", "Since the store was heard", mirror.silent_s)
     add(
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -26,14 +26,14 @@
 
 from ._answer_log import AnswerLog
 from ._callers_port import CallersPort
-from ._control import Control
 from ._conversions import limits_of, server_of
+from ._coordinator import Coordinator
 from ._gauges import add_gauges
 from ._metrics import METRICS_PORT, HostMetrics, metrics_site
 from ._readiness import readiness_site
 from ._request_classes import request_class_of
 
-CONTROL_TICK_S = 0.05
+COORDINATOR_TICK_S = 0.05
 GATE_TICK_S = 0.02
 """Interval at which the gate refuses and hedges requests and detects silent servers: a
 fraction of the shortest wait that callers notice."""
@@ -65,9 +65,9 @@
         self._reactor = reactor
         self._rng = Random(SystemRandom().getrandbits(64))
         self._servers: dict[str, BackendServer] = {}
-        self._control = Control(
+        self._coordinator = Coordinator(
             settings=settings,
-            server_of=self._servers.get,
+            server_by_id=self._servers.get,
             reactor=reactor,
             rng=self._rng,
         )
@@ -79,9 +79,9 @@
             can_serve=self.is_ready,
             reactor=reactor,
         )
-        self._control.on_host_count = self._set_host_count
-        self._control.directory.on_change = self._update_servers
-        self._control.rules.on_change = self._apply_configuration
+        self._coordinator.on_host_count = self._set_host_count
+        self._coordinator.directory.on_change = self._update_servers
+        self._coordinator.rules.on_change = self._apply_configuration
         self._ticks = Ticks(reactor=reactor)
         agreements = settings.agreements
         self.shutdown = Shutdown(
@@ -98,7 +98,7 @@
             classes=(),
             domain=self.settings.domain,
             rng=self._rng,
-            daemons=self._control.host_count,
+            daemons=self._coordinator.host_count,
         )
         self._admission = GateAdmission(
             gate=self._gate,
@@ -106,21 +106,21 @@
             now_s=reactor.seconds,
             on_evidence=lambda server, answered, busy_s: None,
         )
-        self._admission.on_load = self._control.note_server_load
-        self._admission.on_unanswered = self._control.note_unanswered
+        self._admission.on_load = self._coordinator.note_server_load
+        self._admission.on_unanswered = self._coordinator.note_unanswered
         self.metrics = HostMetrics()
         self.relay = RelayApp(
-            rules=self._control.rules,
-            ownership=self._control.keys,
+            rules=self._coordinator.rules,
+            ownership=self._coordinator.keys,
             admission=self._admission,
             connections={},
             observer=AnswerLog(
                 metrics=self.metrics,
-                rules_version=lambda: self._control.rules.version,
-                view_age_s=self._control.mirror.age_s,
+                rules_version=lambda: self._coordinator.rules.version,
+                view_age_s=self._coordinator.mirror.age_s,
             ),
             deadlines_ms={},
-            keyed=self._control.keyed,
+            keyed=self._coordinator.keyed,
             reactor=reactor,
             rng=self._rng,
             dialect=PlatformDialect(),
@@ -133,7 +133,7 @@
     def _add_gauges(self) -> None:
         add_gauges(
             self.metrics,
-            control=self._control,
+            coordinator=self._coordinator,
             relay=self.relay,
             site=self._site,
             servers=self._servers,
@@ -149,9 +149,9 @@
         )
         metrics = metrics_site(metrics=self.metrics, reactor=self._reactor)
         self._listen(f"{self.settings.ip}:{METRICS_PORT}", metrics)
-        self._control.start()
+        self._coordinator.start()
         self._callers_port.start()
-        self._ticks.every(CONTROL_TICK_S, self._control.tick)
+        self._ticks.every(COORDINATOR_TICK_S, self._coordinator.tick)
         gate = self._ticks.at(self._gate_interval_s, self._admission.tick)
         self.relay.on_first_in_flight = gate.soon
         self._ticks.every(HEAD_SWEEP_S, self._site.refuse_slow_heads)
@@ -182,11 +182,11 @@
         """Whether this host can serve a request to each service."""
         if self.shutdown.phase is not Phase.SERVING:
             return False
-        configuration = self._control.rules.configuration
+        configuration = self._coordinator.rules.configuration
         if configuration is None:
             return False
         return all(
-            self._control.keys.has_table(name)
+            self._coordinator.keys.has_table(name)
             for name, service in configuration.services.items()
             if service.keyed
         )
@@ -194,7 +194,7 @@
     def turn_unready(self) -> None:
         """Make clients reconnect to other hosts, and resign from leadership."""
         self._site.stop_keeping()
-        self._control.resign(self.settings.agreements.grace_period_s)
+        self._coordinator.resign(self.settings.agreements.grace_period_s)
 
     def stop_accepting(self) -> None:
         """Close the callers' port and idle connections."""
@@ -220,10 +220,10 @@
     def end(self) -> None:
         """Stop all components, and call ``on_end``."""
         self._ticks.stop()
-        self._control.stop()
+        self._coordinator.stop()
         self.on_end()
 
-    # Changes from the control.
+    # Changes from the coordinator.
 
     def _set_host_count(self, host_count: int) -> None:
         self._gate.set_daemons(host_count)
@@ -234,7 +234,7 @@
         keyed = {
             name for name, service in configuration.services.items() if service.keyed
         }
-        self._control.set_keyed_services(
+        self._coordinator.set_keyed_services(
             {name: configuration.services[name].warm_up_s for name in keyed}
         )
         self._gate.add(
@@ -253,11 +253,11 @@
             self._update_servers(name)
 
     def _update_servers(self, service: str) -> None:
-        configuration = self._control.rules.configuration
+        configuration = self._coordinator.rules.configuration
         if configuration is None or service not in configuration.services:
             return
         connections = configuration.services[service].connections
-        usable = self._control.directory.usable(service)
+        usable = self._coordinator.directory.usable(service)
         servers = [server_of(entry, connections) for entry in usable]
         usable_ids = {server.id for server in servers}
         for current in list(self._servers.values()):
@@ -271,6 +271,6 @@
                 self.relay.connections[server.id] = pool
             else:
                 pool.follow(server)
-            pool.share_with(self._control.host_count)
+            pool.share_with(self._coordinator.host_count)
         self._admission.set_servers(service, servers)
-        self._control.note_servers(service)
+        self._coordinator.note_servers(service)
--- a/src/gentianwharf/entryhost/_keys.py
+++ b/src/gentianwharf/entryhost/_keys.py
@@ -30,23 +30,23 @@
 SpanKey = tuple[str, int, int]
 """A span, identified by its service, first shard and token."""
 
-ServerOf = Callable[[str], BackendServer | None]
+ServerLookup = Callable[[str], BackendServer | None]
 
 
 @final
 class KeyHolders:
     """Finds the server that holds a request's shard, according to the newest table."""
 
-    def __init__(self, *, server_of: ServerOf, reactor: Any) -> None:
+    def __init__(self, *, server_by_id: ServerLookup, reactor: Any) -> None:
         self.on_request: Callable[[str, int], None] = lambda service, shard: None
-        self._server_of = server_of
+        self._server_by_id = server_by_id
         self._reactor = reactor
         self._tables: dict[str, KeyTable] = {}
         self._blocked_until_s: dict[SpanKey, float] = {}
         self._granted: set[SpanKey] = set()
         self._moving_since_s: dict[SpanKey, float] = {}
         self.receives_updates: Callable[[], bool] = lambda: False
-        self._waiting: dict[str, list[Deferred[None]]] = {}
+        self._waiters: dict[str, list[Deferred[None]]] = {}
 
     def set_table(self, table: KeyTable) -> None:
         """Apply a table, and resume the requests that wait for it."""
@@ -84,7 +84,7 @@
 
     def wake(self, service: str) -> None:
         """Resume the requests that wait for a holder."""
-        for waiter in self._waiting.pop(service, []):
+        for waiter in self._waiters.pop(service, []):
             waiter.callback(None)
 
     def has_table(self, service: str) -> bool:
@@ -99,7 +99,7 @@
         deadline_s = min(self._reactor.seconds() + MAX_WAIT_S, ticket.deadline_s)
         while True:
             span = self._span(ticket)
-            server = self._server_of(span.holder.server_id) if span else None
+            server = self._server_by_id(span.holder.server_id) if span else None
             now_s = self._reactor.seconds()
             wait_s = MAX_WAIT_S
             if span is not None and server is not None:
@@ -143,7 +143,7 @@
 
     async def _wait(self, service: str, timeout_s: float) -> None:
         waiter: Deferred[None] = Deferred(lambda _: None)
-        self._waiting.setdefault(service, []).append(waiter)
+        self._waiters.setdefault(service, []).append(waiter)
         timer = self._reactor.callLater(timeout_s, self._end_wait, service, waiter)
         try:
             await waiter
@@ -157,7 +157,7 @@
         waiter.callback(None)
 
     def _remove_waiter(self, service: str, waiter: "Deferred[None]") -> None:
-        waiters = self._waiting.get(service, [])
+        waiters = self._waiters.get(service, [])
         if waiter in waiters:
             waiters.remove(waiter)
 
--- a/src/gentianwharf/entryhost/_main.py
+++ b/src/gentianwharf/entryhost/_main.py
@@ -45,7 +45,7 @@
         logs.log.error("not started: {}", error)
         sys.exit(EXIT_USAGE)
     host = EntryHost(settings=settings, reactor=reactor, callers_port=callers_port)
-    host.metrics.add(
+    host.metrics.add_gauge(
         "log_lines_dropped", "Lines that the log left out", lambda: log_writer.dropped
     )
     host.on_end = cast(Any, reactor).stop
--- a/src/gentianwharf/entryhost/_metrics.py
+++ b/src/gentianwharf/entryhost/_metrics.py
@@ -40,10 +40,10 @@
         self._elapsed: dict[tuple[str, str], HdrHistogram] = {}
         self._waited: dict[tuple[str, str], HdrHistogram] = {}
         self._gauges: dict[str, tuple[str, Gauge]] = {}
-        self.add("resident_bytes", "Resident memory", _resident_bytes)
-        self.add("descriptors", "Open file descriptors", _descriptors)
+        self.add_gauge("resident_bytes", "Resident memory", _resident_bytes)
+        self.add_gauge("descriptors", "Open file descriptors", _descriptors)
 
-    def add(self, name: str, help_text: str, gauge: Gauge) -> None:
+    def add_gauge(self, name: str, help_text: str, gauge: Gauge) -> None:
         """Add a gauge, whose function is called whenever the metrics are requested."""
         self._gauges[PREFIX + name] = (help_text, gauge)
 
--- a/tests/builders_entryhost.py
+++ b/tests/builders_entryhost.py
@@ -1,4 +1,4 @@
-"""Controls of entry hosts on a store in memory and simulated links."""
+"""Coordinators of entry hosts on a store in memory and simulated links."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -8,8 +8,8 @@
 import pytest
 from twisted.internet.task import Clock, deferLater
 
-from gentianwharf.entryhost import _control, _former_leader, _peers
-from gentianwharf.entryhost._control import Control
+from gentianwharf.entryhost import _coordinator, _former_leader, _peers
+from gentianwharf.entryhost._coordinator import Coordinator
 from gentianwharf.errors import ConflictError, PeerUnavailableError
 from gentianwharf.platform import decode_host_settings
 from gentianwharf.platform.standin import Items
@@ -114,15 +114,15 @@
 
 @dataclass
 class Host:
-    """One host's control, address for other hosts, and store connection."""
+    """One host's coordinator, address for other hosts and store connection."""
 
-    control: Control
+    coordinator: Coordinator
     address: str
     store: FakeStore
 
     def servers(self) -> list[str]:
         """Return the ids of the servers that this host has listed."""
-        return sorted(entry.id for entry in self.control.directory.all())
+        return sorted(entry.id for entry in self.coordinator.directory.all())
 
 
 class Fleet:
@@ -137,10 +137,10 @@
         monkeypatch.setattr(_peers, "dial", self.net.dial)
         monkeypatch.setattr(_former_leader, "dial", self.net.dial)
         monkeypatch.setattr(_peers, "NngListener", self.net.listen)
-        monkeypatch.setattr(_control, "PlatformStore", self._make_store)
+        monkeypatch.setattr(_coordinator, "PlatformStore", self._make_store)
         self.hosts = [self._host(number) for number in range(hosts)]
         for host in self.hosts:
-            host.control.start()
+            host.coordinator.start()
 
     def _make_store(self, **_: Any) -> FakeStore:
         self.stores.append(FakeStore(backend=self.items, clock=self.clock))
@@ -150,14 +150,14 @@
         ip = f"10.1.0.{number + 1}"
         text = SETTINGS.replace("10.1.0.18", ip).replace("lac-1", f"lac-{number}")
         settings = decode_host_settings(text, peer="test")
-        control = Control(
+        coordinator = Coordinator(
             settings=settings,
-            server_of=lambda name: None,
+            server_by_id=lambda name: None,
             reactor=self.clock,
             rng=Random(number),
         )
         address = f"{ip}:{settings.first_internal_port}"
-        return Host(control=control, address=address, store=self.stores[-1])
+        return Host(coordinator=coordinator, address=address, store=self.stores[-1])
 
     def write(self, key: str, value: bytes) -> None:
         """Write an item, like an operator or a server."""
@@ -173,11 +173,11 @@
 
     def restart(self, host: Host, *, refuses_calls: bool) -> Host:
         """Replace a host's process by a new one."""
-        host.control.stop()
+        host.coordinator.stop()
         number = self.hosts.index(host)
         self.hosts[number] = restarted = self._host(number)
         restarted.store.refuses_calls = refuses_calls
-        restarted.control.start()
+        restarted.coordinator.start()
         return restarted
 
     def run(self, duration_s: float) -> None:
@@ -185,14 +185,16 @@
         for _ in range(round(duration_s / TICK_S)):
             self.items.expire()
             for host in self.hosts:
-                host.control.tick()
+                host.coordinator.tick()
             self.clock.advance(TICK_S)
 
     def leader(self) -> Host:
         """Return the host that leads."""
-        (leader,) = [host for host in self.hosts if host.control.leadership.leads]
+        (leader,) = [host for host in self.hosts if host.coordinator.leadership.leads]
         return leader
 
     def follower(self) -> Host:
         """Return a host that does not lead."""
-        return next(host for host in self.hosts if not host.control.leadership.leads)
+        return next(
+            host for host in self.hosts if not host.coordinator.leadership.leads
+        )
--- a/tests/test_entryhost_behind.py
+++ b/tests/test_entryhost_behind.py
@@ -16,11 +16,11 @@
 
 
 def _resign(fleet: Fleet, leader: Host) -> None:
-    leader.control.resign(4.0)
+    leader.coordinator.resign(4.0)
 
 
 def _remove(fleet: Fleet, leader: Host) -> None:
-    leader.control.stop()
+    leader.coordinator.stop()
     fleet.hosts.remove(leader)
     fleet.net.cut.add(leader.address)
 
@@ -127,15 +127,15 @@
     fleet = Fleet(monkeypatch, hosts=1)
     fleet.run(4)
     (host,) = fleet.hosts
-    assert host.control.mirror.age_s() < IN_FORCE_S
+    assert host.coordinator.mirror.age_s() < IN_FORCE_S
     host.store.is_silent = True
     fleet.run(1.7)
-    assert host.control.mirror.silent_s() == 0
+    assert host.coordinator.mirror.silent_s() == 0
     # The watch in progress may be answered at the end of its wait.
-    assert host.control.mirror.age_s() > 1.7 - TELLING_PACE.wait_s - 2 * TICK_S
+    assert host.coordinator.mirror.age_s() > 1.7 - TELLING_PACE.wait_s - 2 * TICK_S
     host.store.is_silent = False
     fleet.run(STABLE_S)
-    assert host.control.mirror.age_s() < IN_FORCE_S
+    assert host.coordinator.mirror.age_s() < IN_FORCE_S
 
 
 def test_host_reports_its_leader_and_the_age_of_its_last_update(
@@ -145,11 +145,11 @@
     fleet = Fleet(monkeypatch, hosts=3)
     fleet.run(4)
     item = fleet.items.below("gentianwharf/leader")[0]
-    assert {host.control.peers.followed_revision for host in fleet.hosts} == {
+    assert {host.coordinator.peers.followed_revision for host in fleet.hosts} == {
         item.revision
     }
     follower, leader = fleet.follower(), fleet.leader()
     fleet.net.cut.add(follower.address)
     fleet.run(3)
-    assert follower.control.peers.leader_silent_s() > 2.0
-    assert leader.control.peers.leader_silent_s() == 0.0
+    assert follower.coordinator.peers.leader_silent_s() > 2.0
+    assert leader.coordinator.peers.leader_silent_s() == 0.0
--- a/tests/test_entryhost_control.py
+++ b/tests/test_entryhost_control.py
@@ -70,7 +70,7 @@
         fleet.list_server(f"i-{number}")
         fleet.run(0.25)
     assert all(len(host.servers()) == 39 for host in fleet.hosts)
-    assert all(host.control.mirror.lacking_s() == 0 for host in fleet.hosts)
+    assert all(host.coordinator.mirror.lacking_s() == 0 for host in fleet.hosts)
 
 
 @pytest.mark.parametrize(
@@ -102,4 +102,4 @@
     fleet.list_server("i-2")
     fleet.run(10)
     assert follower.servers() == ["i-1", "i-2"]
-    assert "tables/large" in follower.control.mirror.items
+    assert "tables/large" in follower.coordinator.mirror.items
--- a/tests/test_entryhost_host_list.py
+++ b/tests/test_entryhost_host_list.py
@@ -37,7 +37,7 @@
 
 def test_host_that_does_not_return_is_removed_from_the_list(fleet: Fleet) -> None:
     removed = fleet.follower()
-    removed.control.stop()
+    removed.coordinator.stop()
     fleet.hosts.remove(removed)
     fleet.net.cut.add(removed.address)
     fleet.run(REMOVE_AFTER_S + 3 * WRITE_INTERVAL_S)
--- a/tests/test_entryhost_keys.py
+++ b/tests/test_entryhost_keys.py
@@ -39,7 +39,7 @@
     clock: Clock, current: KeyTable, *, listed: tuple[str, ...] = ("s1", "s2")
 ) -> KeyHolders:
     names = {name: server(name) for name in listed}
-    keys = KeyHolders(server_of=names.get, reactor=clock)
+    keys = KeyHolders(server_by_id=names.get, reactor=clock)
     keys.set_table(current)
     return keys
 
--- a/tests/test_entryhost_metrics.py
+++ b/tests/test_entryhost_metrics.py
@@ -32,7 +32,7 @@
 
 def test_answers_are_counted_and_timed_by_service_and_class() -> None:
     metrics = HostMetrics()
-    metrics.add("leads", "Whether this host leads", lambda: 1.0)
+    metrics.add_gauge("leads", "Whether this host leads", lambda: 1.0)
     for _ in range(3):
         metrics.answered(answered())
     metrics.answered(answered(status=503))
--- a/tests/test_entryhost_outages.py
+++ b/tests/test_entryhost_outages.py
@@ -50,7 +50,7 @@
         event = rng.choice(("resign", "restart", "history", ""))
         host = rng.choice(fleet.hosts)
         if event == "resign":
-            host.control.resign(1.0)
+            host.coordinator.resign(1.0)
         elif event == "restart":
             fleet.restart(host, refuses_calls=rng.random() < 0.5)
         elif event == "history":
@@ -68,7 +68,7 @@
         """Return the hosts that reach the store, or a leader that does."""
         available = [host for host in self.fleet.hosts if is_store_available(host)]
         leads = any(
-            host.control.leadership.may_change() and not self.is_cut(host)
+            host.coordinator.leadership.may_change() and not self.is_cut(host)
             for host in available
         )
         connected = [
--- a/tests/test_entryhost_page_site.py
+++ b/tests/test_entryhost_page_site.py
@@ -58,7 +58,7 @@
 
 def test_metrics_are_served_as_prometheus_text() -> None:
     metrics = HostMetrics()
-    metrics.add("answer", "What it is", lambda: 42.0)
+    metrics.add_gauge("answer", "What it is", lambda: 42.0)
     with running_site(metrics_site(metrics=metrics, reactor=REACTOR)) as ask:
         received = ask(request(path="/metrics"))
     assert b"Content-Type: text/plain; version=0.0.4" in received
@@ -68,7 +68,7 @@
 def test_error_while_a_page_is_rendered_returns_500() -> None:
     """A gauge that fails must not leave Prometheus without an answer."""
     metrics = HostMetrics()
-    metrics.add("broken", "Fails", lambda: 1 / 0)
+    metrics.add_gauge("broken", "Fails", lambda: 1 / 0)
     with running_site(metrics_site(metrics=metrics, reactor=REACTOR)) as ask:
         received = ask(request(path="/metrics"))
     assert received.startswith(b"HTTP/1.1 500")
--- a/tests/test_entryhost_rules.py
+++ b/tests/test_entryhost_rules.py
@@ -185,12 +185,12 @@
     host = EntryHost(
         settings=decode_host_settings(SETTINGS, peer="test"), reactor=clock
     )
-    host._control.rules.note_item(item(configuration(version="r7")))
+    host._coordinator.rules.note_item(item(configuration(version="r7")))
     limits = host._site.limits
     assert limits.idle_timeout_s == 15.0
     unread = item(configuration(version="r8", limits={}), revision=2)
-    host._control.rules.note_item(unread)
-    assert host._control.rules.version == 8
+    host._coordinator.rules.note_item(unread)
+    assert host._coordinator.rules.version == 8
     assert host._site.limits is limits
 
 
--- a/tests/test_entryhost_servers.py
+++ b/tests/test_entryhost_servers.py
@@ -43,14 +43,14 @@
 def note_configuration(host: EntryHost, *, revision: int, **services: Any) -> None:
     value = configuration(version=f"r{revision}", **services)
     item = Item(key=CONFIG_KEY, value=value, revision=revision, lease_id=0)
-    host._control.rules.note_item(item)
+    host._coordinator.rules.note_item(item)
 
 
 def note_entry(host: EntryHost, *, revision: int, **fields: Any) -> None:
     key = SERVERS_PREFIX + SERVER_ID
     value = server_entry(**({"service": "seats"} | fields))
     item = Item(key=key, value=value, revision=revision, lease_id=0)
-    host._control.directory.note_item(key, item)
+    host._coordinator.directory.note_item(key, item)
 
 
 def test_server_restarted_at_another_address_is_reached_there(host: EntryHost) -> None:
@@ -69,7 +69,7 @@
     After operators lowered the limit, hosts kept the former one, and the servers reset
     the excess connections.
     """
-    host._control._set_host_count(2)
+    host._coordinator._set_host_count(2)
     assert host.relay.connections[SERVER_ID].most == 65
     seats = {"max-connections": 10}
     note_configuration(host, revision=4, services={"seats": seats, "calendar": seats})
@@ -148,14 +148,14 @@
     each took 4.3 s.
     """
     scans = 0
-    all_entries = host._control.directory.all
+    all_entries = host._coordinator.directory.all
 
     def counted() -> list[ServerEntry]:
         nonlocal scans
         scans += 1
         return all_entries()
 
-    host._control.directory.all = counted  # type: ignore[method-assign]
+    host._coordinator.directory.all = counted  # type: ignore[method-assign]
     many = {f"s{number}": {"max-connections": 10} for number in range(services)}
     note_configuration(host, revision=5, services=many, routes={})
     assert scans <= 1
--- a/tests/test_entryhost_turned_away.py
+++ b/tests/test_entryhost_turned_away.py
@@ -70,7 +70,7 @@
         fleet.list_server(f"i-{number}")
         fleet.run(IN_FORCE_S)
         assert {len(host.servers()) for host in fleet.hosts} == {number}
-    assert max(host.control.mirror.age_s() for host in fleet.hosts) < IN_FORCE_S
+    assert max(host.coordinator.mirror.age_s() for host in fleet.hosts) < IN_FORCE_S
 
 
 def test_reconnected_hosts_have_the_newest_rules_soon(
@@ -91,7 +91,7 @@
         host.store.is_silent = False
     fleet.net.cut.clear()
     fleet.run(STABLE_S)
-    assert {host.control.rules.version for host in fleet.hosts} == {50}
+    assert {host.coordinator.rules.version for host in fleet.hosts} == {50}
 
 
 def test_host_refused_at_its_start_receives_a_snapshot(
