--- a/src/gentianwharf/entryhost/_callers_port.py
+++ b/src/gentianwharf/entryhost/_callers_port.py
@@ -42,12 +42,12 @@
         self._can_serve = can_serve
         self._reactor = reactor
         self._port: Any = None
-        self._until_s = 0.0
+        self._accept_by_s = 0.0
         self._timer: Any = None
 
     def start(self) -> None:
         """Accept callers once the host can serve, at the latest after the wait."""
-        self._until_s = self._reactor.seconds() + RULES_WAIT_S
+        self._accept_by_s = self._reactor.seconds() + RULES_WAIT_S
         if self._listener is None:
             ip, _, port = self._address.rpartition(":")
             self._port = self._reactor.listenTCP(
@@ -67,7 +67,7 @@
             self._port.stopListening()
 
     def _poll(self) -> None:
-        if self._can_serve() or self._reactor.seconds() >= self._until_s:
+        if self._can_serve() or self._reactor.seconds() >= self._accept_by_s:
             self._accept_callers()
         else:
             self._timer = self._reactor.callLater(POLL_INTERVAL_S, self._poll)
--- a/src/gentianwharf/entryhost/_coordinator.py
+++ b/src/gentianwharf/entryhost/_coordinator.py
@@ -267,8 +267,8 @@
     def _store_position(self) -> StorePosition | None:
         """Return the position in the store, or None if this host may not lead."""
         mirror = self.mirror
-        is_sure = mirror.is_current and mirror.silent_s() == 0
-        if not is_sure or not self.leadership.may_change():
+        is_complete = mirror.is_current and mirror.silent_s() == 0
+        if not is_complete or not self.leadership.may_change():
             return None
         age_s = self._now_s() - mirror.heard_s
         return StorePosition(revision=mirror.revision, age_s=age_s)
--- a/src/gentianwharf/entryhost/_deltas.py
+++ b/src/gentianwharf/entryhost/_deltas.py
@@ -116,8 +116,8 @@
     if not change.base_revision:
         return b""
     if current is None or current.revision != change.base_revision:
-        got = current.revision if current is not None else None
+        actual = current.revision if current is not None else None
         raise UnknownBaseError(
-            f"{change.key}: expected revision {change.base_revision}, got {got}"
+            f"{change.key}: expected revision {change.base_revision}, got {actual}"
         )
     return current.value
--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -56,7 +56,7 @@
         self._started_s = float(reactor.seconds())
         self._target: HostIdentity | None = None
         self._is_settled = False
-        self._due_s = 0.0
+        self._next_request_s = 0.0
         self._links: dict[str, _Link] = {}
 
     def stop(self) -> None:
@@ -73,7 +73,7 @@
             log.warning("cannot decode the former leader's identity: {}", error)
             return
         self._is_settled = former.is_settled
-        self._due_s = self._reactor.seconds()
+        self._next_request_s = self._reactor.seconds()
         self.tick()
 
     def tick(self) -> None:
@@ -86,8 +86,8 @@
             self._target = None
             return
         now_s = self._reactor.seconds()
-        if now_s >= self._due_s:
-            self._due_s = now_s + REQUEST_INTERVAL_S
+        if now_s >= self._next_request_s:
+            self._next_request_s = now_s + REQUEST_INTERVAL_S
             request = HoldsRequest(
                 self._identity.address, self._target.incarnation, term.revision
             )
@@ -150,8 +150,8 @@
         if not self._is_settled:
             # The restarted process has lost its information about earlier leaders.
             return None
-        left_s = self._timing.ended_until_s(ended_s=0.0) - response.ended_s
-        return Holds(others_s=max(0.0, left_s))
+        remaining_s = self._timing.ended_until_s(ended_s=0.0) - response.ended_s
+        return Holds(others_s=max(0.0, remaining_s))
 
     def _send(self, address: str, message: HoldsRequest | HoldsResponse) -> None:
         now_s = float(self._reactor.seconds())
--- a/src/gentianwharf/entryhost/_host_list.py
+++ b/src/gentianwharf/entryhost/_host_list.py
@@ -37,7 +37,7 @@
         self._leadership = leadership
         self._membership = membership
         self._now_s = now_s
-        self._due_s = float("-inf")
+        self._next_write_s = float("-inf")
 
     def note_item(self, item: Item | None) -> None:
         """Apply the stored list; an unreadable list counts as empty."""
@@ -56,9 +56,9 @@
     def tick(self) -> None:
         """Write the list if it differs from the leader's own membership."""
         now_s = self._now_s()
-        if now_s < self._due_s or not self._leadership.may_change():
+        if now_s < self._next_write_s or not self._leadership.may_change():
             return
-        self._due_s = now_s + WRITE_INTERVAL_S
+        self._next_write_s = now_s + WRITE_INTERVAL_S
         if not self._membership.is_list_current():
             Deferred.fromCoroutine(self._write()).addErrback(_log_fault)
 
--- a/src/gentianwharf/entryhost/_metrics.py
+++ b/src/gentianwharf/entryhost/_metrics.py
@@ -28,7 +28,7 @@
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 Gauge = Callable[[], float]
-Key = tuple[str, str, int, str]
+SeriesKey = tuple[str, str, int, str]
 
 
 @final
@@ -36,7 +36,7 @@
     """Counts answers by service, class, status and reason, and records their times."""
 
     def __init__(self) -> None:
-        self._answers: dict[Key, int] = {}
+        self._answers: dict[SeriesKey, int] = {}
         self._elapsed: dict[tuple[str, str], HdrHistogram] = {}
         self._waited: dict[tuple[str, str], HdrHistogram] = {}
         self._gauges: dict[str, tuple[str, Gauge]] = {}
@@ -50,11 +50,11 @@
     def answered(self, answered: Answered) -> None:
         """Count an answer, and record how long it took."""
         ticket = answered.ticket
-        kind = (ticket.service, ticket.request_class)
-        self.count(*kind, answered.status, answered.reason)
-        _record(self._elapsed, kind, answered.elapsed_s)
+        group = (ticket.service, ticket.request_class)
+        self.count(*group, answered.status, answered.reason)
+        _record(self._elapsed, group, answered.elapsed_s)
         if answered.waited_s > 0:
-            _record(self._waited, kind, answered.waited_s)
+            _record(self._waited, group, answered.waited_s)
 
     def count(self, service: str, request_class: str, status: int, reason: str) -> None:
         """Count an answer; beyond ``MAX_SERIES`` all other answers share one series."""
@@ -109,13 +109,13 @@
 
 
 def _record(
-    table: dict[tuple[str, str], HdrHistogram], kind: tuple[str, str], time_s: float
+    table: dict[tuple[str, str], HdrHistogram], group: tuple[str, str], time_s: float
 ) -> None:
-    histogram = table.get(kind)
+    histogram = table.get(group)
     if histogram is None:
         if len(table) >= MAX_SERIES:
             return
-        histogram = table[kind] = HdrHistogram(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
+        histogram = table[group] = HdrHistogram(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
     histogram.record_value(min(MAX_TIME_US, max(1, int(time_s * MICROSECONDS))))
 
 
--- a/src/gentianwharf/entryhost/_observed_load.py
+++ b/src/gentianwharf/entryhost/_observed_load.py
@@ -40,22 +40,22 @@
 
         ``elapsed_s`` is how long the answer took, None for a refusal.
         """
-        row = self._row(server)
-        row.running += load.running
-        row.waiting += load.waiting
-        row.answers += 1
+        report = self._load_report(server)
+        report.running += load.running
+        report.waiting += load.waiting
+        report.answers += 1
         if elapsed_s is None:
             return
-        row.ran += 1
+        report.ran += 1
         if not load.waiting:
-            row.quick += 1
-            row.quick_s += elapsed_s
+            report.quick += 1
+            report.quick_s += elapsed_s
 
     def note_unanswered(self, server: BackendServer) -> None:
         """Add a request that timed out without an answer to the next report."""
-        self._row(server).unanswered += 1
+        self._load_report(server).unanswered += 1
 
-    def _row(self, server: BackendServer) -> LoadReport:
+    def _load_report(self, server: BackendServer) -> LoadReport:
         loads = self._loads.setdefault(server.service, {})
         return loads.setdefault(
             server.id, LoadReport(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
--- a/src/gentianwharf/entryhost/_peers.py
+++ b/src/gentianwharf/entryhost/_peers.py
@@ -209,8 +209,8 @@
     def tick(self) -> None:
         """Send the reports and updates that are due."""
         now_s = self._reactor.seconds()
-        report_every_s = max(REPORT_INTERVAL_S, self._host_count / MAX_REPORTS_PER_S)
-        if now_s >= self._reported_s + report_every_s:
+        report_interval_s = max(REPORT_INTERVAL_S, self._host_count / MAX_REPORTS_PER_S)
+        if now_s >= self._reported_s + report_interval_s:
             self._reported_s = now_s
             self._send_report(now_s)
         self._broadcaster.tick(now_s)
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -101,7 +101,7 @@
         """Move the lost server's shards to the other server."""
         host.keeper.follow(self._table(self.other, 2, former=(self.lost,)))
 
-    def time_until_served_s(self, host: Leader, *others: Leader) -> float:
+    def served_after_s(self, host: Leader, *others: Leader) -> float:
         """Return the time until the other server holds the shards.
 
         Checks that two servers never hold them at once.
@@ -150,9 +150,7 @@
     network.move(leader)
     # The new leader's own renewal may have reached the server until it timed out.
     longest_s = GRANT_TIMEOUT_S + TIMING.grant_s * CLOCK_DRIFT + MARGIN_S
-    assert (
-        network.time_until_served_s(leader, former) <= longest_s + TIMING.retry_every_s
-    )
+    assert network.served_after_s(leader, former) <= longest_s + TIMING.retry_every_s
     assert former.leadership.term is None
 
 
@@ -170,15 +168,15 @@
     leader.former.ask(former.stored_former())
     network.move(leader)
     longest_s = TIMING.longest_grant_s * CLOCK_DRIFT + MARGIN_S - 4.0
-    waited_s = network.time_until_served_s(leader, restarted)
-    assert waited_s <= longest_s + TIMING.retry_every_s + 0.1
+    elapsed_s = network.served_after_s(leader, restarted)
+    assert elapsed_s <= longest_s + TIMING.retry_every_s + 0.1
 
 
 @pytest.mark.parametrize(
-    "reached", [False, True], ids=["cut-off", "ended-before-it-was-settled"]
+    "is_reached", [False, True], ids=["cut-off", "ended-before-it-was-settled"]
 )
 def test_without_a_response_the_longest_grant_is_waited_for(
-    network: Network, reached: bool
+    network: Network, is_reached: bool
 ) -> None:
     """Guards against two servers that run one key.
 
@@ -187,13 +185,13 @@
     former, leader = former_and_next_leader(network)
     former.keeper.stop()
     restarted = network.host(1, incarnation=2)
-    if not reached:
+    if not is_reached:
         network.net.cut.add(former.identity.address)
     network.lead(leader, revision=9)
-    leader.former.ask(former.stored_former(is_settled=not reached))
+    leader.former.ask(former.stored_former(is_settled=not is_reached))
     network.move(leader)
     longest_s = TIMING.leader_alone_s + TIMING.longest_grant_s
-    assert network.time_until_served_s(leader, restarted) > longest_s
+    assert network.served_after_s(leader, restarted) > longest_s
 
 
 def test_late_request_of_an_earlier_leader_ends_no_leadership(network: Network) -> None:
