--- a/src/gentianwharf/entryhost/_answer_log.py
+++ b/src/gentianwharf/entryhost/_answer_log.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from gentianwharf.logs import log
-from gentianwharf.relay import Answered, Problem, Run
+from gentianwharf.relay import Problem, ResponseRecord, Run
 
 from ._metrics import HostMetrics
 
@@ -36,7 +36,7 @@
         self._rules_version = rules_version
         self._view_age_s = view_age_s
 
-    def answered(self, answered: Answered) -> None:
+    def record_response(self, answered: ResponseRecord) -> None:
         """Record a response to a caller."""
         self._metrics.answered(answered)
         is_success = answered.run is Run.RUN and answered.status < 500
@@ -62,7 +62,7 @@
             },
         )
 
-    def refused(self, request_id: str, problem: Problem) -> None:
+    def record_refusal(self, request_id: str, problem: Problem) -> None:
         """Record a request that was refused before a rule matched it."""
         self._metrics.count("", "", problem.status, problem.title)
         log.info(
--- a/src/gentianwharf/entryhost/_coordinator.py
+++ b/src/gentianwharf/entryhost/_coordinator.py
@@ -8,12 +8,12 @@
 from twisted.internet.defer import Deferred
 
 from gentianwharf.keyspace import (
-    Former,
+    GrantManager,
     GrantTiming,
-    Keeper,
     Leadership,
     LoadSeen,
     Planner,
+    PreviousLeader,
     Span,
 )
 from gentianwharf.logs import log
@@ -103,19 +103,19 @@
         self.leadership = Leadership(
             store=store,
             key=LEADER_KEY,
-            former_key=FORMER_KEY,
+            previous_leader_key=FORMER_KEY,
             value=msgspec.json.encode(self.peers.identity),
             now_s=now_s,
             rng=rng,
-            stand_back_s=SMALL_HOST_BACKOFF_S * max(0.0, 1.0 - settings.cores),
+            campaign_delay_s=SMALL_HOST_BACKOFF_S * max(0.0, 1.0 - settings.cores),
         )
         timing = GrantTiming(longest_grant_s=settings.agreements.longest_grant_s)
-        self._keeper = Keeper(
+        self._grant_manager = GrantManager(
             orders=ServerOrders(reactor=reactor), timing=timing, now_s=now_s
         )
         self._former = FormerLeader(
             identity=self.peers.identity,
-            keeper=self._keeper,
+            grant_manager=self._grant_manager,
             leadership=self.leadership,
             timing=timing,
             reactor=reactor,
@@ -125,7 +125,7 @@
             leadership=self.leadership,
             leader_key=LEADER_KEY,
             table_prefix=TABLE_PREFIX,
-            keeper=self._keeper,
+            grant_manager=self._grant_manager,
             shards=SHARDS,
             now_s=now_s,
         )
@@ -147,10 +147,10 @@
         self.mirror.pace = self._pace
         self.leadership.on_gained = self._start_leading
         self.leadership.on_lost = self._stop_leading
-        self._keeper.on_granted = self._note_granted
+        self._grant_manager.on_granted = self._note_granted
         self._planner.on_table = self.keys.set_table
         self._planner.on_isolated = self._resign_isolated
-        self._planner.on_former = self._former.ask
+        self._planner.on_previous_leader = self._former.ask
 
     def _connect_peers(self) -> None:
         peers = self.peers
@@ -165,7 +165,7 @@
         peers.changes_after = self.mirror.changes_after
         peers.page = self.mirror.page
         peers.on_page = self.mirror.feed_page
-        peers.on_superseded = self.leadership.give_way
+        peers.on_superseded = self.leadership.step_down
         peers.on_holds_request = self._former.handle_request
         peers.on_holds_response = self._former.handle_response
         self.keys.on_request = peers.observed.note_request
@@ -187,16 +187,16 @@
         self._update_listed_servers()
         self.leadership.tick()
         self._planner.tick()
-        self._keeper.tick()
+        self._grant_manager.tick()
         self._former.tick()
         self.peers.tick()
         self._host_list.tick()
 
     def resign(self, stand_back_s: float) -> None:
         """Give up leadership, and do not try to regain it for ``stand_back_s``."""
-        held_s = self._keeper.lives.held_s()
+        held_s = self._grant_manager.holders.held_s()
         done = Deferred.fromCoroutine(
-            self.leadership.resign(held_s, stand_back_s=stand_back_s)
+            self.leadership.resign(held_s, campaign_pause_s=stand_back_s)
         )
         done.addErrback(lambda failure: log.error(failure.getTraceback()))
 
@@ -215,14 +215,16 @@
             self.keys.wake(service)
 
     def _update_listed_servers(self) -> None:
-        """Pass all servers to the keeper, once for all changes since the last tick.
+        """Pass all servers to the grant manager, once per tick with changes.
 
         With one call per change and service, a configuration of 1,219 services with one
         server each blocked a host for 4.3 s.
         """
         if self._servers_changed:
             self._servers_changed = False
-            self._keeper.note_listed(holder_of(entry) for entry in self.directory.all())
+            self._grant_manager.note_listed(
+                holder_of(entry) for entry in self.directory.all()
+            )
 
     def _set_candidates(self, service: str, listed: Iterable[ServerEntry]) -> None:
         candidates = [candidate_of(entry) for entry in listed if accepts_work(entry)]
@@ -255,7 +257,7 @@
         elif key == HOSTS_KEY:
             self._host_list.note_item(item)
         elif key == FORMER_KEY:
-            self.leadership.note_former(item)
+            self.leadership.note_previous_leader(item)
         elif key.startswith(TABLE_PREFIX) and item is not None:
             self._planner.note_table(item)
 
@@ -268,9 +270,9 @@
         """Return the position in the store, or None if this host may not lead."""
         mirror = self.mirror
         is_complete = mirror.is_current and mirror.silent_s() == 0
-        if not is_complete or not self.leadership.may_change():
+        if not is_complete or not self.leadership.holds_lease():
             return None
-        age_s = self._now_s() - mirror.heard_s
+        age_s = self._now_s() - mirror.last_contact_s
         return StorePosition(revision=mirror.revision, age_s=age_s)
 
     def _missing_after(self) -> int | None:
@@ -312,7 +314,7 @@
 
     # Work of the leader.
 
-    def _start_leading(self, former: Former | None) -> None:
+    def _start_leading(self, former: PreviousLeader | None) -> None:
         term = self.leadership.term
         assert term is not None, "a leading host has a term"
         self.peers.start_leading(term.revision)
@@ -320,7 +322,7 @@
 
     def _stop_leading(self) -> None:
         self.peers.stop_leading()
-        self._keeper.stop()
+        self._grant_manager.stop()
 
     def _note_granted(self, service: str, span: Span) -> None:
         self.keys.note_granted(service, span.first, span.token)
--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_former_leader.py
@@ -12,7 +12,14 @@
 
 import msgspec
 
-from gentianwharf.keyspace import Former, GrantTiming, Holder, Holds, Keeper, Leadership
+from gentianwharf.keyspace import (
+    GrantManager,
+    GrantTiming,
+    Holder,
+    Leadership,
+    PreviousLeader,
+    RemainingGrants,
+)
 from gentianwharf.links import NngLink, dial
 from gentianwharf.logs import log
 
@@ -43,13 +50,13 @@
         self,
         *,
         identity: HostIdentity,
-        keeper: Keeper,
+        grant_manager: GrantManager,
         leadership: Leadership,
         timing: GrantTiming,
         reactor: Any,
     ) -> None:
         self._identity = identity
-        self._keeper = keeper
+        self._grant_manager = grant_manager
         self._leadership = leadership
         self._timing = timing
         self._reactor = reactor
@@ -65,14 +72,14 @@
             link.connection.close()
         self._links.clear()
 
-    def ask(self, former: Former) -> None:
+    def ask(self, former: PreviousLeader) -> None:
         """Start to request the holds of the former leader."""
         try:
             self._target = msgspec.json.decode(former.value, type=HostIdentity)
         except msgspec.DecodeError as error:
             log.warning("cannot decode the former leader's identity: {}", error)
             return
-        self._is_settled = former.is_settled
+        self._is_settled = former.earlier_grants_expired
         self._next_request_s = self._reactor.seconds()
         self.tick()
 
@@ -82,7 +89,7 @@
         if self._target is None:
             return
         term = self._leadership.term
-        if term is None or self._keeper.lives.is_settled():
+        if term is None or self._grant_manager.holders.earlier_grants_expired():
             self._target = None
             return
         now_s = self._reactor.seconds()
@@ -105,12 +112,12 @@
             # The request is outdated: this host has become leader after the one that
             # sent it.
             return
-        self._leadership.give_way()
-        self._keeper.stop()
-        holds = self._keeper.lives.holds()
+        self._leadership.step_down()
+        self._grant_manager.stop()
+        holds = self._grant_manager.holders.remaining_grants()
         held = [
             ServerHold(holder.server_id, holder.born_ms, holder.address, held_s)
-            for holder, held_s in holds.of_s.items()
+            for holder, held_s in holds.by_holder_s.items()
         ]
         self._send(
             request.address,
@@ -134,11 +141,14 @@
             return
         log.info(
             "former leader has answered",
-            extra={"held_s": round(holds.others_s, 3), "servers": len(holds.of_s)},
+            extra={
+                "held_s": round(holds.others_s, 3),
+                "servers": len(holds.by_holder_s),
+            },
         )
-        self._keeper.lives.note_holds(holds)
+        self._grant_manager.holders.note_remaining_grants(holds)
 
-    def _holds(self, response: HoldsResponse) -> Holds | None:
+    def _holds(self, response: HoldsResponse) -> RemainingGrants | None:
         if response.ended_s is None:
             held = {
                 Holder(
@@ -146,12 +156,12 @@
                 ): hold.held_s
                 for hold in response.held
             }
-            return Holds(others_s=response.others_s, of_s=held)
+            return RemainingGrants(others_s=response.others_s, by_holder_s=held)
         if not self._is_settled:
             # The restarted process has lost its information about earlier leaders.
             return None
         remaining_s = self._timing.ended_until_s(ended_s=0.0) - response.ended_s
-        return Holds(others_s=max(0.0, remaining_s))
+        return RemainingGrants(others_s=max(0.0, remaining_s))
 
     def _send(self, address: str, message: HoldsRequest | HoldsResponse) -> None:
         now_s = float(self._reactor.seconds())
--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -7,7 +7,7 @@
 from typing import Any, final
 
 from gentianwharf.admission import GateAdmission
-from gentianwharf.lifecycle import Phase, Shutdown, Ticks
+from gentianwharf.lifecycle import PeriodicCalls, Phase, Shutdown
 from gentianwharf.load import Gate
 from gentianwharf.logs import log
 from gentianwharf.platform import (
@@ -16,11 +16,11 @@
     PlatformDialect,
 )
 from gentianwharf.relay import (
-    HEAD_SWEEP_S,
+    SLOW_HEAD_CHECK_INTERVAL_S,
     CallerSite,
     ConnectionLimits,
     RelayApp,
-    ServerConnections,
+    ServerConnectionPool,
 )
 from gentianwharf.topology import BackendServer, Service
 
@@ -82,10 +82,10 @@
         self._coordinator.on_host_count = self._set_host_count
         self._coordinator.directory.on_change = self._update_servers
         self._coordinator.rules.on_change = self._apply_configuration
-        self._ticks = Ticks(reactor=reactor)
+        self._ticks = PeriodicCalls(reactor=reactor)
         agreements = settings.agreements
         self.shutdown = Shutdown(
-            drained=self,
+            target=self,
             clock=reactor,
             notice_s=NOTICE_S,
             limit_s=agreements.grace_period_s - STOP_MARGIN_S,
@@ -104,10 +104,10 @@
             gate=self._gate,
             servers={},
             now_s=reactor.seconds,
-            on_evidence=lambda server, answered, busy_s: None,
+            on_server_outcome=lambda server, answered, busy_s: None,
         )
         self._admission.on_load = self._coordinator.note_server_load
-        self._admission.on_unanswered = self._coordinator.note_unanswered
+        self._admission.on_timeout = self._coordinator.note_unanswered
         self.metrics = HostMetrics()
         self.relay = RelayApp(
             rules=self._coordinator.rules,
@@ -123,7 +123,7 @@
             keyed=self._coordinator.keyed,
             reactor=reactor,
             rng=self._rng,
-            dialect=PlatformDialect(),
+            codec=PlatformDialect(),
         )
         self._site = CallerSite(
             resource=self.relay.resource(), reactor=reactor, limits=ConnectionLimits()
@@ -152,9 +152,9 @@
         self._coordinator.start()
         self._callers_port.start()
         self._ticks.every(COORDINATOR_TICK_S, self._coordinator.tick)
-        gate = self._ticks.at(self._gate_interval_s, self._admission.tick)
-        self.relay.on_first_in_flight = gate.soon
-        self._ticks.every(HEAD_SWEEP_S, self._site.refuse_slow_heads)
+        gate = self._ticks.every_dynamic(self._gate_interval_s, self._admission.tick)
+        self.relay.on_first_in_flight = gate.reschedule
+        self._ticks.every(SLOW_HEAD_CHECK_INTERVAL_S, self._site.refuse_slow_heads)
         log.info("started", extra={"host": self.settings.name})
 
     def _gate_interval_s(self) -> float:
@@ -191,15 +191,15 @@
             if service.keyed
         )
 
-    def turn_unready(self) -> None:
+    def mark_unready(self) -> None:
         """Make clients reconnect to other hosts, and resign from leadership."""
-        self._site.stop_keeping()
+        self._site.disable_keep_alive()
         self._coordinator.resign(self.settings.agreements.grace_period_s)
 
     def stop_accepting(self) -> None:
         """Close the callers' port and idle connections."""
         self._callers_port.stop()
-        self._site.close_idle()
+        self._site.close_idle_connections()
 
     def in_flight(self) -> list[str]:
         """Return the ids of the requests in flight."""
@@ -228,7 +228,7 @@
     def _set_host_count(self, host_count: int) -> None:
         self._gate.set_daemons(host_count)
         for pool in self.relay.connections.values():
-            pool.share_with(host_count)
+            pool.set_daemon_count(host_count)
 
     def _apply_configuration(self, configuration: Configuration) -> None:
         keyed = {
@@ -245,7 +245,7 @@
             classes=[request_class_of(kind) for kind in configuration.kinds.values()],
         )
         if configuration.limits is not None:
-            self._site.take_limits(limits_of(configuration.limits))
+            self._site.apply_limits(limits_of(configuration.limits))
         self.relay.splitter.keep_only(
             frozenset(rule.name for rule in configuration.document.rules)
         )
@@ -267,10 +267,10 @@
             self._servers[server.id] = server
             pool = self.relay.connections.get(server.id)
             if pool is None:
-                pool = ServerConnections(server=server, reactor=self._reactor)
+                pool = ServerConnectionPool(server=server, reactor=self._reactor)
                 self.relay.connections[server.id] = pool
             else:
-                pool.follow(server)
-            pool.share_with(self._coordinator.host_count)
+                pool.update_server(server)
+            pool.set_daemon_count(self._coordinator.host_count)
         self._admission.set_servers(service, servers)
         self._coordinator.note_servers(service)
--- a/src/gentianwharf/entryhost/_host_list.py
+++ b/src/gentianwharf/entryhost/_host_list.py
@@ -56,7 +56,7 @@
     def tick(self) -> None:
         """Write the list if it differs from the leader's own membership."""
         now_s = self._now_s()
-        if now_s < self._next_write_s or not self._leadership.may_change():
+        if now_s < self._next_write_s or not self._leadership.holds_lease():
             return
         self._next_write_s = now_s + WRITE_INTERVAL_S
         if not self._membership.is_list_current():
--- a/src/gentianwharf/entryhost/_main.py
+++ b/src/gentianwharf/entryhost/_main.py
@@ -74,4 +74,4 @@
 
 def _request_stop(host: EntryHost) -> None:
     # A signal handler may interrupt any code; the reactor runs the call in its loop.
-    cast(Any, reactor).callFromThread(host.shutdown.ask)
+    cast(Any, reactor).callFromThread(host.shutdown.request_stop)
--- a/src/gentianwharf/entryhost/_metrics.py
+++ b/src/gentianwharf/entryhost/_metrics.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gentianwharf.relay import Answered
+from gentianwharf.relay import ResponseRecord
 
 from ._page_site import PageResponse, PageSite
 
@@ -47,7 +47,7 @@
         """Add a gauge, whose function is called whenever the metrics are requested."""
         self._gauges[PREFIX + name] = (help_text, gauge)
 
-    def answered(self, answered: Answered) -> None:
+    def answered(self, answered: ResponseRecord) -> None:
         """Count an answer, and record how long it took."""
         ticket = answered.ticket
         group = (ticket.service, ticket.request_class)
--- a/src/gentianwharf/entryhost/_peers.py
+++ b/src/gentianwharf/entryhost/_peers.py
@@ -113,7 +113,7 @@
             reactor=self._reactor,
             address=self.identity.address,
             on_data=self._on_message,
-            most_bytes=MAX_MESSAGE_BYTES,
+            max_bytes=MAX_MESSAGE_BYTES,
         )
 
     def stop(self) -> None:
--- /dev/null
+++ b/src/gentianwharf/keyspace/_previous_leader.py
@@ -0,0 +1,73 @@
+"""What a leader leaves behind, for the next one to know which grants may still hold."""
+
+from dataclasses import dataclass, field
+from typing import final
+
+import msgspec
+
+from gentianwharf.logs import log
+from gentianwharf.store import Item
+
+from ._table import Holder
+
+
+@final
+@dataclass(frozen=True, kw_only=True, slots=True)
+class PreviousLeader:
+    """The leader before this one.
+
+    ``value`` identifies it to other hosts. ``earlier_grants_expired`` is true once no
+    grant of any leader before it is still valid. ``held_s`` is for how long its own
+    grants may remain valid, counted from its resignation; None if it did not resign.
+    """
+
+    value: bytes
+    earlier_grants_expired: bool
+    held_s: float | None
+
+
+@final
+@dataclass(frozen=True, kw_only=True, slots=True)
+class RemainingGrants:
+    """For how long the grants of a host hold that gives none any more.
+
+    ``others_s`` counts for every holder that is not in ``by_holder_s``.
+    """
+
+    others_s: float
+    by_holder_s: dict[Holder, float] = field(default_factory=dict)
+
+
+class _StoredPreviousLeader(msgspec.Struct, array_like=True):
+    value: bytes
+    earlier_grants_expired: bool
+    held_s: float | None
+
+
+def encode_previous_leader(leader: PreviousLeader) -> bytes:
+    """Return the word of a leader as it stands in the store."""
+    return msgspec.json.encode(
+        _StoredPreviousLeader(
+            leader.value, leader.earlier_grants_expired, leader.held_s
+        )
+    )
+
+
+def decode_previous_leader(item: Item | None) -> PreviousLeader | None:
+    """Return who led before; None if nobody did, or if its word can't be read."""
+    if item is None:
+        return None
+    try:
+        stored = msgspec.json.decode(item.value, type=_StoredPreviousLeader)
+    except msgspec.DecodeError as error:
+        log.warning(
+            "a leader's word on its grants can't be read: {}",
+            error,
+            extra={"peer": item.key, "revision": item.revision},
+        )
+        return None
+    return PreviousLeader(
+        value=stored.value,
+        earlier_grants_expired=stored.earlier_grants_expired,
+        held_s=stored.held_s,
+    )
--- a/src/gentianwharf/relay/__init__.py
+++ b/src/gentianwharf/relay/__init__.py
@@ -3,20 +3,20 @@
 from gentianwharf.runs import Run
 
 from ._app import RelayApp
-from ._caller_limits import HEAD_SWEEP_S, ConnectionLimits
+from ._caller_limits import SLOW_HEAD_CHECK_INTERVAL_S, ConnectionLimits
 from ._caller_request import CallerRequest
 from ._caller_site import CallerSite
-from ._connections import ServerConnections
-from ._deadline import Remaining
-from ._dialect import Dialect, OwnDialect, ServerRefusal
+from ._connections import ServerConnectionPool
+from ._deadline import RemainingTime
+from ._header_codec import DefaultHeaderCodec, HeaderCodec, ServerRefusal
 from ._ports import (
     Admission,
-    Answered,
-    Hedge,
+    HedgeCallback,
     Observer,
     Outcome,
     Owner,
     Ownership,
+    ResponseRecord,
     Rules,
     ServerLoad,
     Ticket,
@@ -24,25 +24,25 @@
 from ._problem import Problem
 
 __all__ = [
-    "HEAD_SWEEP_S",
+    "SLOW_HEAD_CHECK_INTERVAL_S",
     "Admission",
-    "Answered",
     "CallerRequest",
     "CallerSite",
     "ConnectionLimits",
-    "Dialect",
-    "Hedge",
+    "DefaultHeaderCodec",
+    "HeaderCodec",
+    "HedgeCallback",
     "Observer",
     "Outcome",
-    "OwnDialect",
     "Owner",
     "Ownership",
     "Problem",
     "RelayApp",
-    "Remaining",
+    "RemainingTime",
+    "ResponseRecord",
     "Rules",
     "Run",
-    "ServerConnections",
+    "ServerConnectionPool",
     "ServerLoad",
     "ServerRefusal",
     "Ticket",
--- a/tests/test_admission_tickets.py
+++ b/tests/test_admission_tickets.py
@@ -60,7 +60,7 @@
         gate=gate,
         servers=SERVERS,
         now_s=lambda: 1.0,
-        on_evidence=lambda server, answered, busy_s: None,
+        on_server_outcome=lambda server, answered, busy_s: None,
     )
     sent: list[Any] = []
     for serial in (1, 2):
@@ -69,5 +69,5 @@
     assert len(sent) == 2
     for serial, server in enumerate(sent, start=1):
         admission.finished(ticket(serial), server, Outcome.ANSWERED, 0.1)
-        admission.forget(ticket(serial))
+        admission.discard(ticket(serial))
     assert all(not one.in_flight for one in gate.snapshot().servers)
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -16,11 +16,18 @@
     HoldsResponse,
     HostIdentity,
 )
-from gentianwharf.keyspace import Former, Holder, Keeper, KeyTable, Leadership, Span
-from gentianwharf.keyspace._keeper import GRANT_TIMEOUT_S
+from gentianwharf.keyspace import (
+    GrantManager,
+    Holder,
+    KeyTable,
+    Leadership,
+    PreviousLeader,
+    Span,
+)
+from gentianwharf.keyspace._grant_manager import GRANT_TIMEOUT_S
 from gentianwharf.keyspace._leadership import Term
 from gentianwharf.keyspace._timing import CLOCK_DRIFT, MARGIN_S
-from tests.builders_keyspace import SERVICE, TIMING, run_keeper
+from tests.builders_keyspace import SERVICE, TIMING, run_manager
 from tests.builders_keyspace_hosts import SimpleStore
 from tests.builders_lives import Addresses, Way
 from tests.builders_store import LinkNet
@@ -31,17 +38,19 @@
 
 @dataclass
 class Leader:
-    """One host's keeper and its exchange with other leaders."""
+    """One host's grant manager and its exchange with other leaders."""
 
     identity: HostIdentity
-    keeper: Keeper
+    grant_manager: GrantManager
     leadership: Leadership
     former: FormerLeader
 
-    def stored_former(self, *, is_settled: bool = True) -> Former:
+    def stored_former(self, *, is_settled: bool = True) -> PreviousLeader:
         """Return the information that this leader leaves in the store."""
         value = msgspec.json.encode(self.identity)
-        return Former(value=value, is_settled=is_settled, held_s=None)
+        return PreviousLeader(
+            value=value, earlier_grants_expired=is_settled, held_s=None
+        )
 
 
 class Network:
@@ -64,20 +73,22 @@
         leadership = Leadership(
             store=SimpleStore(clock),
             key="leader",
-            former_key="former",
+            previous_leader_key="former",
             value=msgspec.json.encode(identity),
             now_s=clock.seconds,
             rng=Random(number),
         )
-        keeper = Keeper(orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds)
+        grant_manager = GrantManager(
+            orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds
+        )
         former = FormerLeader(
             identity=identity,
-            keeper=keeper,
+            grant_manager=grant_manager,
             leadership=leadership,
             timing=TIMING,
             reactor=clock,
         )
-        leader = Leader(identity, keeper, leadership, former)
+        leader = Leader(identity, grant_manager, leadership, former)
 
         def received(data: bytes) -> None:
             message: Any = msgspec.msgpack.decode(
@@ -94,12 +105,12 @@
     def lead(self, host: Leader, *, revision: int) -> None:
         """Make a host the leader; its table gives all shards to the lost server."""
         host.leadership.term = Term(lease_id=1, revision=revision)
-        host.keeper.take_over(self.clock.seconds())
-        host.keeper.follow(self._table(self.lost, 1))
+        host.grant_manager.take_over(self.clock.seconds())
+        host.grant_manager.follow(self._table(self.lost, 1))
 
     def move(self, host: Leader) -> None:
         """Move the lost server's shards to the other server."""
-        host.keeper.follow(self._table(self.other, 2, former=(self.lost,)))
+        host.grant_manager.follow(self._table(self.other, 2, former=(self.lost,)))
 
     def served_after_s(self, host: Leader, *others: Leader) -> float:
         """Return the time until the other server holds the shards.
@@ -109,10 +120,10 @@
         started_s = self.clock.seconds()
         while self.addresses.holders(SHARD) != [self.other]:
             assert self.clock.seconds() < started_s + 30
-            host.keeper.note_heard(self.clock.seconds())
+            host.grant_manager.note_store_contact(self.clock.seconds())
             for leader in (host, *others):
                 leader.former.tick()
-                leader.keeper.tick()
+                leader.grant_manager.tick()
             self.clock.advance(0.05)
             assert len(self.addresses.holders(SHARD)) <= 1
         return self.clock.seconds() - started_s
@@ -133,7 +144,7 @@
     """Return a leader that has lost the store, and the next leader."""
     former, leader = network.host(1), network.host(2)
     network.lead(former, revision=5)
-    run_keeper(former.keeper, network.clock, 20.0)
+    run_manager(former.grant_manager, network.clock, 20.0)
     network.addresses.living[network.lost.address].is_silent = True
     return former, leader
 
@@ -161,7 +172,7 @@
     duration until its end, but none after it.
     """
     former, leader = former_and_next_leader(network)
-    former.keeper.stop()
+    former.grant_manager.stop()
     restarted = network.host(1, incarnation=2)
     network.clock.advance(4.0)
     network.lead(leader, revision=9)
@@ -183,7 +194,7 @@
     The grants of the leader before the former one were not taken into account.
     """
     former, leader = former_and_next_leader(network)
-    former.keeper.stop()
+    former.grant_manager.stop()
     restarted = network.host(1, incarnation=2)
     if not is_reached:
         network.net.cut.add(former.identity.address)
@@ -200,8 +211,8 @@
     network.lead(leader, revision=9)
     leader.former.ask(former.stored_former())
     assert former.leadership.leads
-    run_keeper(former.keeper, network.clock, 0.1)
-    assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
+    run_manager(former.grant_manager, network.clock, 0.1)
+    assert leader.grant_manager.holders.held_s() > TIMING.longest_grant_s
 
 
 def test_response_of_another_process_is_ignored(
@@ -212,7 +223,7 @@
     network.net.cut.add(former.identity.address)
     leader.former.ask(former.stored_former())
     leader.former.handle_response(HoldsResponse(7, 9, None))
-    assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
+    assert leader.grant_manager.holders.held_s() > TIMING.longest_grant_s
 
 
 def test_late_response_to_an_earlier_request_is_ignored(network: Network) -> None:
@@ -226,4 +237,4 @@
     network.net.cut.add(former.identity.address)
     leader.former.ask(former.stored_former())
     leader.former.handle_response(HoldsResponse(former.identity.incarnation, 9, None))
-    assert leader.keeper.lives.held_s() > TIMING.longest_grant_s
+    assert leader.grant_manager.holders.held_s() > TIMING.longest_grant_s
--- a/tests/test_entryhost_keys.py
+++ b/tests/test_entryhost_keys.py
@@ -90,7 +90,9 @@
     keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
     keys.receives_updates = lambda: True
     clock.advance(MOVE_WAIT_S + 0.5)
-    keys.not_owner(ticket(), Owner(server=server("s2"), shard=5, token=2, deadline_s=9))
+    keys.report_not_owner(
+        ticket(), Owner(server=server("s2"), shard=5, token=2, deadline_s=9)
+    )
     pending = request_owner(keys)
     refused = []
     pending.addErrback(lambda failure: refused.append(failure.value))
@@ -133,7 +135,7 @@
     """Guards against a delayed refusal that blocks the current holder."""
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 2, token=2)))
-    keys.not_owner(
+    keys.report_not_owner(
         ticket(), Owner(server=server("s1"), shard=5, token=token, deadline_s=9)
     )
     assert result(request_owner(keys)) is not None
--- a/tests/test_entryhost_outages.py
+++ b/tests/test_entryhost_outages.py
@@ -68,7 +68,7 @@
         """Return the hosts that reach the store, or a leader that does."""
         available = [host for host in self.fleet.hosts if is_store_available(host)]
         leads = any(
-            host.coordinator.leadership.may_change() and not self.is_cut(host)
+            host.coordinator.leadership.holds_lease() and not self.is_cut(host)
             for host in available
         )
         connected = [
--- a/tests/test_entryhost_rules.py
+++ b/tests/test_entryhost_rules.py
@@ -106,7 +106,7 @@
         status=404, title="no rule matches", run=Run.NOT_RUN, detail="GET desk/a/"
     )
     with logbook.TestHandler() as handler:
-        observer.refused("a1", problem)
+        observer.record_refusal("a1", problem)
     line = handler.records[0].extra
     assert (line["detail"], line["version"]) == ("GET desk/a/", 8)
 
--- a/tests/test_entryhost_servers.py
+++ b/tests/test_entryhost_servers.py
@@ -19,7 +19,7 @@
     ServerEntry,
     decode_host_settings,
 )
-from gentianwharf.relay import ServerConnections
+from gentianwharf.relay import ServerConnectionPool
 from gentianwharf.store import Item
 from gentianwharf.topology import BackendServer
 from tests.builders_load import server, service
@@ -70,10 +70,10 @@
     the excess connections.
     """
     host._coordinator._set_host_count(2)
-    assert host.relay.connections[SERVER_ID].most == 65
+    assert host.relay.connections[SERVER_ID].max_connections == 65
     seats = {"max-connections": 10}
     note_configuration(host, revision=4, services={"seats": seats, "calendar": seats})
-    assert host.relay.connections[SERVER_ID].most == 5
+    assert host.relay.connections[SERVER_ID].max_connections == 5
 
 
 def test_gate_follows_changes_of_a_listed_server() -> None:
@@ -91,9 +91,9 @@
     after = replace(before, slots=8, connections=80)
     pool = registry.set_servers(before.service, [after], 1.0)
     assert registry.servers[before.id] is state
-    assert (state.server.slots, state.most_connections) == (8, 40)
+    assert (state.server.slots, state.max_connections) == (8, 40)
     assert pool is not None
-    assert pool.limit.most == 8.0
+    assert pool.limit.maximum == 8.0
 
 
 def with_another_address(server: BackendServer) -> BackendServer:
@@ -101,12 +101,12 @@
 
 
 @pytest.fixture
-def pool() -> ServerConnections:
+def pool() -> ServerConnectionPool:
     reactor: Any = MemoryReactorClock()
-    return ServerConnections(server=server(0), reactor=reactor)
+    return ServerConnectionPool(server=server(0), reactor=reactor)
 
 
-def connected(pool: ServerConnections) -> Any:
+def connected(pool: ServerConnectionPool) -> Any:
     """Complete the connection that the pool is making."""
     reactor: Any = pool._reactor
     protocol = reactor.tcpClients[-1][2].buildProtocol(None)
@@ -114,24 +114,24 @@
     return protocol
 
 
-def test_connections_to_a_former_address_are_closed(pool: ServerConnections) -> None:
+def test_connections_to_a_former_address_are_closed(pool: ServerConnectionPool) -> None:
     """Guards against requests to another server that now has the former address."""
     connection = Deferred.fromCoroutine(pool.acquire())
     connected(pool)
-    connection.addCallback(pool.put_back)
+    connection.addCallback(pool.release)
     assert len(pool.idle()) == 1
-    pool.follow(with_another_address(pool.server))
+    pool.update_server(with_another_address(pool.server))
     assert pool.idle() == ()
 
 
 def test_connection_made_after_an_address_change_is_not_used(
-    pool: ServerConnections,
+    pool: ServerConnectionPool,
 ) -> None:
     """Guards against the same through a connection that was being established."""
     connection = Deferred.fromCoroutine(pool.acquire())
     failed: list[Failure] = []
     connection.addErrback(failed.append)
-    pool.follow(with_another_address(pool.server))
+    pool.update_server(with_another_address(pool.server))
     connected(pool)
     assert failed
     assert failed[0].check(PeerUnavailableError)
--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -23,17 +23,17 @@
 
 
 class DrainedRelay:
-    """Implements ``Drained`` for a relay and its callers' site."""
+    """Implements ``ShutdownTarget`` for a relay and its callers' site."""
 
     def __init__(self, relay: RunningRelay) -> None:
         self._app, self._site = relay.app, relay.site
         self.ended = threading.Event()
 
-    def turn_unready(self) -> None:
-        self._site.stop_keeping()
+    def mark_unready(self) -> None:
+        self._site.disable_keep_alive()
 
     def stop_accepting(self) -> None:
-        self._site.close_idle()
+        self._site.close_idle_connections()
 
     def in_flight(self) -> list[str]:
         return [exchange.ticket.request_id for exchange in self._app.in_flight]
@@ -56,9 +56,9 @@
 
 def begin_shutdown(relay: RunningRelay) -> Shutdown:
     shutdown = Shutdown(
-        drained=DrainedRelay(relay), clock=REACTOR, notice_s=0.1, limit_s=LIMIT_S
+        target=DrainedRelay(relay), clock=REACTOR, notice_s=0.1, limit_s=LIMIT_S
     )
-    in_reactor(shutdown.ask)
+    in_reactor(shutdown.request_stop)
     return shutdown
 
 
@@ -197,12 +197,12 @@
     def server(connection, head):  # type: ignore[no-untyped-def]
         connection.close()
 
-    async def admit_again(*_: object, **__: object) -> None:
+    async def admit_retry(*_: object, **__: object) -> None:
         waiting.set()
         await Deferred()
 
     with running_relay([server], deadline_ms=DEADLINE_MS) as relay:
-        relay.admission.admit_again = admit_again
+        relay.admission.admit_retry = admit_retry
         with relay.connect() as connection:
             connection.sendall(request(close=False))
             assert waiting.wait(HANG_S)
