--- a/src/gentianwharf/entryhost/_coordinator.py
+++ b/src/gentianwharf/entryhost/_coordinator.py
@@ -40,11 +40,11 @@
 from ._broadcaster import StorePosition
 from ._conversions import candidate_of, holder_of
 from ._directory import Directory, accepts_work
-from ._former_leader import FormerLeader
 from ._host_list import HostList
 from ._keys import KeyHolders, ServerLookup
 from ._peer_messages import NO_REVISION
 from ._peers import Peers
+from ._previous_leader import RemainingGrantsExchange
 from ._rules import RulesInForce
 from ._store_keys import FORMER_KEY, HOSTS_KEY, LEADER_KEY, TABLE_PREFIX
 
@@ -113,7 +113,7 @@
         self._grant_manager = GrantManager(
             orders=ServerOrders(reactor=reactor), timing=timing, now_s=now_s
         )
-        self._former = FormerLeader(
+        self._grants_exchange = RemainingGrantsExchange(
             identity=self.peers.identity,
             grant_manager=self._grant_manager,
             leadership=self.leadership,
@@ -150,7 +150,7 @@
         self._grant_manager.on_granted = self._note_granted
         self._planner.on_table = self.keys.set_table
         self._planner.on_isolated = self._resign_isolated
-        self._planner.on_previous_leader = self._former.ask
+        self._planner.on_previous_leader = self._grants_exchange.request_grants
 
     def _connect_peers(self) -> None:
         peers = self.peers
@@ -166,8 +166,8 @@
         peers.page = self.mirror.page
         peers.on_page = self.mirror.feed_page
         peers.on_superseded = self.leadership.step_down
-        peers.on_holds_request = self._former.handle_request
-        peers.on_holds_response = self._former.handle_response
+        peers.on_grants_request = self._grants_exchange.handle_request
+        peers.on_grants_response = self._grants_exchange.handle_response
         self.keys.on_request = peers.observed.note_request
         self.keys.receives_updates = peers.receives_updates
 
@@ -180,7 +180,7 @@
         """Stop following the store, and close all links."""
         self.mirror.stop()
         self.peers.stop()
-        self._former.stop()
+        self._grants_exchange.stop()
 
     def tick(self) -> None:
         """Run all periodic work."""
@@ -188,7 +188,7 @@
         self.leadership.tick()
         self._planner.tick()
         self._grant_manager.tick()
-        self._former.tick()
+        self._grants_exchange.tick()
         self.peers.tick()
         self._host_list.tick()
 
@@ -314,11 +314,11 @@
 
     # Work of the leader.
 
-    def _start_leading(self, former: PreviousLeader | None) -> None:
+    def _start_leading(self, previous: PreviousLeader | None) -> None:
         term = self.leadership.term
         assert term is not None, "a leading host has a term"
         self.peers.start_leading(term.revision)
-        self._planner.note_gained(former)
+        self._planner.note_gained(previous)
 
     def _stop_leading(self) -> None:
         self.peers.stop_leading()
--- a/src/gentianwharf/entryhost/_peer_messages.py
+++ b/src/gentianwharf/entryhost/_peer_messages.py
@@ -113,8 +113,8 @@
     address: str
 
 
-class HoldsRequest(msgspec.Struct, array_like=True, tag="asked-holds"):
-    """Request from a new leader to the former one for the holds of its grants.
+class RemainingGrantsRequest(msgspec.Struct, array_like=True, tag="asked-holds"):
+    """Request from a new leader to the previous one for its remaining grants.
 
     ``revision`` is the new leader's term; ``address`` is where it receives the
     response.
@@ -125,7 +125,7 @@
     revision: int
 
 
-class ServerHold(msgspec.Struct, array_like=True):
+class RemainingGrant(msgspec.Struct, array_like=True):
     """How long a server process may still hold a grant."""
 
     server_id: str
@@ -134,8 +134,8 @@
     held_s: float
 
 
-class HoldsResponse(msgspec.Struct, array_like=True, tag="told-holds"):
-    """The holds of the grants of an incarnation, which makes no more grants.
+class RemainingGrantsResponse(msgspec.Struct, array_like=True, tag="told-holds"):
+    """The remaining grants of an incarnation, which makes no more grants.
 
     ``ended_s`` is the minimum time since the end of that process if another one has
     replaced it; None if the process itself responds. ``revision`` is copied from the
@@ -146,4 +146,4 @@
     revision: int
     ended_s: float | None
     others_s: float = 0.0
-    held: list[ServerHold] = []
+    held: list[RemainingGrant] = []
--- a/src/gentianwharf/entryhost/_peers.py
+++ b/src/gentianwharf/entryhost/_peers.py
@@ -21,10 +21,10 @@
 from ._deltas import UnknownBaseError, decode_change
 from ._observed_load import ObservedLoad
 from ._peer_messages import (
-    HoldsRequest,
-    HoldsResponse,
     HostIdentity,
     LeaderUpdate,
+    RemainingGrantsRequest,
+    RemainingGrantsResponse,
     Report,
     StoreSnapshot,
 )
@@ -76,8 +76,12 @@
         self.page: Callable[[], Page | None] = lambda: None
         self.on_page: Callable[[Page], None] = lambda page: None
         self.on_superseded: Callable[[], None] = lambda: None
-        self.on_holds_request: Callable[[HoldsRequest], None] = lambda request: None
-        self.on_holds_response: Callable[[HoldsResponse], None] = lambda response: None
+        self.on_grants_request: Callable[[RemainingGrantsRequest], None] = (
+            lambda request: None
+        )
+        self.on_grants_response: Callable[[RemainingGrantsResponse], None] = (
+            lambda response: None
+        )
         self.identity = HostIdentity(
             host=host, address=address, incarnation=incarnation
         )
@@ -247,8 +251,8 @@
                 type=Report
                 | LeaderUpdate
                 | StoreSnapshot
-                | HoldsRequest
-                | HoldsResponse,
+                | RemainingGrantsRequest
+                | RemainingGrantsResponse,
             )
         except msgspec.DecodeError as error:
             log.warning("cannot decode a message from a host: {}", error)
@@ -261,10 +265,10 @@
             self._on_update(message)
         elif isinstance(message, StoreSnapshot):
             self._on_snapshot(message)
-        elif isinstance(message, HoldsRequest):
-            self.on_holds_request(message)
+        elif isinstance(message, RemainingGrantsRequest):
+            self.on_grants_request(message)
         else:
-            self.on_holds_response(message)
+            self.on_grants_response(message)
 
     def _process_report(self, report: Report) -> None:
         for service, counts in report.requests.items():
--- a/src/gentianwharf/entryhost/_former_leader.py
+++ b/src/gentianwharf/entryhost/_previous_leader.py
@@ -1,10 +1,10 @@
-"""Requests from a new leader to the former one about grants that may still hold.
+"""Exchange between a new leader and the previous one about remaining grants.
 
 Load pattern: the leader is replaced while servers are lost, and the lost servers' keys
-wait for the expiry of grants that the former leader may have made. Without further
+wait for the expiry of grants that the previous leader may have made. Without further
 information the new leader has to wait for the longest grant, and for as long as a
-leader continues without the store. The former leader has the expiry for each server,
-and grants nothing more once it has answered.
+leader continues without the store. The previous leader has the expiry for each server,
+and makes no more grants once it has responded.
 """
 
 from dataclasses import dataclass
@@ -23,7 +23,12 @@
 from gentianwharf.links import NngLink, dial
 from gentianwharf.logs import log
 
-from ._peer_messages import HoldsRequest, HoldsResponse, HostIdentity, ServerHold
+from ._peer_messages import (
+    HostIdentity,
+    RemainingGrant,
+    RemainingGrantsRequest,
+    RemainingGrantsResponse,
+)
 
 REQUEST_INTERVAL_S = 0.25
 
@@ -40,8 +45,8 @@
 
 
 @final
-class FormerLeader:
-    """Requests the former leader's holds, and answers such requests.
+class RemainingGrantsExchange:
+    """Requests the previous leader's remaining grants, and answers such requests.
 
     ``tick`` is called about every 50 ms.
     """
@@ -62,7 +67,7 @@
         self._reactor = reactor
         self._started_s = float(reactor.seconds())
         self._target: HostIdentity | None = None
-        self._is_settled = False
+        self._earlier_grants_expired = False
         self._next_request_s = 0.0
         self._links: dict[str, _Link] = {}
 
@@ -72,19 +77,19 @@
             link.connection.close()
         self._links.clear()
 
-    def ask(self, former: PreviousLeader) -> None:
-        """Start to request the holds of the former leader."""
+    def request_grants(self, previous: PreviousLeader) -> None:
+        """Start to request the remaining grants of the previous leader."""
         try:
-            self._target = msgspec.json.decode(former.value, type=HostIdentity)
+            self._target = msgspec.json.decode(previous.value, type=HostIdentity)
         except msgspec.DecodeError as error:
-            log.warning("cannot decode the former leader's identity: {}", error)
+            log.warning("cannot decode the previous leader's identity: {}", error)
             return
-        self._is_settled = former.earlier_grants_expired
+        self._earlier_grants_expired = previous.earlier_grants_expired
         self._next_request_s = self._reactor.seconds()
         self.tick()
 
     def tick(self) -> None:
-        """Repeat the request when it is due, until an answer would change nothing."""
+        """Repeat the request when it is due, until a response would change nothing."""
         self._close_idle()
         if self._target is None:
             return
@@ -95,16 +100,18 @@
         now_s = self._reactor.seconds()
         if now_s >= self._next_request_s:
             self._next_request_s = now_s + REQUEST_INTERVAL_S
-            request = HoldsRequest(
+            request = RemainingGrantsRequest(
                 self._identity.address, self._target.incarnation, term.revision
             )
             self._send(self._target.address, request)
 
-    def handle_request(self, request: HoldsRequest) -> None:
+    def handle_request(self, request: RemainingGrantsRequest) -> None:
         """Answer a new leader's request, and stop leading."""
         if request.incarnation != self._identity.incarnation:
             ended_s = float(self._reactor.seconds()) - self._started_s
-            response = HoldsResponse(request.incarnation, request.revision, ended_s)
+            response = RemainingGrantsResponse(
+                request.incarnation, request.revision, ended_s
+            )
             self._send(request.address, response)
             return
         term = self._leadership.term
@@ -114,20 +121,20 @@
             return
         self._leadership.step_down()
         self._grant_manager.stop()
-        holds = self._grant_manager.holders.remaining_grants()
+        remaining = self._grant_manager.holders.remaining_grants()
         held = [
-            ServerHold(holder.server_id, holder.born_ms, holder.address, held_s)
-            for holder, held_s in holds.by_holder_s.items()
+            RemainingGrant(holder.server_id, holder.born_ms, holder.address, held_s)
+            for holder, held_s in remaining.by_holder_s.items()
         ]
         self._send(
             request.address,
-            HoldsResponse(
-                request.incarnation, request.revision, None, holds.others_s, held
+            RemainingGrantsResponse(
+                request.incarnation, request.revision, None, remaining.others_s, held
             ),
         )
 
-    def handle_response(self, response: HoldsResponse) -> None:
-        """Apply the former leader's holds."""
+    def handle_response(self, response: RemainingGrantsResponse) -> None:
+        """Apply the previous leader's response."""
         if self._target is None or response.incarnation != self._target.incarnation:
             return
         term = self._leadership.term
@@ -135,35 +142,41 @@
             # This answers an earlier request. Since then its sender may have led again
             # and made grants that the response does not contain.
             return
-        holds = self._holds(response)
+        remaining = self._remaining_grants(response)
         self._target = None
-        if holds is None:
+        if remaining is None:
             return
         log.info(
             "former leader has answered",
             extra={
-                "held_s": round(holds.others_s, 3),
-                "servers": len(holds.by_holder_s),
+                "held_s": round(remaining.others_s, 3),
+                "servers": len(remaining.by_holder_s),
             },
         )
-        self._grant_manager.holders.note_remaining_grants(holds)
+        self._grant_manager.holders.note_remaining_grants(remaining)
 
-    def _holds(self, response: HoldsResponse) -> RemainingGrants | None:
+    def _remaining_grants(
+        self, response: RemainingGrantsResponse
+    ) -> RemainingGrants | None:
         if response.ended_s is None:
             held = {
                 Holder(
-                    server_id=hold.server_id, born_ms=hold.born_ms, address=hold.address
-                ): hold.held_s
-                for hold in response.held
+                    server_id=grant.server_id,
+                    born_ms=grant.born_ms,
+                    address=grant.address,
+                ): grant.held_s
+                for grant in response.held
             }
             return RemainingGrants(others_s=response.others_s, by_holder_s=held)
-        if not self._is_settled:
+        if not self._earlier_grants_expired:
             # The restarted process has lost its information about earlier leaders.
             return None
         remaining_s = self._timing.ended_until_s(ended_s=0.0) - response.ended_s
         return RemainingGrants(others_s=max(0.0, remaining_s))
 
-    def _send(self, address: str, message: HoldsRequest | HoldsResponse) -> None:
+    def _send(
+        self, address: str, message: RemainingGrantsRequest | RemainingGrantsResponse
+    ) -> None:
         now_s = float(self._reactor.seconds())
         link = self._links.get(address)
         if link is None:
--- a/tests/builders_entryhost.py
+++ b/tests/builders_entryhost.py
@@ -8,7 +8,7 @@
 import pytest
 from twisted.internet.task import Clock, deferLater
 
-from gentianwharf.entryhost import _coordinator, _former_leader, _peers
+from gentianwharf.entryhost import _coordinator, _peers, _previous_leader
 from gentianwharf.entryhost._coordinator import Coordinator
 from gentianwharf.errors import ConflictError, PeerUnavailableError
 from gentianwharf.platform import decode_host_settings
@@ -135,7 +135,7 @@
         self.items = Items(now_s=self.clock.seconds)
         self.stores: list[FakeStore] = []
         monkeypatch.setattr(_peers, "dial", self.net.dial)
-        monkeypatch.setattr(_former_leader, "dial", self.net.dial)
+        monkeypatch.setattr(_previous_leader, "dial", self.net.dial)
         monkeypatch.setattr(_peers, "NngListener", self.net.listen)
         monkeypatch.setattr(_coordinator, "PlatformStore", self._make_store)
         self.hosts = [self._host(number) for number in range(hosts)]
--- a/tests/test_entryhost_behind.py
+++ b/tests/test_entryhost_behind.py
@@ -77,7 +77,7 @@
     """Guards against hosts that keep old rules after the store has recovered.
 
     The store leaves calls unanswered while the leader is replaced. The other hosts wait
-    for watches that are never answered, and report to the former leader, so that the
+    for watches that are never answered, and report to the previous leader, so that the
     new one does not send them updates: five of nine hosts served by old rules for 14 s.
     """
     fleet = Fleet(monkeypatch, hosts=HOSTS)
@@ -141,7 +141,7 @@
 def test_host_reports_its_leader_and_the_age_of_its_last_update(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a host that waits unnoticed for updates of a former leader."""
+    """Guards against a host that waits unnoticed for updates of a previous leader."""
     fleet = Fleet(monkeypatch, hosts=3)
     fleet.run(4)
     item = fleet.items.below("gentianwharf/leader")[0]
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -1,4 +1,4 @@
-"""A new leader requests the holds of the former leader's grants."""
+"""A new leader requests the previous leader's remaining grants."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,13 +9,13 @@
 import pytest
 from twisted.internet.task import Clock
 
-from gentianwharf.entryhost import _former_leader
-from gentianwharf.entryhost._former_leader import FormerLeader
+from gentianwharf.entryhost import _previous_leader
 from gentianwharf.entryhost._peer_messages import (
-    HoldsRequest,
-    HoldsResponse,
     HostIdentity,
+    RemainingGrantsRequest,
+    RemainingGrantsResponse,
 )
+from gentianwharf.entryhost._previous_leader import RemainingGrantsExchange
 from gentianwharf.keyspace import (
     GrantManager,
     Holder,
@@ -43,9 +43,9 @@
     identity: HostIdentity
     grant_manager: GrantManager
     leadership: Leadership
-    former: FormerLeader
+    exchange: RemainingGrantsExchange
 
-    def stored_former(self, *, is_settled: bool = True) -> PreviousLeader:
+    def stored_previous(self, *, is_settled: bool = True) -> PreviousLeader:
         """Return the information that this leader leaves in the store."""
         value = msgspec.json.encode(self.identity)
         return PreviousLeader(
@@ -61,7 +61,7 @@
         self.clock.advance(100)
         self.net = LinkNet()
         self.net.most_bytes = 10_000
-        monkeypatch.setattr(_former_leader, "dial", self.net.dial)
+        monkeypatch.setattr(_previous_leader, "dial", self.net.dial)
         self.addresses = Addresses(self.clock)
         self.lost = self.addresses.start("a", "10.0.0.1:80")
         self.other = self.addresses.start("b", "10.0.0.2:80")
@@ -81,23 +81,23 @@
         grant_manager = GrantManager(
             orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds
         )
-        former = FormerLeader(
+        exchange = RemainingGrantsExchange(
             identity=identity,
             grant_manager=grant_manager,
             leadership=leadership,
             timing=TIMING,
             reactor=clock,
         )
-        leader = Leader(identity, grant_manager, leadership, former)
+        leader = Leader(identity, grant_manager, leadership, exchange)
 
         def received(data: bytes) -> None:
             message: Any = msgspec.msgpack.decode(
-                data, type=HoldsRequest | HoldsResponse
+                data, type=RemainingGrantsRequest | RemainingGrantsResponse
             )
-            if isinstance(message, HoldsRequest):
-                leader.former.handle_request(message)
+            if isinstance(message, RemainingGrantsRequest):
+                leader.exchange.handle_request(message)
             else:
-                leader.former.handle_response(message)
+                leader.exchange.handle_response(message)
 
         self.net.listeners[identity.address] = received
         return leader
@@ -122,7 +122,7 @@
             assert self.clock.seconds() < started_s + 30
             host.grant_manager.note_store_contact(self.clock.seconds())
             for leader in (host, *others):
-                leader.former.tick()
+                leader.exchange.tick()
                 leader.grant_manager.tick()
             self.clock.advance(0.05)
             assert len(self.addresses.holders(SHARD)) <= 1
@@ -140,43 +140,43 @@
     return Network(monkeypatch)
 
 
-def former_and_next_leader(network: Network) -> tuple[Leader, Leader]:
+def previous_and_next_leader(network: Network) -> tuple[Leader, Leader]:
     """Return a leader that has lost the store, and the next leader."""
-    former, leader = network.host(1), network.host(2)
-    network.lead(former, revision=5)
-    run_manager(former.grant_manager, network.clock, 20.0)
+    previous, leader = network.host(1), network.host(2)
+    network.lead(previous, revision=5)
+    run_manager(previous.grant_manager, network.clock, 20.0)
     network.addresses.living[network.lost.address].is_silent = True
-    return former, leader
+    return previous, leader
 
 
-def test_response_of_the_former_leader_shortens_the_wait(network: Network) -> None:
+def test_response_of_the_previous_leader_shortens_the_wait(network: Network) -> None:
     """Guards against 15 s without an owner after each change of the leader.
 
     A server is lost together with the leader. The next leader does not have the time of
-    the server's last grant; the former one does, and still runs.
+    the server's last grant; the previous one does, and still runs.
     """
-    former, leader = former_and_next_leader(network)
+    previous, leader = previous_and_next_leader(network)
     network.lead(leader, revision=9)
-    leader.former.ask(former.stored_former())
+    leader.exchange.request_grants(previous.stored_previous())
     network.move(leader)
     # The new leader's own renewal may have reached the server until it timed out.
     longest_s = GRANT_TIMEOUT_S + TIMING.grant_s * CLOCK_DRIFT + MARGIN_S
-    assert network.served_after_s(leader, former) <= longest_s + TIMING.retry_every_s
-    assert former.leadership.term is None
+    assert network.served_after_s(leader, previous) <= longest_s + TIMING.retry_every_s
+    assert previous.leadership.term is None
 
 
 def test_ended_process_makes_no_more_grants(network: Network) -> None:
     """Guards against waiting for a leader whose process has ended.
 
-    All hosts are restarted. The former process may have made grants of the maximum
+    All hosts are restarted. The previous process may have made grants of the maximum
     duration until its end, but none after it.
     """
-    former, leader = former_and_next_leader(network)
-    former.grant_manager.stop()
+    previous, leader = previous_and_next_leader(network)
+    previous.grant_manager.stop()
     restarted = network.host(1, incarnation=2)
     network.clock.advance(4.0)
     network.lead(leader, revision=9)
-    leader.former.ask(former.stored_former())
+    leader.exchange.request_grants(previous.stored_previous())
     network.move(leader)
     longest_s = TIMING.longest_grant_s * CLOCK_DRIFT + MARGIN_S - 4.0
     elapsed_s = network.served_after_s(leader, restarted)
@@ -191,50 +191,52 @@
 ) -> None:
     """Guards against two servers that run one key.
 
-    The grants of the leader before the former one were not taken into account.
+    The grants of the leader before the previous one were not taken into account.
     """
-    former, leader = former_and_next_leader(network)
-    former.grant_manager.stop()
+    previous, leader = previous_and_next_leader(network)
+    previous.grant_manager.stop()
     restarted = network.host(1, incarnation=2)
     if not is_reached:
-        network.net.cut.add(former.identity.address)
+        network.net.cut.add(previous.identity.address)
     network.lead(leader, revision=9)
-    leader.former.ask(former.stored_former(is_settled=not is_reached))
+    leader.exchange.request_grants(previous.stored_previous(is_settled=not is_reached))
     network.move(leader)
     longest_s = TIMING.leader_alone_s + TIMING.longest_grant_s
     assert network.served_after_s(leader, restarted) > longest_s
 
 
 def test_late_request_of_an_earlier_leader_ends_no_leadership(network: Network) -> None:
-    former, leader = former_and_next_leader(network)
-    network.lead(former, revision=12)
+    previous, leader = previous_and_next_leader(network)
+    network.lead(previous, revision=12)
     network.lead(leader, revision=9)
-    leader.former.ask(former.stored_former())
-    assert former.leadership.leads
-    run_manager(former.grant_manager, network.clock, 0.1)
+    leader.exchange.request_grants(previous.stored_previous())
+    assert previous.leadership.leads
+    run_manager(previous.grant_manager, network.clock, 0.1)
     assert leader.grant_manager.holders.held_s() > TIMING.longest_grant_s
 
 
 def test_response_of_another_process_is_ignored(
     network: Network,
 ) -> None:
-    former, leader = former_and_next_leader(network)
+    previous, leader = previous_and_next_leader(network)
     network.lead(leader, revision=9)
-    network.net.cut.add(former.identity.address)
-    leader.former.ask(former.stored_former())
-    leader.former.handle_response(HoldsResponse(7, 9, None))
+    network.net.cut.add(previous.identity.address)
+    leader.exchange.request_grants(previous.stored_previous())
+    leader.exchange.handle_response(RemainingGrantsResponse(7, 9, None))
     assert leader.grant_manager.holders.held_s() > TIMING.longest_grant_s
 
 
 def test_late_response_to_an_earlier_request_is_ignored(network: Network) -> None:
     """Guards against two servers that run one key.
 
-    A response is delayed on a link that was cut. Since then the former leader has led
+    A response is delayed on a link that was cut. Since then the previous leader has led
     again and extended grants, and was replaced once more by the same host.
     """
-    former, leader = former_and_next_leader(network)
+    previous, leader = previous_and_next_leader(network)
     network.lead(leader, revision=15)
-    network.net.cut.add(former.identity.address)
-    leader.former.ask(former.stored_former())
-    leader.former.handle_response(HoldsResponse(former.identity.incarnation, 9, None))
+    network.net.cut.add(previous.identity.address)
+    leader.exchange.request_grants(previous.stored_previous())
+    leader.exchange.handle_response(
+        RemainingGrantsResponse(previous.identity.incarnation, 9, None)
+    )
     assert leader.grant_manager.holders.held_s() > TIMING.longest_grant_s
--- a/tests/test_entryhost_host_list.py
+++ b/tests/test_entryhost_host_list.py
@@ -56,7 +56,7 @@
 ) -> None:
     """Guards against a restarted leader that has no contact with the other hosts.
 
-    Hosts whose calls the store refuses kept waiting for updates of the former leader.
+    Hosts whose calls the store refuses kept waiting for updates of the previous leader.
     """
     former = fleet.leader()
     restarted = fleet.restart(fleet.follower(), refuses_calls=False)
--- a/tests/test_entryhost_next_leader.py
+++ b/tests/test_entryhost_next_leader.py
@@ -71,8 +71,8 @@
     assert leader.host_count == 3
 
 
-def test_former_leader_stops_on_an_update_of_the_next_one(trio: Trio) -> None:
-    """Guards against a former leader that keeps renewing its lease.
+def test_previous_leader_stops_on_an_update_of_the_next_one(trio: Trio) -> None:
+    """Guards against a previous leader that keeps renewing its lease.
 
     Its renewals may continue for seconds, while its followers wait for its updates.
     """
@@ -84,7 +84,7 @@
     assert former.peers.leader_silent_s() < 1, "it receives updates as others do"
 
 
-def test_former_leader_is_not_followed_again(trio: Trio) -> None:
+def test_previous_leader_is_not_followed_again(trio: Trio) -> None:
     former, _, other = trio.hosts
     leader = start_next_leader(trio)
     assert not is_followed(other, former)
@@ -101,7 +101,7 @@
 def test_older_leader_item_from_the_store_is_ignored(
     trio: Trio, stored: Callable[[RecordingHost], Item | None]
 ) -> None:
-    """Guards against following a former leader again.
+    """Guards against following a previous leader again.
 
     A host reads the changes of the store one by one, after it received the latest
     leader's update.
@@ -131,12 +131,12 @@
 
 
 def test_inactive_host_is_contacted_again(trio: Trio) -> None:
-    """Guards against a host that waits for a former leader after it has reconnected."""
+    """Guards against a reconnected host that waits for a previous leader."""
     former, _, other = trio.hosts
     trio.net.cut.add(other.peers.identity.address)
     leader = start_next_leader(trio)
     former.peers.stop_leading()
-    # The host still sends reports to the former leader.
+    # The host still sends reports to the previous leader.
     trio.run(INACTIVE_AFTER_S + 1)
     assert not is_followed(other, leader)
     trio.net.cut.clear()
--- a/tests/test_entryhost_peers.py
+++ b/tests/test_entryhost_peers.py
@@ -70,8 +70,8 @@
     assert not follower.peers.receives_changes()
 
 
-def test_update_of_a_former_leader_is_ignored(trio: Trio) -> None:
-    # The former leader was frozen while another host replaced it, and then continues
+def test_update_of_a_previous_leader_is_ignored(trio: Trio) -> None:
+    # The previous leader was frozen while another host replaced it, and then continues
     # with outdated updates.
     leader, follower, other = trio.hosts
     follower.peers.follow(leader_item(other))
--- a/tests/test_entryhost_turned_away.py
+++ b/tests/test_entryhost_turned_away.py
@@ -59,7 +59,7 @@
 def test_hosts_refused_with_their_leader_receive_changes_from_the_next(
     fleet: Fleet, *, stores: Stores, kind: str
 ) -> None:
-    """Guards against hosts that wait for the former leader.
+    """Guards against hosts that wait for the previous leader.
 
     Hosts read only from the store which host leads.
     """
