--- a/src/gentianwharf/entryhost/_answer_log.py
+++ b/src/gentianwharf/entryhost/_answer_log.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from gentianwharf.logs import log
-from gentianwharf.relay import Problem, ResponseRecord, Run
+from gentianwharf.relay import Problem, ResponseRecord, RunStatus
 
 from ._metrics import HostMetrics
 
@@ -39,7 +39,7 @@
     def record_response(self, answered: ResponseRecord) -> None:
         """Record a response to a caller."""
         self._metrics.answered(answered)
-        is_success = answered.run is Run.RUN and answered.status < 500
+        is_success = answered.run is RunStatus.RUN and answered.status < 500
         if is_success and not _is_sampled(answered.ticket.request_id):
             return
         ticket = answered.ticket
--- a/src/gentianwharf/rules/__init__.py
+++ b/src/gentianwharf/rules/__init__.py
@@ -1,16 +1,16 @@
-"""The operators' ordered when-then rules: the first match decides."""
+"""The operators' ordered rules: documents, validation, storage and explanation."""
 
 from gentianwharf.matching import KeyPlace, RequestFacts, RuleMatch, RuleSet, Splitter
 
 from ._book import RuleBook
 from ._check import (
-    MOST_DOCUMENT_BYTES,
-    MOST_RULES,
-    MOST_SINGLE_KEYS,
+    MAX_DOCUMENT_BYTES,
+    MAX_RULES,
+    MAX_SINGLE_KEY_RULES,
     RuleChecker,
 )
 from ._codec import StoredRules, decode_rules, encode_rules
-from ._diff import changes
+from ._diff import diff_documents
 from ._document import (
     Condition,
     KeySource,
@@ -26,20 +26,20 @@
     ChangeKind,
     Explanation,
     Finding,
-    PassedOver,
     RuleChange,
     RulesApplied,
     RulesConflict,
     RulesRefused,
     RuleVersion,
     Severity,
+    UnmatchedRule,
 )
 from ._scope import RuleScope
 
 __all__ = [
-    "MOST_DOCUMENT_BYTES",
-    "MOST_RULES",
-    "MOST_SINGLE_KEYS",
+    "MAX_DOCUMENT_BYTES",
+    "MAX_RULES",
+    "MAX_SINGLE_KEY_RULES",
     "ApplyResult",
     "ChangeKind",
     "Condition",
@@ -47,7 +47,6 @@
     "Finding",
     "KeyPlace",
     "KeySource",
-    "PassedOver",
     "RequestFacts",
     "Rule",
     "RuleBook",
@@ -67,8 +66,9 @@
     "Splitter",
     "StoredRules",
     "Target",
-    "changes",
+    "UnmatchedRule",
     "decode_rules",
+    "diff_documents",
     "encode_rules",
     "explain",
 ]
--- a/tests/test_entryhost_rules.py
+++ b/tests/test_entryhost_rules.py
@@ -12,7 +12,7 @@
 from gentianwharf.entryhost._metrics import HostMetrics
 from gentianwharf.entryhost._rules import RulesInForce
 from gentianwharf.platform import CONFIG_KEY, Configuration, decode_host_settings
-from gentianwharf.relay import Problem, Run
+from gentianwharf.relay import Problem, RunStatus
 from gentianwharf.rules import RequestFacts
 from gentianwharf.store import Item
 from tests.builders_users_platform import SETTINGS, configuration, route
@@ -103,7 +103,7 @@
         metrics=HostMetrics(), rules_version=lambda: 8, view_age_s=lambda: 1.5
     )
     problem = Problem(
-        status=404, title="no rule matches", run=Run.NOT_RUN, detail="GET desk/a/"
+        status=404, title="no rule matches", run=RunStatus.NOT_RUN, detail="GET desk/a/"
     )
     with logbook.TestHandler() as handler:
         observer.record_refusal("a1", problem)
@@ -160,7 +160,7 @@
     with pytest.raises(Problem) as caught:
         rules.match(facts("/odd/1"))
     problem = caught.value
-    assert (problem.status, problem.run) == (503, Run.NOT_RUN)
+    assert (problem.status, problem.run) == (503, RunStatus.NOT_RUN)
     assert problem.retry_after_s is not None
     corrected = configuration(version="r9", routes={"odd": route(prefix="/odd/")})
     rules.note_item(item(corrected, revision=3))
