--- a/bench/metrics.py
+++ b/bench/metrics.py
@@ -102,7 +102,7 @@
             deadline_s=1.0,
             repeatable=True,
         )
-        metrics.answered(
+        metrics.record_response(
             ResponseRecord(
                 ticket=ticket,
                 rule=1,
--- a/src/gentianwharf/entryhost/_answer_log.py
+++ b/src/gentianwharf/entryhost/_answer_log.py
@@ -36,28 +36,28 @@
         self._rules_version = rules_version
         self._view_age_s = view_age_s
 
-    def record_response(self, answered: ResponseRecord) -> None:
+    def record_response(self, response: ResponseRecord) -> None:
         """Record a response to a caller."""
-        self._metrics.answered(answered)
-        is_success = answered.run is RunStatus.RUN and answered.status < 500
-        if is_success and not _is_sampled(answered.ticket.request_id):
+        self._metrics.record_response(response)
+        is_success = response.run is RunStatus.RUN and response.status < 500
+        if is_success and not _is_sampled(response.ticket.request_id):
             return
-        ticket = answered.ticket
+        ticket = response.ticket
         log.info(
-            answered.reason or "answered",
+            response.reason or "answered",
             extra={
                 "request_id": ticket.request_id,
-                "status": answered.status,
-                "run": str(answered.run),
+                "status": response.status,
+                "run": str(response.run),
                 "class": ticket.request_class,
                 "service": ticket.service,
                 "shard": ticket.shard,
-                "server": answered.server,
-                "tries": answered.tries,
-                "waited_ms": round(answered.waited_s * 1000),
-                "elapsed_ms": round(answered.elapsed_s * 1000),
-                "step": answered.step,
-                "peer": answered.peer,
+                "server": response.server,
+                "tries": response.tries,
+                "waited_ms": round(response.waited_s * 1000),
+                "elapsed_ms": round(response.elapsed_s * 1000),
+                "step": response.step,
+                "peer": response.peer,
                 "view_age_ms": self._view_age_ms(),
             },
         )
--- a/src/gentianwharf/entryhost/_coordinator.py
+++ b/src/gentianwharf/entryhost/_coordinator.py
@@ -46,13 +46,13 @@
 from ._peers import Peers
 from ._previous_leader import RemainingGrantsExchange
 from ._rules import RulesInForce
-from ._store_keys import FORMER_KEY, HOSTS_KEY, LEADER_KEY, TABLE_PREFIX
+from ._store_keys import HOSTS_KEY, LEADER_KEY, PREVIOUS_LEADER_KEY, TABLE_PREFIX
 
-RESIGN_BACKOFF_S = 4.0
+ISOLATED_CAMPAIGN_PAUSE_S = 4.0
 """How long a host that reached too few servers leaves leadership to others: about the
 time that other hosts need to find out whether they reach more."""
 
-SMALL_HOST_BACKOFF_S = 0.2
+SMALL_HOST_CAMPAIGN_DELAY_S = 0.2
 """Additional delay before a host with little processor time tries to lead.
 
 The leader's work grows with the deployment: a host with 0.4 cores that led 85 servers
@@ -103,11 +103,12 @@
         self.leadership = Leadership(
             store=store,
             key=LEADER_KEY,
-            previous_leader_key=FORMER_KEY,
+            previous_leader_key=PREVIOUS_LEADER_KEY,
             value=msgspec.json.encode(self.peers.identity),
             now_s=now_s,
             rng=rng,
-            campaign_delay_s=SMALL_HOST_BACKOFF_S * max(0.0, 1.0 - settings.cores),
+            campaign_delay_s=SMALL_HOST_CAMPAIGN_DELAY_S
+            * max(0.0, 1.0 - settings.cores),
         )
         timing = GrantTiming(longest_grant_s=settings.agreements.longest_grant_s)
         self._grant_manager = GrantManager(
@@ -192,11 +193,11 @@
         self.peers.tick()
         self._host_list.tick()
 
-    def resign(self, stand_back_s: float) -> None:
-        """Give up leadership, and do not try to regain it for ``stand_back_s``."""
+    def resign(self, campaign_pause_s: float) -> None:
+        """Give up leadership, and do not try to regain it for ``campaign_pause_s``."""
         held_s = self._grant_manager.holders.held_s()
         done = Deferred.fromCoroutine(
-            self.leadership.resign(held_s, campaign_pause_s=stand_back_s)
+            self.leadership.resign(held_s, campaign_pause_s=campaign_pause_s)
         )
         done.addErrback(lambda failure: log.error(failure.getTraceback()))
 
@@ -256,7 +257,7 @@
             self.leadership.note_item(item)
         elif key == HOSTS_KEY:
             self._host_list.note_item(item)
-        elif key == FORMER_KEY:
+        elif key == PREVIOUS_LEADER_KEY:
             self.leadership.note_previous_leader(item)
         elif key.startswith(TABLE_PREFIX) and item is not None:
             self._planner.note_table(item)
@@ -333,4 +334,4 @@
             log.warning(
                 "most servers are unreachable from this host: no longer leading"
             )
-            self.resign(RESIGN_BACKOFF_S)
+            self.resign(ISOLATED_CAMPAIGN_PAUSE_S)
--- a/src/gentianwharf/entryhost/_metrics.py
+++ b/src/gentianwharf/entryhost/_metrics.py
@@ -47,14 +47,14 @@
         """Add a gauge, whose function is called whenever the metrics are requested."""
         self._gauges[PREFIX + name] = (help_text, gauge)
 
-    def answered(self, answered: ResponseRecord) -> None:
+    def record_response(self, response: ResponseRecord) -> None:
         """Count an answer, and record how long it took."""
-        ticket = answered.ticket
+        ticket = response.ticket
         group = (ticket.service, ticket.request_class)
-        self.count(*group, answered.status, answered.reason)
-        _record(self._elapsed, group, answered.elapsed_s)
-        if answered.waited_s > 0:
-            _record(self._waited, group, answered.waited_s)
+        self.count(*group, response.status, response.reason)
+        _record(self._elapsed, group, response.elapsed_s)
+        if response.waited_s > 0:
+            _record(self._waited, group, response.waited_s)
 
     def count(self, service: str, request_class: str, status: int, reason: str) -> None:
         """Count an answer; beyond ``MAX_SERIES`` all other answers share one series."""
--- a/src/gentianwharf/entryhost/_store_keys.py
+++ b/src/gentianwharf/entryhost/_store_keys.py
@@ -5,7 +5,7 @@
 LEADER_KEY = OWN_PREFIX + "leader"
 """The leader's identity, attached to its lease."""
 
-FORMER_KEY = OWN_PREFIX + "former"
+PREVIOUS_LEADER_KEY = OWN_PREFIX + "former"
 """Information about its grants that each leader leaves for the next one."""
 
 HOSTS_KEY = OWN_PREFIX + "hosts"
--- a/tests/test_entryhost_metrics.py
+++ b/tests/test_entryhost_metrics.py
@@ -34,8 +34,8 @@
     metrics = HostMetrics()
     metrics.add_gauge("leads", "Whether this host leads", lambda: 1.0)
     for _ in range(3):
-        metrics.answered(answered())
-    metrics.answered(answered(status=503))
+        metrics.record_response(answered())
+    metrics.record_response(answered(status=503))
     text = metrics.text()
     labels = 'class="safe",reason="",service="roster",status="200"'
     assert f"gentianwharf_answers_total{{{labels}}} 3.0" in text
@@ -49,7 +49,7 @@
     """Guards against memory growth when configurations keep adding request classes."""
     metrics = HostMetrics()
     for number in range(2 * MAX_SERIES):
-        metrics.answered(answered(request_class=f"class-{number}"))
+        metrics.record_response(answered(request_class=f"class-{number}"))
     lines = [line for line in metrics.text().splitlines() if "answers_total{" in line]
     assert len(lines) <= MAX_SERIES + 1
     assert any('class="other"' in line for line in lines)
