--- a/src/gentianwharf/entryhost/_answer_log.py
+++ b/src/gentianwharf/entryhost/_answer_log.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from gentianwharf.logs import log
-from gentianwharf.relay import Problem, ResponseRecord, RunStatus
+from gentianwharf.relay import AccessRecord, Problem, RunStatus
 
 from ._metrics import HostMetrics
 
@@ -36,28 +36,28 @@
         self._rules_version = rules_version
         self._view_age_s = view_age_s
 
-    def record_response(self, response: ResponseRecord) -> None:
+    def record_response(self, record: AccessRecord) -> None:
         """Record a response to a caller."""
-        self._metrics.record_response(response)
-        is_success = response.run is RunStatus.RUN and response.status < 500
-        if is_success and not _is_sampled(response.ticket.request_id):
+        self._metrics.record_response(record)
+        is_success = record.run is RunStatus.RUN and record.status < 500
+        if is_success and not _is_sampled(record.ticket.request_id):
             return
-        ticket = response.ticket
+        ticket = record.ticket
         log.info(
-            response.reason or "answered",
+            record.reason or "answered",
             extra={
                 "request_id": ticket.request_id,
-                "status": response.status,
-                "run": str(response.run),
+                "status": record.status,
+                "run": str(record.run),
                 "class": ticket.request_class,
                 "service": ticket.service,
                 "shard": ticket.shard,
-                "server": response.server,
-                "tries": response.tries,
-                "waited_ms": round(response.waited_s * 1000),
-                "elapsed_ms": round(response.elapsed_s * 1000),
-                "step": response.step,
-                "peer": response.peer,
+                "server": record.server,
+                "tries": record.tries,
+                "waited_ms": round(record.waited_s * 1000),
+                "elapsed_ms": round(record.elapsed_s * 1000),
+                "step": record.step,
+                "peer": record.peer,
                 "view_age_ms": self._view_age_ms(),
             },
         )
--- a/src/gentianwharf/entryhost/_metrics.py
+++ b/src/gentianwharf/entryhost/_metrics.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gentianwharf.relay import ResponseRecord
+from gentianwharf.relay import AccessRecord
 
 from ._page_site import PageResponse, PageSite
 
@@ -47,14 +47,14 @@
         """Add a gauge, whose function is called whenever the metrics are requested."""
         self._gauges[PREFIX + name] = (help_text, gauge)
 
-    def record_response(self, response: ResponseRecord) -> None:
+    def record_response(self, record: AccessRecord) -> None:
         """Count an answer, and record how long it took."""
-        ticket = response.ticket
+        ticket = record.ticket
         group = (ticket.service, ticket.request_class)
-        self.count(*group, response.status, response.reason)
-        _record(self._elapsed, group, response.elapsed_s)
-        if response.waited_s > 0:
-            _record(self._waited, group, response.waited_s)
+        self.count(*group, record.status, record.reason)
+        _record(self._elapsed, group, record.elapsed_s)
+        if record.waited_s > 0:
+            _record(self._waited, group, record.waited_s)
 
     def count(self, service: str, request_class: str, status: int, reason: str) -> None:
         """Count an answer; beyond ``MAX_SERIES`` all other answers share one series."""
