--- a/src/gentianwharf/entryhost/_broadcaster.py
+++ b/src/gentianwharf/entryhost/_broadcaster.py
@@ -145,7 +145,7 @@
 
     def note_granted(self, service: str, span: Span) -> None:
         """Notify all hosts that a move is finished."""
-        if not self.leads or not span.former:
+        if not self.leads or not span.former_holders:
             # No request waits for a span that was not moved, and a new leader grants
             # hundreds of them.
             return
--- a/src/gentianwharf/entryhost/_coordinator.py
+++ b/src/gentianwharf/entryhost/_coordinator.py
@@ -11,7 +11,7 @@
     GrantManager,
     GrantTiming,
     Leadership,
-    LoadSeen,
+    ObservedLoad,
     Planner,
     PreviousLeader,
     Span,
@@ -28,12 +28,12 @@
 )
 from gentianwharf.relay import ServerLoad
 from gentianwharf.store import (
-    TELLING_PACE,
+    FORWARDING_PACE,
     Events,
     Item,
     Mirror,
     WatchPace,
-    usual_pace,
+    default_pace,
 )
 from gentianwharf.topology import BackendServer
 
@@ -140,11 +140,11 @@
         self._connect_peers()
 
     def _connect_store(self) -> None:
-        self.mirror.listen(self._note_item)
+        self.mirror.add_listener(self._note_item)
         self.mirror.on_read = self._on_store_read
         self.mirror.on_events = self.peers.broadcast_events
-        self.mirror.is_fed = self.peers.receives_changes
-        self.mirror.tells = lambda: self.leadership.leads
+        self.mirror.receives_changes = self.peers.receives_changes
+        self.mirror.forwards_changes = lambda: self.leadership.leads
         self.mirror.pace = self._pace
         self.leadership.on_gained = self._start_leading
         self.leadership.on_lost = self._stop_leading
@@ -165,7 +165,7 @@
         peers.missing_after = self._missing_after
         peers.changes_after = self.mirror.changes_after
         peers.page = self.mirror.page
-        peers.on_page = self.mirror.feed_page
+        peers.on_page = self.mirror.apply_forwarded_page
         peers.on_superseded = self.leadership.step_down
         peers.on_grants_request = self._grants_exchange.handle_request
         peers.on_grants_response = self._grants_exchange.handle_response
@@ -282,15 +282,17 @@
             return NO_REVISION if mirror.silent_s() > MISSING_CHANGES_S else None
         # A host whose requests the store refuses has no other source.
         wait_s = 0.0 if mirror.silent_s() else MISSING_CHANGES_S
-        return mirror.revision if mirror.lacking_s() > wait_s else None
+        return mirror.revision if mirror.behind_s() > wait_s else None
 
     def _pace(self) -> WatchPace:
-        return TELLING_PACE if self.leadership.leads else usual_pace(self.host_count)
+        return (
+            FORWARDING_PACE if self.leadership.leads else default_pace(self.host_count)
+        )
 
     # Messages of other hosts.
 
     def _note_events(self, after_revision: int, events: Events) -> None:
-        self.mirror.feed(events, after_revision=after_revision)
+        self.mirror.apply_forwarded(events, after_revision=after_revision)
 
     def _note_broadcast_grant(
         self, service: str, first: int, last: int, token: int
@@ -308,7 +310,7 @@
         if demand is not None:
             demand.note_requests(counts)
 
-    def _add_load(self, service: str, server_id: str, load: LoadSeen) -> None:
+    def _add_load(self, service: str, server_id: str, load: ObservedLoad) -> None:
         demand = self._planner.demand(service)
         if demand is not None:
             demand.note_load(server_id, load)
--- a/src/gentianwharf/entryhost/_observed_load.py
+++ b/src/gentianwharf/entryhost/_load_accumulator.py
@@ -15,7 +15,7 @@
 
 
 @final
-class ObservedLoad:
+class LoadAccumulator:
     """Counts requests by shard, and adds up the load that servers report."""
 
     def __init__(self) -> None:
@@ -46,10 +46,10 @@
         report.answers += 1
         if elapsed_s is None:
             return
-        report.ran += 1
+        report.executed += 1
         if not load.waiting:
-            report.quick += 1
-            report.quick_s += elapsed_s
+            report.unqueued += 1
+            report.unqueued_s += elapsed_s
 
     def note_unanswered(self, server: BackendServer) -> None:
         """Add a request that timed out without an answer to the next report."""
--- a/src/gentianwharf/entryhost/_peer_messages.py
+++ b/src/gentianwharf/entryhost/_peer_messages.py
@@ -12,9 +12,9 @@
     running: float
     waiting: float
     answers: float
-    ran: float
-    quick: float
-    quick_s: float
+    executed: float
+    unqueued: float
+    unqueued_s: float
     unanswered: float
 
 
--- a/src/gentianwharf/entryhost/_peers.py
+++ b/src/gentianwharf/entryhost/_peers.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from gentianwharf.errors import InputError
-from gentianwharf.keyspace import LoadSeen, Span
+from gentianwharf.keyspace import ObservedLoad, Span
 from gentianwharf.links import NngLink, NngListener, dial
 from gentianwharf.logs import log
 from gentianwharf.store import Events, EventsListener, Item, Page
 
 from ._broadcaster import MAX_MESSAGE_BYTES, Broadcaster, StorePosition
 from ._deltas import UnknownBaseError, decode_change
-from ._observed_load import ObservedLoad
+from ._load_accumulator import LoadAccumulator
 from ._peer_messages import (
     HostIdentity,
     LeaderUpdate,
@@ -65,7 +65,7 @@
         incarnation: int = 0,
     ) -> None:
         self.on_requests: Callable[[str, Mapping[int, float]], None]
-        self.on_load: Callable[[str, str, LoadSeen], None]
+        self.on_load: Callable[[str, str, ObservedLoad], None]
         self.on_granted: Callable[[str, int, int, int], None]
         self.on_events: EventsListener
         self.on_host_count: Callable[[int], None]
@@ -109,7 +109,7 @@
             on_host_count=self._set_host_count,
         )
         self.membership = self._broadcaster.membership
-        self.observed = ObservedLoad()
+        self.observed = LoadAccumulator()
 
     def start(self) -> None:
         """Listen for messages of other hosts."""
@@ -275,13 +275,13 @@
             self.on_requests(service, counts)
         for service, loads in report.loads.items():
             for server_id, load in loads.items():
-                reported = LoadSeen(
+                reported = ObservedLoad(
                     running=load.running,
                     waiting=load.waiting,
                     answers=load.answers,
-                    ran=load.ran,
-                    quick=load.quick,
-                    quick_s=load.quick_s,
+                    executed=load.executed,
+                    unqueued=load.unqueued,
+                    unqueued_s=load.unqueued_s,
                     unanswered=load.unanswered,
                 )
                 self.on_load(service, server_id, reported)
--- a/src/gentianwharf/entryhost/_previous_leader.py
+++ b/src/gentianwharf/entryhost/_previous_leader.py
@@ -171,7 +171,9 @@
         if not self._earlier_grants_expired:
             # The restarted process has lost its information about earlier leaders.
             return None
-        remaining_s = self._timing.ended_until_s(ended_s=0.0) - response.ended_s
+        remaining_s = (
+            self._timing.latest_grant_expiry_s(stopped_s=0.0) - response.ended_s
+        )
         return RemainingGrants(others_s=max(0.0, remaining_s))
 
     def _send(
--- a/tests/test_entryhost_behind.py
+++ b/tests/test_entryhost_behind.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gentianwharf.store import TELLING_PACE
+from gentianwharf.store import FORWARDING_PACE
 from tests.builders_entryhost import TICK_S, Fleet, Host
 
 HOSTS = 5
@@ -132,7 +132,7 @@
     fleet.run(1.7)
     assert host.coordinator.mirror.silent_s() == 0
     # The watch in progress may be answered at the end of its wait.
-    assert host.coordinator.mirror.age_s() > 1.7 - TELLING_PACE.wait_s - 2 * TICK_S
+    assert host.coordinator.mirror.age_s() > 1.7 - FORWARDING_PACE.wait_s - 2 * TICK_S
     host.store.is_silent = False
     fleet.run(STABLE_S)
     assert host.coordinator.mirror.age_s() < IN_FORCE_S
--- a/tests/test_entryhost_control.py
+++ b/tests/test_entryhost_control.py
@@ -70,7 +70,7 @@
         fleet.list_server(f"i-{number}")
         fleet.run(0.25)
     assert all(len(host.servers()) == 39 for host in fleet.hosts)
-    assert all(host.coordinator.mirror.lacking_s() == 0 for host in fleet.hosts)
+    assert all(host.coordinator.mirror.behind_s() == 0 for host in fleet.hosts)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_entryhost_former_leader.py
+++ b/tests/test_entryhost_former_leader.py
@@ -29,7 +29,7 @@
 from gentianwharf.keyspace._timing import CLOCK_DRIFT, MARGIN_S
 from tests.builders_keyspace import SERVICE, TIMING, run_manager
 from tests.builders_keyspace_hosts import SimpleStore
-from tests.builders_lives import Addresses, Way
+from tests.builders_lives import Addresses, OrderSender
 from tests.builders_store import LinkNet
 
 SHARD = 5
@@ -79,7 +79,7 @@
             rng=Random(number),
         )
         grant_manager = GrantManager(
-            orders=Way(self.addresses), timing=TIMING, now_s=clock.seconds
+            orders=OrderSender(self.addresses), timing=TIMING, now_s=clock.seconds
         )
         exchange = RemainingGrantsExchange(
             identity=identity,
@@ -131,7 +131,7 @@
     def _table(
         self, holder: Holder, token: int, *, former: tuple[Holder, ...] = ()
     ) -> KeyTable:
-        span = Span(first=0, last=9, holder=holder, token=token, former=former)
+        span = Span(first=0, last=9, holder=holder, token=token, former_holders=former)
         return KeyTable(service=SERVICE, highest_token=token, spans=(span,))
 
 
@@ -145,7 +145,7 @@
     previous, leader = network.host(1), network.host(2)
     network.lead(previous, revision=5)
     run_manager(previous.grant_manager, network.clock, 20.0)
-    network.addresses.living[network.lost.address].is_silent = True
+    network.addresses.running[network.lost.address].is_silent = True
     return previous, leader
 
 
@@ -201,7 +201,7 @@
     network.lead(leader, revision=9)
     leader.exchange.request_grants(previous.stored_previous(is_settled=not is_reached))
     network.move(leader)
-    longest_s = TIMING.leader_alone_s + TIMING.longest_grant_s
+    longest_s = TIMING.renew_without_store_s + TIMING.longest_grant_s
     assert network.served_after_s(leader, restarted) > longest_s
 
 
--- a/tests/test_entryhost_keys.py
+++ b/tests/test_entryhost_keys.py
@@ -70,7 +70,7 @@
     clock = Clock()
     keys = make_keys(clock, table(span(0, 9, 1)))
     keys.receives_updates = lambda: True
-    keys.set_table(table(span(0, 9, 2, token=2, former=(1,))))
+    keys.set_table(table(span(0, 9, 2, token=2, former_holders=(1,))))
     pending = request_owner(keys)
     clock.advance(MOVE_WAIT_S / 2)
     assert result(pending) is None
@@ -87,7 +87,7 @@
     expired. Callers that are refused at once retry in time.
     """
     clock = Clock()
-    keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
+    keys = make_keys(clock, table(span(0, 9, 2, token=2, former_holders=(1,))))
     keys.receives_updates = lambda: True
     clock.advance(MOVE_WAIT_S + 0.5)
     keys.report_not_owner(
@@ -102,7 +102,7 @@
 
 def test_host_without_updates_tries_the_new_holder() -> None:
     clock = Clock()
-    keys = make_keys(clock, table(span(0, 9, 2, token=2, former=(1,))))
+    keys = make_keys(clock, table(span(0, 9, 2, token=2, former_holders=(1,))))
     pending = request_owner(keys)
     clock.advance(MOVE_WAIT_S + 0.01)
     owner = result(pending)
--- a/tests/test_entryhost_peers.py
+++ b/tests/test_entryhost_peers.py
@@ -83,7 +83,7 @@
 
 def test_finished_moves_are_sent(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
-    moved: Span = span(3, 9, 1, token=7, former=(2,))
+    moved: Span = span(3, 9, 1, token=7, former_holders=(2,))
     leader.peers.broadcast_grant("roster", moved)
     assert follower.granted == [("roster", 3, 9, 7)]
 
@@ -105,7 +105,7 @@
 
     trio.net.listeners[follower.peers.identity.address] = count
     for first in range(300):
-        moved = span(first, first, 1, token=7, former=(2,))
+        moved = span(first, first, 1, token=7, former_holders=(2,))
         leader.peers.broadcast_grant("roster", moved)
     trio.run(0.2)
     assert len(follower.granted) == 300
