--- a/tests/builders_entryhost.py
+++ b/tests/builders_entryhost.py
@@ -50,7 +50,8 @@
         """Return all items below a prefix."""
         await self._begin_call("items")
         page = Page(
-            items=tuple(self.backend.below(prefix)), revision=self.backend.revision
+            items=tuple(self.backend.with_prefix(prefix)),
+            revision=self.backend.revision,
         )
         await self._transfer(page.items)
         return page
--- a/tests/test_entryhost_behind.py
+++ b/tests/test_entryhost_behind.py
@@ -144,7 +144,7 @@
     """Guards against a host that waits unnoticed for updates of a previous leader."""
     fleet = Fleet(monkeypatch, hosts=3)
     fleet.run(4)
-    item = fleet.items.below("gentianwharf/leader")[0]
+    item = fleet.items.with_prefix("gentianwharf/leader")[0]
     assert {host.coordinator.peers.followed_revision for host in fleet.hosts} == {
         item.revision
     }
--- a/tests/test_entryhost_outages.py
+++ b/tests/test_entryhost_outages.py
@@ -85,7 +85,7 @@
 
     def expected(self) -> list[str]:
         """Return the servers that the store lists."""
-        items = self.fleet.items.below("servers/")
+        items = self.fleet.items.with_prefix("servers/")
         return sorted(item.key.removeprefix("servers/") for item in items)
 
 
