--- a/src/gentianwharf/entryhost/_observer.py
+++ b/src/gentianwharf/entryhost/_answer_log.py
@@ -1,4 +1,4 @@
-"""Counts what callers receive, and logs what they did not."""
+"""Counts responses to callers, and logs failures and a sample of successes."""
 
 from collections.abc import Callable
 from typing import final
@@ -10,18 +10,19 @@
 
 from ._metrics import HostMetrics
 
-SUCCESS_EVERY = 50
-"""One of so many successes gets a line, to compare the others with; which ones, follows
-from the request's id."""
+SUCCESS_SAMPLE_INTERVAL = 50
+"""One of this many successful requests is logged, for comparison with failed ones. The
+sample is selected by a hash of the request id."""
 
 
 @final
 class AnswerLog:
-    """Every failure and refusal gets a line, and some successes do.
+    """Logs every failure and refusal, and a sample of successes.
 
-    ``rules_version`` is that of the rules in force: what no rule matches may be matched
-    by a version that this host does not have. ``view_age_s`` is how old that may be
-    which decided: a host that hears nobody goes on by what it knew.
+    ``rules_version`` returns the version of the rules in force: a request that no rule
+    matches may match a version that this host does not have yet. ``view_age_s`` returns
+    the maximum age of the data that the decision was based on: a host that receives no
+    updates continues with its last data.
     """
 
     def __init__(
@@ -35,34 +36,34 @@
         self._rules_version = rules_version
         self._view_age_s = view_age_s
 
-    def record_response(self, answered: AccessRecord) -> None:
-        """Note what a caller received."""
-        self._metrics.answered(answered)
-        is_success = answered.run is RunStatus.RUN and answered.status < 500
-        if is_success and not _is_sampled(answered.ticket.request_id):
+    def record_response(self, record: AccessRecord) -> None:
+        """Record a response to a caller."""
+        self._metrics.record_response(record)
+        is_success = record.run is RunStatus.RUN and record.status < 500
+        if is_success and not _is_sampled(record.ticket.request_id):
             return
-        ticket = answered.ticket
+        ticket = record.ticket
         log.info(
-            answered.reason or "answered",
+            record.reason or "answered",
             extra={
                 "request_id": ticket.request_id,
-                "status": answered.status,
-                "run": str(answered.run),
+                "status": record.status,
+                "run": str(record.run),
                 "class": ticket.request_class,
                 "service": ticket.service,
                 "shard": ticket.shard,
-                "server": answered.server,
-                "tries": answered.tries,
-                "waited_ms": round(answered.waited_s * 1000),
-                "elapsed_ms": round(answered.elapsed_s * 1000),
-                "step": answered.step,
-                "peer": answered.peer,
+                "server": record.server,
+                "tries": record.tries,
+                "waited_ms": round(record.waited_s * 1000),
+                "elapsed_ms": round(record.elapsed_s * 1000),
+                "step": record.step,
+                "peer": record.peer,
                 "view_age_ms": self._view_age_ms(),
             },
         )
 
     def record_refusal(self, request_id: str, problem: Problem) -> None:
-        """Note a request that no rule decided on."""
+        """Record a request that was refused before a rule matched it."""
         self._metrics.count("", "", problem.status, problem.title)
         log.info(
             problem.title,
@@ -81,4 +82,4 @@
 
 
 def _is_sampled(request_id: str) -> bool:
-    return xxhash.xxh3_64_intdigest(request_id.encode()) % SUCCESS_EVERY == 0
+    return xxhash.xxh3_64_intdigest(request_id.encode()) % SUCCESS_SAMPLE_INTERVAL == 0
--- a/src/gentianwharf/entryhost/_host_list.py
+++ b/src/gentianwharf/entryhost/_host_list.py
@@ -1,4 +1,4 @@
-"""The list of hosts in the store, which the leader keeps."""
+"""The list of hosts in the store, which the leader maintains."""
 
 from collections.abc import Callable
 from typing import final
@@ -12,60 +12,61 @@
 from gentianwharf.logs import log
 from gentianwharf.store import Change, Item, Put, Store
 
-from ._messages import HostAddress
-from ._roster import Roster
+from ._membership import Membership
+from ._peer_messages import HostAddress
 from ._store_keys import HOSTS_KEY, LEADER_KEY
 
-WRITE_EVERY_S = 2.0
-"""Many hosts start together, and each write is told to all of them."""
+WRITE_INTERVAL_S = 2.0
+"""Minimum interval between writes: many hosts start together, and each write is sent to
+all of them."""
 
 
 @final
 class HostList:
-    """Writes the list while this host leads, and follows it; ``tick`` is due often."""
+    """Writes the list while this host leads; ``tick`` is called often."""
 
     def __init__(
         self,
         *,
         store: Store,
         leadership: Leadership,
-        roster: Roster,
+        membership: Membership,
         now_s: Callable[[], float],
     ) -> None:
         self._store = store
         self._leadership = leadership
-        self._roster = roster
+        self._membership = membership
         self._now_s = now_s
-        self._due_s = float("-inf")
+        self._next_write_s = float("-inf")
 
     def note_item(self, item: Item | None) -> None:
-        """Follow the list; one that can't be read counts as empty."""
+        """Apply the stored list; an unreadable list counts as empty."""
         hosts: list[HostAddress] = []
         if item is not None:
             try:
                 hosts = msgspec.json.decode(item.value, type=list[HostAddress])
             except msgspec.DecodeError as error:
                 log.warning(
-                    "the list of hosts can't be read: {}",
+                    "cannot decode the list of hosts: {}",
                     error,
                     extra={"peer": item.key, "revision": item.revision},
                 )
-        self._roster.note_listed(hosts)
+        self._membership.note_listed(hosts)
 
     def tick(self) -> None:
-        """Write the list where it is not what this leader knows."""
+        """Write the list if it differs from the leader's own membership."""
         now_s = self._now_s()
-        if now_s < self._due_s or not self._leadership.holds_lease():
+        if now_s < self._next_write_s or not self._leadership.holds_lease():
             return
-        self._due_s = now_s + WRITE_EVERY_S
-        if not self._roster.is_listed():
+        self._next_write_s = now_s + WRITE_INTERVAL_S
+        if not self._membership.is_list_current():
             Deferred.fromCoroutine(self._write()).addErrback(_log_fault)
 
     async def _write(self) -> None:
         term = self._leadership.term
         if term is None:
             return
-        value = msgspec.json.encode(self._roster.hosts())
+        value = msgspec.json.encode(self._membership.hosts())
         change = Change(
             expected={LEADER_KEY: term.revision},
             puts=(Put(key=HOSTS_KEY, value=value),),
@@ -81,4 +82,4 @@
 
 
 def _log_fault(failure: Failure) -> None:
-    log.error("writing the list of hosts failed: {}", failure.getTraceback())
+    log.error("error while writing the list of hosts: {}", failure.getTraceback())
--- a/src/gentianwharf/entryhost/_keys.py
+++ b/src/gentianwharf/entryhost/_keys.py
@@ -1,4 +1,4 @@
-"""The holder of each key, as requests ask for it."""
+"""Lookup of the server that holds a key."""
 
 from collections.abc import Callable
 from typing import Any, final
@@ -10,51 +10,51 @@
 from gentianwharf.runs import RunStatus
 from gentianwharf.topology import BackendServer
 
-ASK_AGAIN_S = 0.12
-"""After a holder refused a key as not its own. A move ends when the work on its keys
-has ended, within some tenths of a second; asked much more often, the refusals would use
-up the budget for repeated requests."""
+NOT_OWNER_BACKOFF_S = 0.12
+"""Delay after a holder refused a key with "not owner". A move ends when the work on its
+keys has ended, within some tenths of a second. With a much shorter delay the refusals
+would use up the retry budget."""
 
-MOVING_S = 0.25
-"""How long the leader's word that a move is done is waited for before the new holder is
-asked without it: most moves take less, and each one asked too early is refused."""
+MOVE_WAIT_S = 0.25
+"""Maximum wait for the leader's notice that a move is finished, before the new holder
+is tried without it. Most moves take less time, and each earlier attempt is refused."""
 
-MOST_WAIT_S = 0.4
-"""For a new holder of a lost server's keys. Beyond that its last grant has to run out,
-which takes seconds: callers should rather come back then."""
+MAX_WAIT_S = 0.4
+"""Maximum wait for a new holder of a lost server's keys. Beyond it the lost server's
+last grant has to expire, which takes seconds, and callers should retry later."""
 
 RETRY_AFTER_S = 0.6
-"""What a refused caller is told: the keys of a lost server are served again after some
-seconds, those that move after some tenths of one."""
+"""Retry time for refused callers: the keys of a lost server are served again after some
+seconds, those that move after some tenths of a second."""
 
 SpanKey = tuple[str, int, int]
-"""A span by its service, first shard and token."""
+"""A span, identified by its service, first shard and token."""
 
-ServerOf = Callable[[str], BackendServer | None]
+ServerLookup = Callable[[str], BackendServer | None]
 
 
 @final
 class KeyHolders:
-    """Finds the server that holds a request's shard, by the newest table."""
+    """Finds the server that holds a request's shard, according to the newest table."""
 
-    def __init__(self, *, server_of: ServerOf, reactor: Any) -> None:
+    def __init__(self, *, server_by_id: ServerLookup, reactor: Any) -> None:
         self.on_request: Callable[[str, int], None] = lambda service, shard: None
-        self._server_of = server_of
+        self._server_by_id = server_by_id
         self._reactor = reactor
         self._tables: dict[str, KeyTable] = {}
-        self._closed_until_s: dict[SpanKey, float] = {}
+        self._blocked_until_s: dict[SpanKey, float] = {}
         self._granted: set[SpanKey] = set()
         self._moving_since_s: dict[SpanKey, float] = {}
-        self.hears_leader: Callable[[], bool] = lambda: False
-        self._waiting: dict[str, list[Deferred[None]]] = {}
+        self.receives_updates: Callable[[], bool] = lambda: False
+        self._waiters: dict[str, list[Deferred[None]]] = {}
 
-    def take(self, table: KeyTable) -> None:
-        """Follow a table; requests that wait for it go on."""
+    def set_table(self, table: KeyTable) -> None:
+        """Apply a table, and resume the requests that wait for it."""
         self._tables[table.service] = table
-        live = {(table.service, one.first, one.token) for one in table.spans}
-        for key in list(self._closed_until_s):
+        live = {(table.service, span.first, span.token) for span in table.spans}
+        for key in list(self._blocked_until_s):
             if key[0] == table.service and key not in live:
-                del self._closed_until_s[key]
+                del self._blocked_until_s[key]
         self._granted = {
             key for key in self._granted if key[0] != table.service or key in live
         }
@@ -71,44 +71,44 @@
         }
         for key in moving - self._granted:
             self._moving_since_s.setdefault(key, now_s)
-            self._closed_until_s.setdefault(key, now_s + MOVING_S)
+            self._blocked_until_s.setdefault(key, now_s + MOVE_WAIT_S)
         self.wake(table.service)
 
-    def open(self, service: str, first: int, token: int) -> None:
-        """Let requests of a span go: its holder has just been granted it."""
+    def note_granted(self, service: str, first: int, token: int) -> None:
+        """Allow requests of a span whose holder has just received its grant."""
         key = (service, first, token)
         self._granted.add(key)
         self._moving_since_s.pop(key, None)
-        self._closed_until_s.pop(key, None)
+        self._blocked_until_s.pop(key, None)
         self.wake(service)
 
     def wake(self, service: str) -> None:
-        """Let the requests that wait for a holder look again."""
-        for waiting in self._waiting.pop(service, []):
-            waiting.callback(None)
+        """Resume the requests that wait for a holder."""
+        for waiter in self._waiters.pop(service, []):
+            waiter.callback(None)
 
     def has_table(self, service: str) -> bool:
-        """Whether the holders of a service's keys are known."""
+        """Whether the holders of a service's keys are available."""
         table = self._tables.get(service)
         return table is not None and bool(table.spans)
 
     async def owner(self, ticket: Ticket) -> Owner:
-        """Return the holder of the ticket's shard, waiting a bounded time for one."""
-        assert ticket.shard is not None, "only keyed requests ask for a holder"
+        """Return the holder of the ticket's shard, waiting a limited time for one."""
+        assert ticket.shard is not None, "only keyed requests have a holder"
         self.on_request(ticket.service, ticket.shard)
-        until_s = min(self._reactor.seconds() + MOST_WAIT_S, ticket.deadline_s)
+        deadline_s = min(self._reactor.seconds() + MAX_WAIT_S, ticket.deadline_s)
         while True:
             span = self._span(ticket)
-            server = self._server_of(span.holder.server_id) if span else None
+            server = self._server_by_id(span.holder.server_id) if span else None
             now_s = self._reactor.seconds()
-            wait_s = MOST_WAIT_S
+            wait_s = MAX_WAIT_S
             if span is not None and server is not None:
-                wait_s = self._closed_s(ticket.service, span, now_s)
+                wait_s = self._blocked_s(ticket.service, span, now_s)
                 if wait_s <= 0:
                     return _owner(ticket, server, span)
-            if now_s >= until_s or self._is_long_moving(ticket.service, span, now_s):
+            if now_s >= deadline_s or self._is_slow_move(ticket.service, span, now_s):
                 raise _no_holder(ticket)
-            await self._wait(ticket.service, min(wait_s, until_s - now_s))
+            await self._wait(ticket.service, min(wait_s, deadline_s - now_s))
 
     def _span(self, ticket: Ticket) -> Span | None:
         table = self._tables.get(ticket.service)
@@ -116,53 +116,54 @@
             return None
         return table.span_of(ticket.shard)
 
-    def _is_long_moving(self, service: str, span: Span | None, now_s: float) -> bool:
-        """Whether a span waits for a lost holder's grant to run out.
+    def _is_slow_move(self, service: str, span: Span | None, now_s: float) -> bool:
+        """Whether a span waits for the expiry of a lost holder's grant.
 
-        Most moves are done within ``MOVING_S``; one that is not takes seconds, and the
-        leader will tell when it is done. Until then callers had better come back.
+        Most moves finish within ``MOVE_WAIT_S``. A longer one takes seconds, and the
+        leader sends a notice when it is finished; until then callers should retry
+        later.
         """
-        if span is None or not self.hears_leader():
+        if span is None or not self.receives_updates():
             return False
         since_s = self._moving_since_s.get((service, span.first, span.token))
-        return since_s is not None and now_s > since_s + MOVING_S
+        return since_s is not None and now_s > since_s + MOVE_WAIT_S
 
     def report_not_owner(self, ticket: Ticket, owner: Owner) -> None:
-        """Ask no more for a while: the holder does not have its grant yet."""
+        """Block the span briefly: the holder has not received its grant yet."""
         table = self._tables.get(ticket.service)
         span = table.span_of(owner.shard) if table is not None else None
         if span is None or span.token != owner.token:
             return
         key = (ticket.service, span.first, span.token)
-        self._closed_until_s[key] = self._reactor.seconds() + ASK_AGAIN_S
+        self._blocked_until_s[key] = self._reactor.seconds() + NOT_OWNER_BACKOFF_S
 
-    def _closed_s(self, service: str, span: Span, now_s: float) -> float:
+    def _blocked_s(self, service: str, span: Span, now_s: float) -> float:
         key = (service, span.first, span.token)
-        return self._closed_until_s.get(key, now_s) - now_s
+        return self._blocked_until_s.get(key, now_s) - now_s
 
-    async def _wait(self, service: str, longest_s: float) -> None:
-        waiting: Deferred[None] = Deferred(lambda _: None)
-        self._waiting.setdefault(service, []).append(waiting)
-        timer = self._reactor.callLater(longest_s, self._end_wait, service, waiting)
+    async def _wait(self, service: str, timeout_s: float) -> None:
+        waiter: Deferred[None] = Deferred(lambda _: None)
+        self._waiters.setdefault(service, []).append(waiter)
+        timer = self._reactor.callLater(timeout_s, self._end_wait, service, waiter)
         try:
-            await waiting
+            await waiter
         finally:
             if timer.active():
                 timer.cancel()
-            self._drop(service, waiting)
+            self._remove_waiter(service, waiter)
 
-    def _end_wait(self, service: str, waiting: "Deferred[None]") -> None:
-        self._drop(service, waiting)
-        waiting.callback(None)
+    def _end_wait(self, service: str, waiter: "Deferred[None]") -> None:
+        self._remove_waiter(service, waiter)
+        waiter.callback(None)
 
-    def _drop(self, service: str, waiting: "Deferred[None]") -> None:
-        others = self._waiting.get(service, [])
-        if waiting in others:
-            others.remove(waiting)
+    def _remove_waiter(self, service: str, waiter: "Deferred[None]") -> None:
+        waiters = self._waiters.get(service, [])
+        if waiter in waiters:
+            waiters.remove(waiter)
 
 
 def _owner(ticket: Ticket, server: BackendServer, span: Span) -> Owner:
-    assert ticket.shard is not None, "only keyed requests ask for a holder"
+    assert ticket.shard is not None, "only keyed requests have a holder"
     return Owner(
         server=server,
         shard=ticket.shard,
--- a/src/gentianwharf/entryhost/_main.py
+++ b/src/gentianwharf/entryhost/_main.py
@@ -1,4 +1,4 @@
-"""The process of an entry host, from its settings to its end."""
+"""The process of an entry host, from reading its settings to shutdown."""
 
 import gc
 import os
@@ -27,10 +27,11 @@
 ) -> None:
     """Serve until SIGTERM.
 
-    ``callers_port`` is a listener on the callers' address, if there is one already.
+    ``callers_port`` is a socket that already listens on the callers' address, if there
+    is one.
 
-    ``early_reloads`` grows with each SIGHUP that came before the settings were read;
-    one of them may have come just after.
+    ``early_reloads`` receives an entry for each SIGHUP before the settings were read;
+    another one may have arrived just afterwards.
     """
     use_monotonic_time(reactor)
     log_writer = logs.BoundedWriter(
@@ -44,14 +45,14 @@
         logs.log.error("not started: {}", error)
         sys.exit(EXIT_USAGE)
     host = EntryHost(settings=settings, reactor=reactor, callers_port=callers_port)
-    host.metrics.add(
+    host.metrics.add_gauge(
         "log_lines_dropped", "Lines that the log left out", lambda: log_writer.dropped
     )
     host.on_end = cast(Any, reactor).stop
     host.start()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: _ask_to_stop(host))
-    signal.signal(signal.SIGHUP, lambda *_: _ask_to_reload(host, path))
+        signal.signal(number, lambda *_: _request_stop(host))
+    signal.signal(signal.SIGHUP, lambda *_: _request_reload(host, path))
     if early_reloads:
         reload_settings(host, path)
     freeze_objects()
@@ -60,17 +61,17 @@
 
 
 def reload_settings(host: EntryHost, path: Path) -> None:
-    """Read the settings again; those that don't fit change nothing."""
+    """Reload the settings; invalid ones are logged and change nothing."""
     try:
-        host.take_settings(read_host_settings(path))
+        host.apply_settings(read_host_settings(path))
     except InputError as error:
-        logs.log.error("settings not taken: {}", error)
+        logs.log.error("settings not applied: {}", error)
 
 
-def _ask_to_reload(host: EntryHost, path: Path) -> None:
+def _request_reload(host: EntryHost, path: Path) -> None:
     cast(Any, reactor).callFromThread(reload_settings, host, path)
 
 
-def _ask_to_stop(host: EntryHost) -> None:
-    # A signal may come in the middle of anything: the loop takes it up.
+def _request_stop(host: EntryHost) -> None:
+    # A signal handler may interrupt any code; the reactor runs the call in its loop.
     cast(Any, reactor).callFromThread(host.shutdown.request_stop)
--- a/src/gentianwharf/platform/_store.py
+++ b/src/gentianwharf/platform/_store.py
@@ -125,7 +125,7 @@
             reactor=reactor,
             pool=pool,
             connect_timeout_s=CONNECT_TIMEOUT_S,
-            wrap=_KeepaliveEndpoint,
+            wrap_endpoint=_KeepaliveEndpoint,
         )
 
     async def items(self, prefix: str) -> Page:
--- a/tests/test_entryhost_peers.py
+++ b/tests/test_entryhost_peers.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other: reports to the leader, and its news to all."""
+"""Messages between hosts: reports to the leader, and its updates to all hosts."""
 
 from random import Random
 
@@ -6,12 +6,12 @@
 import pytest
 from twisted.internet.task import Clock
 
-from gentianwharf.entryhost._messages import HostAddress, Report
-from gentianwharf.entryhost._peers import FED_S
+from gentianwharf.entryhost._peer_messages import HostAddress, Report
+from gentianwharf.entryhost._peers import CHANGES_VALID_S
 from gentianwharf.keyspace import Span
 from gentianwharf.store import Events, Removal
 from tests.builders_keyspace import span
-from tests.builders_peers import TICK_S, Trio, host_of, leader_item, make_trio
+from tests.builders_peers import TICK_S, Trio, leader_item, make_host, make_trio
 from tests.builders_store import LinkNet, UplinkNet, events, item
 
 
@@ -22,161 +22,166 @@
     return make_trio(monkeypatch, clock, LinkNet())
 
 
-def test_changes_are_told_as_the_watch_brought_them(trio: Trio) -> None:
+def test_changes_are_sent_as_the_watch_returned_them(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
-    brought = events(12, item("a", 11, b"1"), Removal(key="b", revision=12))
-    leader.peers.tell_events(10, brought)
-    assert follower.events[-1] == (10, brought)
-    assert follower.peers.is_fed()
-    assert not leader.peers.is_fed(), "the leader watches"
+    returned = events(12, item("a", 11, b"1"), Removal(key="b", revision=12))
+    leader.peers.broadcast_events(10, returned)
+    assert follower.events[-1] == (10, returned)
+    assert follower.peers.receives_changes()
+    assert not leader.peers.receives_changes(), "the leader has its own watch"
 
 
-def test_all_know_how_many_hosts_there_are(trio: Trio) -> None:
-    assert [one.hosts for one in trio.hosts] == [3, 3, 3]
+def test_all_hosts_receive_the_number_of_hosts(trio: Trio) -> None:
+    assert [host.host_count for host in trio.hosts] == [3, 3, 3]
 
 
-def test_news_at_rest_tell_up_to_where_nothing_changed(trio: Trio) -> None:
+def test_update_without_changes_carries_the_current_revision(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     leader.revision = 17
     trio.run(1)
     assert follower.events[-1] == (17, Events(changes=(), revision=17))
 
 
-def test_a_silent_leader_feeds_nobody(trio: Trio) -> None:
-    # The leader is lost or frozen: its lease runs on for a second, and until somebody
-    # else leads nobody tells what changes in the store.
+def test_silent_leader_counts_as_sending_no_changes(trio: Trio) -> None:
+    # A leader that is lost or frozen keeps its lease for another second, in which no
+    # host sends the changes of the store.
     _, follower, _ = trio.hosts
-    trio.net.cut.add(follower.peers.name.address)
-    trio.run(FED_S + 2 * TICK_S)
-    assert not follower.peers.is_fed()
+    trio.net.cut.add(follower.peers.identity.address)
+    trio.run(CHANGES_VALID_S + 2 * TICK_S)
+    assert not follower.peers.receives_changes()
 
 
-def test_a_leader_that_does_not_hear_the_store_feeds_nobody(trio: Trio) -> None:
-    # A cut between the leader and the store, but not between it and the others: they
-    # would go on by rules that the operators have changed.
+def test_leader_without_the_store_counts_as_sending_no_changes(trio: Trio) -> None:
+    # The leader is cut off from the store but not from the other hosts, which would
+    # keep rules that operators have changed.
     leader, follower, _ = trio.hosts
     leader.revision = None
     trio.run(1)
-    assert not follower.peers.is_fed()
-    assert follower.peers.hears_leader(), "what it says of moves still holds"
+    assert not follower.peers.receives_changes()
+    assert follower.peers.receives_updates(), "notices of moves still arrive"
 
 
-def test_a_leader_that_resigns_says_so(trio: Trio) -> None:
-    # Nobody would see the leader's place empty until its silence is noticed, a second
-    # in which no grant is renewed.
+def test_resigning_leader_sends_a_last_update(trio: Trio) -> None:
+    # Without the last update, hosts would notice the missing leader a second later, and
+    # no grant would be renewed in that time.
     leader, follower, _ = trio.hosts
     leader.revision = None
-    leader.peers.cease_to_lead()
-    assert not follower.peers.is_fed()
+    leader.peers.stop_leading()
+    assert not follower.peers.receives_changes()
 
 
-def test_news_of_a_former_leader_count_for_nothing(trio: Trio) -> None:
-    # It was frozen while another host took its place, and wakes with old news.
+def test_update_of_a_previous_leader_is_ignored(trio: Trio) -> None:
+    # The previous leader was frozen while another host replaced it, and then continues
+    # with outdated updates.
     leader, follower, other = trio.hosts
     follower.peers.follow(leader_item(other))
-    told = len(follower.events)
-    leader.peers.tell_events(10, events(12, item("a", 11)))
-    assert len(follower.events) == told
-    assert not follower.peers.is_fed()
+    event_count = len(follower.events)
+    leader.peers.broadcast_events(10, events(12, item("a", 11)))
+    assert len(follower.events) == event_count
+    assert not follower.peers.receives_changes()
 
 
-def test_moves_that_are_done_are_told(trio: Trio) -> None:
+def test_finished_moves_are_sent(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     moved: Span = span(3, 9, 1, token=7, former_holders=(2,))
-    leader.peers.tell_granted("roster", moved)
+    leader.peers.broadcast_grant("roster", moved)
     assert follower.granted == [("roster", 3, 9, 7)]
 
 
-def test_moves_that_end_close_together_are_told_together(trio: Trio) -> None:
-    """A new leader of 85 servers told 86 hosts of 300 spans one by one.
+def test_moves_that_finish_close_together_share_a_message(trio: Trio) -> None:
+    """Guards against one message per span when a leader starts.
 
-    Its link and its processor were full for seconds, it could renew neither its lease
-    nor the grants, and the next leader did the same.
+    A new leader of 85 servers sent 300 grants to 86 hosts one by one. This used its
+    whole link and processor for seconds, so that it could renew neither its lease nor
+    the grants, and the next leader failed in the same way.
     """
     leader, follower, _ = trio.hosts
     messages: list[int] = []
-    listener = trio.net.listeners[follower.peers.name.address]
+    listener = trio.net.listeners[follower.peers.identity.address]
 
     def count(data: bytes) -> None:
         messages.append(len(data))
         listener(data)
 
-    trio.net.listeners[follower.peers.name.address] = count
+    trio.net.listeners[follower.peers.identity.address] = count
     for first in range(300):
         moved = span(first, first, 1, token=7, former_holders=(2,))
-        leader.peers.tell_granted("roster", moved)
+        leader.peers.broadcast_grant("roster", moved)
     trio.run(0.2)
     assert len(follower.granted) == 300
     assert len(messages) <= 4
 
 
-def test_spans_that_did_not_move_are_not_told(trio: Trio) -> None:
+def test_grants_of_unmoved_spans_are_not_sent(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
-    leader.peers.tell_granted("roster", span(3, 9, 1, token=7))
+    leader.peers.broadcast_grant("roster", span(3, 9, 1, token=7))
     trio.run(0.2)
     assert follower.granted == []
 
 
 def test_requests_are_reported(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
-    follower.peers.seen.note_request("roster", 4)
-    follower.peers.seen.note_request("roster", 4)
+    follower.peers.observed.note_request("roster", 4)
+    follower.peers.observed.note_request("roster", 4)
     trio.run(0.5)
     assert leader.requests == [("roster", {4: 2})]
 
 
-def test_a_leader_whose_watch_has_no_answer_feeds_nobody(trio: Trio) -> None:
-    """The store leaves the leader's watch without an answer and takes its other calls.
+def test_leader_with_an_unanswered_watch_counts_as_sending_no_changes(
+    trio: Trio,
+) -> None:
+    """Guards against work sent to a leaving server while the leader lacks changes.
 
-    A server leaves meanwhile. Nobody is told of it, and work goes on to a server that
-    is about to end.
+    The store does not answer the leader's watch but answers its other calls, so that
+    the other hosts do not receive the change of the server's state.
     """
     leader, follower, _ = trio.hosts
-    leader.age_s = FED_S - 0.3
+    leader.age_s = CHANGES_VALID_S - 0.3
     trio.run(0.45)
-    leader.age_s = FED_S + 0.1
+    leader.age_s = CHANGES_VALID_S + 0.1
     trio.run(0.45)
-    assert not follower.peers.is_fed()
+    assert not follower.peers.receives_changes()
 
 
-def test_large_values_are_told_by_what_changed_in_them(trio: Trio) -> None:
-    """Tables of 15 kB for 86 hosts fill a link of 5 Mbit/s for two seconds.
+def test_large_values_are_sent_as_deltas(trio: Trio) -> None:
+    """Guards against complete tables that fill the leader's link.
 
-    What else the leader tells, a server that leaves, waits behind them.
+    Tables of 15 kB for 86 hosts take two seconds on a link of 5 Mbit/s, and other
+    updates, such as a leaving server, queue behind them.
     """
     leader, follower, _ = trio.hosts
     first = item("t", 11, bytes(range(256)) * 40)
     second = item("t", 12, first.value[:500] + b"changed" + first.value[507:])
     sizes: list[int] = []
-    listener = trio.net.listeners[follower.peers.name.address]
+    listener = trio.net.listeners[follower.peers.identity.address]
 
     def measure(data: bytes) -> None:
         sizes.append(len(data))
         listener(data)
 
-    trio.net.listeners[follower.peers.name.address] = measure
-    leader.peers.tell_events(10, events(11, first))
+    trio.net.listeners[follower.peers.identity.address] = measure
+    leader.peers.broadcast_events(10, events(11, first))
     follower.items["t"] = first
-    leader.peers.tell_events(11, events(12, second))
+    leader.peers.broadcast_events(11, events(12, second))
     assert follower.events[-1] == (11, events(12, second))
     assert sizes[-1] < 200
 
 
-def test_change_of_a_value_that_a_host_lacks_is_fetched(trio: Trio) -> None:
+def test_change_without_its_base_is_fetched(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
-    leader.peers.tell_events(10, events(11, item("t", 11, large)))
-    leader.peers.tell_events(11, events(12, item("t", 12, large + b"more")))
+    leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
+    leader.peers.broadcast_events(11, events(12, item("t", 12, large + b"more")))
     assert follower.events[-1] == (12, Events(changes=(), revision=12))
 
 
-def test_next_leader_tells_whole_values_first(trio: Trio) -> None:
+def test_next_leader_sends_complete_values_first(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
-    leader.peers.tell_events(10, events(11, item("t", 11, large)))
-    leader.peers.cease_to_lead()
-    leader.peers.begin_to_lead(5)
-    leader.peers.tell_events(11, events(12, item("t", 12, large + b"more")))
+    leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
+    leader.peers.stop_leading()
+    leader.peers.start_leading(5)
+    leader.peers.broadcast_events(11, events(12, item("t", 12, large + b"more")))
     assert follower.events[-1] == (11, events(12, item("t", 12, large + b"more")))
 
 
@@ -184,39 +189,41 @@
     return Random(1).randbytes(size)
 
 
-def test_change_that_is_too_large_to_be_told_is_fetched_at_once(trio: Trio) -> None:
-    """Hosts learn of new rules up to 0.4 s later than they could.
+def test_change_too_large_to_send_is_fetched_at_once(trio: Trio) -> None:
+    """Guards against rules that arrive up to 0.4 s late.
 
-    The rules' message is larger than a host takes; it is dropped and the link made
-    anew. The news at rest are the first to tell that there was one.
+    A message above the receivers' limit is dropped and the link is opened again. Hosts
+    then learned of the change from the next update without changes.
     """
     leader, follower, _ = trio.hosts
     large = events(12, item("rules", 12, random_bytes(1_040_000)))
-    leader.peers.tell_events(10, large)
+    leader.peers.broadcast_events(10, large)
     assert follower.events[-1] == (12, Events(changes=(), revision=12))
 
 
-def test_change_that_no_host_would_read_is_fetched_however_fast_the_link(
+def test_change_above_the_message_limit_is_fetched_on_any_link(
     trio: Trio,
 ) -> None:
-    """A leader with a fast link sent what is larger than a host takes."""
+    """Guards against a leader with a fast link that exceeds the message limit."""
     former, follower, _ = trio.hosts
-    leader = host_of(trio.clock, 0, link_bytes_per_s=125_000_000)
-    leader.peers.roster.note_listed([HostAddress("h1", follower.peers.name.address)])
-    leader.peers.begin_to_lead(7)
+    leader = make_host(trio.clock, 0, link_bytes_per_s=125_000_000)
+    leader.peers.membership.note_listed(
+        [HostAddress("h1", follower.peers.identity.address)]
+    )
+    leader.peers.start_leading(7)
     large = events(12, item("rules", 12, random_bytes(1_040_000)))
-    leader.peers.tell_events(10, large)
+    leader.peers.broadcast_events(10, large)
     assert follower.events[-1] == (12, Events(changes=(), revision=12))
 
 
-def test_large_change_does_not_hold_up_what_is_told_after_it(
+def test_large_change_does_not_delay_later_updates(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Callers are sent to a server that said seconds ago that it leaves.
+    """Guards against requests sent to a server that announced its leaving before.
 
-    86 hosts are told of 3,500 new rules, 5 MB over the leader's link of 5 Mbit/s. What
-    it tells next waits behind them, and takes the age that it had at its sending: so
-    hosts think that they know all, and don't watch the store.
+    86 hosts are sent 3,500 new rules, 5 MB over the leader's link of 5 Mbit/s. Later
+    updates queue behind them for seconds, and carry the age of the state at the time of
+    sending: hosts take themselves to be up to date and do not watch the store.
     """
     clock = Clock()
     clock.advance(100)
@@ -226,51 +233,53 @@
     others = [
         Report(f"other{number}", f"10.0.1.{number}:90", {}, {}) for number in range(83)
     ]
-    for one in others:
-        net.listeners[one.address] = lambda data: None
-        net.listeners[leader.peers.name.address](msgspec.msgpack.encode(one))
+    for report in others:
+        net.listeners[report.address] = lambda data: None
+        net.listeners[leader.peers.identity.address](msgspec.msgpack.encode(report))
     leader.revision = 12
-    leader.peers.tell_events(10, events(12, item("rules", 12, random_bytes(60_000))))
+    leader.peers.broadcast_events(
+        10, events(12, item("rules", 12, random_bytes(60_000)))
+    )
     leader.revision = 13
-    leader.peers.tell_events(12, events(13, item("servers/i-1", 13, b"leaving")))
+    leader.peers.broadcast_events(12, events(13, item("servers/i-1", 13, b"leaving")))
     trio.run(1)
     assert follower.events[-1][1].revision == 13
 
 
-def test_change_that_a_host_has_already_needs_no_former_value(trio: Trio) -> None:
-    """A host pays for a watch, and is late with all that came in the same message.
+def test_change_that_a_host_already_has_needs_no_base(trio: Trio) -> None:
+    """Guards against a needless watch, and a delay of all changes in the same update.
 
-    Its own watch brought the table's change before the leader told it. The change is
-    told against the value of before, which the host no longer has.
+    The host's own watch returned the change of the table before the leader's update.
+    The update's change is a delta against the former value, which the host has
+    replaced.
     """
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
-    leader.peers.tell_events(10, events(11, item("t", 11, large)))
-    brought = events(13, item("t", 12, large + b"more"), item("a", 13, b"1"))
+    leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
+    returned = events(13, item("t", 12, large + b"more"), item("a", 13, b"1"))
     follower.items["t"] = item("t", 12, large + b"more")
-    leader.peers.tell_events(11, brought)
-    assert follower.events[-1] == (11, brought)
+    leader.peers.broadcast_events(11, returned)
+    assert follower.events[-1] == (11, returned)
 
 
-def test_change_older_than_what_a_host_has_brings_nothing_back(trio: Trio) -> None:
+def test_older_change_does_not_replace_a_newer_value(trio: Trio) -> None:
     leader, follower, _ = trio.hosts
     large = bytes(range(256)) * 40
-    leader.peers.tell_events(10, events(11, item("t", 11, large)))
+    leader.peers.broadcast_events(10, events(11, item("t", 11, large)))
     newest = item("t", 14, large + b"newest")
     follower.items["t"] = newest
-    leader.peers.tell_events(11, events(12, item("t", 12, large + b"more")))
+    leader.peers.broadcast_events(11, events(12, item("t", 12, large + b"more")))
     assert follower.events[-1] == (11, events(12, newest))
 
 
-def test_news_of_a_release_that_packs_otherwise_are_not_read(trio: Trio) -> None:
-    """During an update of the hosts some take garbage for the newest rules.
+def test_update_in_another_format_is_not_decoded(trio: Trio) -> None:
+    """Guards against misreading updates while hosts are upgraded.
 
-    A leader of another release tells what changed in a value in another form. It must
-    not be read as one that this release knows: a host that can't read its leader's news
-    watches the store.
+    A leader of another release encodes deltas in another format. A host that cannot
+    decode an update watches the store instead.
     """
     _, follower, _ = trio.hosts
-    known = list(follower.events)
+    events_before = list(follower.events)
     former = ["news", "h0", 3, [], 0.1, 10, 11, [["t", 11, b"x", 0, 0]]]
-    trio.net.listeners[follower.peers.name.address](msgspec.msgpack.encode(former))
-    assert follower.events == known
+    trio.net.listeners[follower.peers.identity.address](msgspec.msgpack.encode(former))
+    assert follower.events == events_before
