--- a/src/gentianwharf/cli/__init__.py
+++ b/src/gentianwharf/cli/__init__.py
@@ -1,6 +1,6 @@
 """The operator's tool ``gentianwharf``."""
 
 from ._app import main
-from ._exits import Exit
+from ._exit_codes import ExitCode
 
-__all__ = ["Exit", "main"]
+__all__ = ["ExitCode", "main"]
--- a/src/gentianwharf/cli/_app.py
+++ b/src/gentianwharf/cli/_app.py
@@ -13,7 +13,7 @@
 from gentianwharf.errors import InputError
 
 from . import _apply, _decisions, _everywhere, _files, _fleet, _logs, _rules, _status
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._session import Common, run, terminal
 
 Flag = Annotated[bool, Parameter(negative="")]
@@ -99,13 +99,13 @@
     app.command(_part)
 
 
-def _locally(work: Callable[[], Exit]) -> int:
+def _locally(work: Callable[[], ExitCode]) -> int:
     """Run what needs no daemon; a mistake in a file is refused."""
     try:
         return work()
     except InputError as error:
         terminal().problem(str(error))
-        return Exit.REFUSED
+        return ExitCode.REFUSED
 
 
 @settings_app.command(name="check")
@@ -185,7 +185,7 @@
         headers = _rules.parse_headers(header)
     except InputError as error:
         terminal().problem(error.message)
-        return Exit.USAGE
+        return ExitCode.USAGE
     bare_path, _, written_query = path.partition("?")
     request = {
         "method": method,
@@ -227,7 +227,7 @@
     """Give a key an entry of its own on a server, or take it away with --off."""
     if (server is None) != off:
         terminal().problem("keys pin: expected either a server or --off")
-        return Exit.USAGE
+        return ExitCode.USAGE
     return run(common, partial(_fleet.pin_key, service=service, key=key, server=server))
 
 
@@ -300,9 +300,9 @@
     try:
         code = app(tokens, exit_on_error=False, result_action="return_value")
     except CycloptsError:
-        sys.exit(Exit.USAGE)
+        sys.exit(ExitCode.USAGE)
     except Exception:
         # Python's own exit code would be 1, which says that nothing took effect.
         traceback.print_exc()
-        sys.exit(Exit.FAULT)
-    sys.exit(code if isinstance(code, int) else Exit.DONE)
+        sys.exit(ExitCode.FAULT)
+    sys.exit(code if isinstance(code, int) else ExitCode.DONE)
--- a/src/gentianwharf/cli/_apply.py
+++ b/src/gentianwharf/cli/_apply.py
@@ -11,7 +11,7 @@
 
 from ._client import AdminClient, ProblemError
 from ._everywhere import wait_everywhere
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._rules import changes_against, print_changes
 from ._terminal import Terminal
 
@@ -29,7 +29,7 @@
     edited_from: int | None,
     without_asking: bool,
     wait_s: int,
-) -> Exit:
+) -> ExitCode:
     """Put a rule file in force, unless another operator was faster.
 
     Then wait up to ``wait_s`` until every listed host matches with it; 0 for no wait.
@@ -40,7 +40,7 @@
         revision = await _confirmed_revision(client, shown, file, without_asking)
     if revision is None:
         shown.problem("nothing was applied")
-        return Exit.REFUSED
+        return ExitCode.REFUSED
     try:
         applied = await _put(client, document, revision)
     except ProblemError as error:
@@ -48,14 +48,14 @@
         if conflict is None:
             raise
         _print_conflict(conflict, shown)
-        return Exit.CONFLICT
+        return ExitCode.CONFLICT
     everywhere = None
     if wait_s:
         revision = applied["version"]["revision"]
         everywhere = await wait_everywhere(client, revision=revision, wait_s=wait_s)
         applied["in_force"] = everywhere.found
     _print_applied(applied, shown)
-    return Exit.DONE if everywhere is None else everywhere.tell(shown)
+    return ExitCode.DONE if everywhere is None else everywhere.tell(shown)
 
 
 def _written_revision(file: Path) -> int | None:
--- a/src/gentianwharf/cli/_decisions.py
+++ b/src/gentianwharf/cli/_decisions.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ._client import AdminClient
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._terminal import Terminal
 
 
@@ -14,7 +14,7 @@
     request_id: str | None,
     refused: bool,
     most: int,
-) -> Exit:
+) -> ExitCode:
     """Print the asked daemon's kept decisions, or any host's on one request."""
     found = await client.get(
         "decisions",
@@ -30,16 +30,16 @@
     else:
         shown.note("no such decision is kept")
     if kept or request_id is None:
-        return Exit.DONE
+        return ExitCode.DONE
     for host, reason in found["silent"].items():
         shown.problem(f"{host} could not be asked: {reason}")
     if found["silent"]:
-        return Exit.INCOMPLETE
+        return ExitCode.INCOMPLETE
     shown.problem(
         f"no listed host keeps a decision on {request_id}: it was served and not"
         " sampled, or its host was replaced; see docs/OPERATIONS.md, Decisions"
     )
-    return Exit.REFUSED
+    return ExitCode.REFUSED
 
 
 def _print(kept: list[dict[str, Any]], shown: Terminal) -> None:
--- a/src/gentianwharf/cli/_everywhere.py
+++ b/src/gentianwharf/cli/_everywhere.py
@@ -7,20 +7,20 @@
 from gentianwharf.errors import GentianwharfError
 
 from ._client import READ_TIMEOUT_S, AdminClient
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._terminal import Terminal
 
 IN_FORCE = RulesAtHost.IN_FORCE.value
 
 
-async def status(client: AdminClient, shown: Terminal) -> Exit:
+async def status(client: AdminClient, shown: Terminal) -> ExitCode:
     """Print which revision each listed host has in force."""
     found = await client.get("rules", "hosts")
     if shown.as_json:
         shown.json(found)
     else:
         _print_hosts(found, shown)
-    return Exit.DONE if found["everywhere"] else Exit.INCOMPLETE
+    return ExitCode.DONE if found["everywhere"] else ExitCode.INCOMPLETE
 
 
 def _print_hosts(found: dict[str, Any], shown: Terminal) -> None:
@@ -48,26 +48,26 @@
     found: dict[str, Any] | None
     problem: str = ""
 
-    def tell(self, shown: Terminal) -> Exit:
+    def tell(self, shown: Terminal) -> ExitCode:
         """Print the outcome for people; return the exit code."""
         if self.found is None:
             shown.problem(
                 f"the rules are applied, but where they are in force is not known:"
                 f" {self.problem}. Ask another daemon: `gentianwharf rules status`"
             )
-            return Exit.INCOMPLETE
+            return ExitCode.INCOMPLETE
         hosts = self.found["hosts"]
         late = [one for one in hosts if one["standing"] != IN_FORCE]
         shown.note(f"in force on {len(hosts) - len(late)} of {len(hosts)} listed hosts")
         if not late:
-            return Exit.DONE
+            return ExitCode.DONE
         for one in late:
             shown.problem(f"not yet in force on {_late(one)}")
         shown.problem(
             "the rules are applied and reach these hosts as soon as they can be"
             " reached; see `gentianwharf rules status`"
         )
-        return Exit.INCOMPLETE
+        return ExitCode.INCOMPLETE
 
 
 def _late(one: dict[str, Any]) -> str:
--- a/src/gentianwharf/cli/_exits.py
+++ b/src/gentianwharf/cli/_exit_codes.py
@@ -10,7 +10,7 @@
 )
 
 
-class Exit(IntEnum):
+class ExitCode(IntEnum):
     """What a script can tell from the exit code.
 
     ``UNREACHABLE`` also stands for a change whose outcome could not be learned; the
@@ -29,10 +29,10 @@
     FAULT = 70
 
 
-def exit_of(error: GentianwharfError) -> Exit:
+def exit_code_of(error: GentianwharfError) -> ExitCode:
     """Return the exit code for ``error``."""
     if isinstance(error, (PeerUnavailableError, OutcomeUnknownError)):
-        return Exit.UNREACHABLE
+        return ExitCode.UNREACHABLE
     if isinstance(error, ConflictError):
-        return Exit.CONFLICT
-    return Exit.REFUSED
+        return ExitCode.CONFLICT
+    return ExitCode.REFUSED
--- a/src/gentianwharf/cli/_files.py
+++ b/src/gentianwharf/cli/_files.py
@@ -12,11 +12,11 @@
     rule_scope_of,
 )
 
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._terminal import Terminal
 
 
-def check_settings(file: Path, shown: Terminal) -> Exit:
+def check_settings(file: Path, shown: Terminal) -> ExitCode:
     """Check a settings file, and against it the rule file that it names."""
     try:
         settings = load_settings(file)
@@ -25,18 +25,18 @@
         if not shown.as_json:
             raise
         shown.json({"file": str(file), "mistakes": error.message.splitlines()})
-        return Exit.REFUSED
+        return ExitCode.REFUSED
     if shown.as_json:
         shown.json({"file": str(file), "mistakes": []})
-        return Exit.DONE
+        return ExitCode.DONE
     shown.line(
         f"{file}: {len(settings.services)} services in {len(settings.domains)}"
         " failure domains, no mistakes"
     )
-    return Exit.DONE
+    return ExitCode.DONE
 
 
-def check_rules(rules: Path, settings: Path, shown: Terminal) -> Exit:
+def check_rules(rules: Path, settings: Path, shown: Terminal) -> ExitCode:
     """Check a rule file against a settings file, without a daemon."""
     scope = rule_scope_of(load_settings(settings))
     document, lines = load_rules_with_lines(rules)
@@ -62,4 +62,4 @@
             shown.line(f"{rules}: line {line_of_finding(one, lines)}: {one}")
         verdict = "refused" if refused else "can be applied"
         shown.line(f"{rules}: {len(document.rules)} rules, {verdict}")
-    return Exit.REFUSED if refused else Exit.DONE
+    return ExitCode.REFUSED if refused else ExitCode.DONE
--- a/src/gentianwharf/cli/_fleet.py
+++ b/src/gentianwharf/cli/_fleet.py
@@ -3,25 +3,25 @@
 from typing import Any
 
 from ._client import AdminClient
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._terminal import Terminal
 
 
 async def key_owner(
     client: AdminClient, shown: Terminal, *, service: str, key: str
-) -> Exit:
+) -> ExitCode:
     """Print who owns a key."""
     _print_owner(await client.get("keys", service, "owner", key=key), shown)
-    return Exit.DONE
+    return ExitCode.DONE
 
 
 async def move_key(
     client: AdminClient, shown: Terminal, *, service: str, key: str, server: str
-) -> Exit:
+) -> ExitCode:
     """Begin to move a key's shard."""
     body = {"key": key, "server": server}
     _print_owner(await client.send("POST", "keys", service, "move", body=body), shown)
-    return Exit.DONE
+    return ExitCode.DONE
 
 
 async def pin_key(
@@ -31,11 +31,11 @@
     service: str,
     key: str,
     server: str | None,
-) -> Exit:
+) -> ExitCode:
     """Give a key an entry of its own, or take it away."""
     body = {"key": key, "server": server}
     _print_owner(await client.send("POST", "keys", service, "pin", body=body), shown)
-    return Exit.DONE
+    return ExitCode.DONE
 
 
 def _print_owner(owner: dict[str, Any], shown: Terminal) -> None:
@@ -52,7 +52,7 @@
 
 async def list_servers(
     client: AdminClient, shown: Terminal, *, service: str | None
-) -> Exit:
+) -> ExitCode:
     """Print the backend servers."""
     servers = [
         one
@@ -61,7 +61,7 @@
     ]
     if shown.as_json:
         shown.json(servers)
-        return Exit.DONE
+        return ExitCode.DONE
     columns = ["id", "service", "domain", "site", "address", "state", "shards"]
     shown.table(
         [*columns, "busy", "slots", "load"],
@@ -71,33 +71,35 @@
             for one in servers
         ],
     )
-    return Exit.DONE
+    return ExitCode.DONE
 
 
-async def drain_server(client: AdminClient, shown: Terminal, *, server: str) -> Exit:
+async def drain_server(
+    client: AdminClient, shown: Terminal, *, server: str
+) -> ExitCode:
     """Give a server no new work and move its shards away."""
     status = await client.send("POST", "servers", server, "drain", body={})
     if shown.as_json:
         shown.json(status)
-        return Exit.DONE
+        return ExitCode.DONE
     shown.line(f"{server} gets no new work; {status['shards']} shards have to move")
-    return Exit.DONE
+    return ExitCode.DONE
 
 
-async def list_hosts(client: AdminClient, shown: Terminal) -> Exit:
+async def list_hosts(client: AdminClient, shown: Terminal) -> ExitCode:
     """Print the platform's host list."""
     hosts = await client.get("hosts")
     if shown.as_json:
         shown.json(hosts)
-        return Exit.DONE
+        return ExitCode.DONE
     columns = ["id", "domain", "address", "leaving"]
     shown.table(columns, [[one[name] for name in columns] for one in hosts])
-    return Exit.DONE
+    return ExitCode.DONE
 
 
 async def declare_lost(
     client: AdminClient, shown: Terminal, *, domain: str, without_asking: bool
-) -> Exit:
+) -> ExitCode:
     """Say what declaring a failure domain lost risks, ask, and do it."""
     loss = await client.get("domains", domain, "declare-lost")
     heard = loss["heard_ago_s"]
@@ -113,7 +115,7 @@
     question = f"Type {domain} to declare it lost:"
     if not without_asking and not shown.confirm(question, domain):
         shown.problem("nothing was done")
-        return Exit.REFUSED
+        return ExitCode.REFUSED
     await client.send("POST", "domains", domain, "declare-lost", body={})
     shown.note(f"{domain} is declared lost")
-    return Exit.DONE
+    return ExitCode.DONE
--- a/src/gentianwharf/cli/_logs.py
+++ b/src/gentianwharf/cli/_logs.py
@@ -7,11 +7,11 @@
 
 from gentianwharf.logs import Belief, LogLine, Story, read_log, story_of
 
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._terminal import Terminal
 
 
-def explain(request_id: str, files: Sequence[Path], shown: Terminal) -> Exit:
+def explain(request_id: str, files: Sequence[Path], shown: Terminal) -> ExitCode:
     """Print a request's lines in order, and what the hosts believed at its end."""
     lines = [line for file in files for line in read_log(file)]
     story = story_of(request_id, lines)
@@ -20,13 +20,13 @@
     elif story.lines:
         _print(story, shown)
     if story.lines:
-        return Exit.DONE
+        return ExitCode.DONE
     shown.problem(
         f"no line of {len(lines)} names {request_id}: of successes one in fifty is"
         " logged; else the log of its host is missing, or left lines out under load"
         " (log_lines_dropped)"
     )
-    return Exit.REFUSED
+    return ExitCode.REFUSED
 
 
 def _print(story: Story, shown: Terminal) -> None:
--- a/src/gentianwharf/cli/_rules.py
+++ b/src/gentianwharf/cli/_rules.py
@@ -9,28 +9,28 @@
 from gentianwharf.settings import load_rules
 
 from ._client import AdminClient
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._terminal import Terminal
 
 
-async def show(client: AdminClient, shown: Terminal, *, in_force: bool) -> Exit:
+async def show(client: AdminClient, shown: Terminal, *, in_force: bool) -> ExitCode:
     """Print the rules as a file that can be edited and applied again."""
     path = ("rules", "in-force") if in_force else ("rules",)
     version = await client.get(*path)
     if version is None:
         shown.problem("the store has no rules yet; apply a file with --edited-from 0")
-        return Exit.REFUSED
+        return ExitCode.REFUSED
     if shown.as_json:
         shown.json(version)
-        return Exit.DONE
+        return ExitCode.DONE
     shown.line(f"// edited_from_revision: {version['revision']}")
     if "author" in version:
         shown.line(f"// change {version['number']} by {version['author']}")
     shown.line(json.dumps(version["document"], indent=2, ensure_ascii=False))
-    return Exit.DONE
+    return ExitCode.DONE
 
 
-async def diff(client: AdminClient, shown: Terminal, *, file: Path) -> Exit:
+async def diff(client: AdminClient, shown: Terminal, *, file: Path) -> ExitCode:
     """Print what applying ``file`` would change."""
     document = load_rules(file)
     version = await client.get("rules")
@@ -40,7 +40,7 @@
         shown.json({"revision": revision, "changes": found})
     else:
         print_changes(found, shown)
-    return Exit.DONE
+    return ExitCode.DONE
 
 
 def changes_against(
@@ -72,12 +72,12 @@
             shown.note(f"         {detail}")
 
 
-async def history(client: AdminClient, shown: Terminal) -> Exit:
+async def history(client: AdminClient, shown: Terminal) -> ExitCode:
     """Print the versions still kept, newest first."""
     versions = await client.get("rules", "history")
     if shown.as_json:
         shown.json(versions)
-        return Exit.DONE
+        return ExitCode.DONE
     shown.table(
         ["change", "revision", "edited from", "by", "rules", "change id"],
         [
@@ -92,17 +92,17 @@
             for one in versions
         ],
     )
-    return Exit.DONE
+    return ExitCode.DONE
 
 
 async def explain(
     client: AdminClient, shown: Terminal, *, request: dict[str, Any]
-) -> Exit:
+) -> ExitCode:
     """Print which rule decides a request, and why earlier ones do not."""
     answer = await client.send("POST", "explain", body=request)
     if shown.as_json:
         shown.json(answer)
-        return Exit.DONE
+        return ExitCode.DONE
     found, owner = answer["explanation"], answer["owner"]
     for one in found["passed_over"]:
         shown.line(f"rule {one['number']} ({one['rule_name']}) does not match:")
@@ -110,7 +110,7 @@
             shown.line(f"    {reason}")
     if found["number"] is None:
         shown.line("no rule matches: the request is refused as not run")
-        return Exit.DONE
+        return ExitCode.DONE
     shown.line(f"rule {found['number']} ({found['rule_name']}) decides:")
     for name in ("service", "site", "request_class", "key", "shard", "repeatable"):
         shown.line(f"    {name}: {found[name] if found[name] is not None else '-'}")
@@ -118,7 +118,7 @@
         shown.line(
             f"    owner: {owner['server'] or 'none'} under token {owner['token']}"
         )
-    return Exit.DONE
+    return ExitCode.DONE
 
 
 def parse_headers(texts: tuple[str, ...]) -> dict[str, str]:
--- a/src/gentianwharf/cli/_session.py
+++ b/src/gentianwharf/cli/_session.py
@@ -16,7 +16,7 @@
 from gentianwharf.settings import check_ip_url
 
 from ._client import AdminClient, ProblemError, treq_http
-from ._exits import Exit, exit_of
+from ._exit_codes import ExitCode, exit_code_of
 from ._terminal import Terminal
 
 DEFAULT_ADMIN = "http://127.0.0.1:8081"
@@ -51,7 +51,7 @@
     json: Annotated[bool, Parameter(negative="")] = False
 
 
-Command = Callable[[AdminClient, Terminal], Awaitable[Exit]]
+Command = Callable[[AdminClient, Terminal], Awaitable[ExitCode]]
 
 
 def terminal(*, as_json: bool = False) -> Terminal:
@@ -59,16 +59,16 @@
     return Terminal(out=sys.stdout, problems=sys.stderr, ask=input, as_json=as_json)
 
 
-async def perform(command: Command, client: AdminClient, shown: Terminal) -> Exit:
+async def perform(command: Command, client: AdminClient, shown: Terminal) -> ExitCode:
     """Run ``command``; an error becomes its message and exit code."""
     try:
         return await command(client, shown)
     except ProblemError as error:
         report_problem(error, shown)
-        return Exit.CONFLICT if error.reply.kind == "conflict" else Exit.REFUSED
+        return ExitCode.CONFLICT if error.reply.kind == "conflict" else ExitCode.REFUSED
     except GentianwharfError as error:
         shown.problem(str(error))
-        return exit_of(error)
+        return exit_code_of(error)
 
 
 def report_problem(error: ProblemError, shown: Terminal) -> None:
@@ -89,8 +89,8 @@
         token = None if common.token_file is None else read_token(common.token_file)
     except (InputError, ValueError) as error:
         shown.problem(str(error))
-        return Exit.USAGE
-    codes = [Exit.FAULT]
+        return ExitCode.USAGE
+    codes = [ExitCode.FAULT]
 
     def begin(reactor: Any) -> Deferred[None]:
         client = AdminClient(
@@ -105,9 +105,9 @@
         react(begin, ())
     except SystemExit as ended:
         if ended.code not in (0, None):
-            return Exit.FAULT
+            return ExitCode.FAULT
     return codes[0]
 
 
-async def _note(performed: Awaitable[Exit], codes: list[Exit]) -> None:
+async def _note(performed: Awaitable[ExitCode], codes: list[ExitCode]) -> None:
     codes[0] = await performed
--- a/src/gentianwharf/cli/_status.py
+++ b/src/gentianwharf/cli/_status.py
@@ -7,22 +7,22 @@
 from gentianwharf.metrics import BurnReport, burn_html, burn_text
 
 from ._client import AdminClient
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._terminal import Terminal
 
 
-async def status(client: AdminClient, shown: Terminal) -> Exit:
+async def status(client: AdminClient, shown: Terminal) -> ExitCode:
     """Print one daemon's state, the three measures and its alarms."""
     state = await client.get("state")
     if shown.as_json:
         shown.json(state)
-        return Exit.DONE
+        return ExitCode.DONE
     _print_daemon(state, shown)
     _print_services(state, shown)
     _print_measures(state["measures"], shown)
     for alarm in state["alarms"]:
         shown.line(f"ALARM {alarm['name']}: {alarm['detail']}")
-    return Exit.DONE
+    return ExitCode.DONE
 
 
 def _print_daemon(state: dict[str, Any], shown: Terminal) -> None:
@@ -73,7 +73,7 @@
 
 async def burn(
     client: AdminClient, shown: Terminal, *, html: Path | None, host: str | None
-) -> Exit:
+) -> ExitCode:
     """Print the service-level burn, or write it as a page.
 
     Exits 5 when a listed host is missing in it: a script must not take the rest of a
@@ -88,7 +88,7 @@
         shown.json(fields)
     elif html is None:
         shown.line(burn_text(report))
-    return Exit.INCOMPLETE if report.silent else Exit.DONE
+    return ExitCode.INCOMPLETE if report.silent else ExitCode.DONE
 
 
 def _write(path: Path, text: str) -> None:
--- a/src/gentianwharf/spread/__init__.py
+++ b/src/gentianwharf/spread/__init__.py
@@ -8,8 +8,8 @@
 from ._system import Peers, SpreadSystem
 
 __all__ = [
-    "Channel",
     "MOST_ANSWER_BYTES",
+    "Channel",
     "Link",
     "LinkStats",
     "MeshStats",
--- a/tests/builders_cli.py
+++ b/tests/builders_cli.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred, fail
 
 from gentianwharf.cli._client import AdminClient
-from gentianwharf.cli._exits import Exit
+from gentianwharf.cli._exit_codes import ExitCode
 from gentianwharf.cli._session import Command, perform
 from gentianwharf.cli._terminal import Terminal
 from tests.builders_admin import TOKEN, FakeDaemon, admin_app
@@ -44,7 +44,7 @@
 class Ran:
     """What a command printed and exited with."""
 
-    code: Exit
+    code: ExitCode
     out: str
     problems: str
 
@@ -77,5 +77,5 @@
     )
 
 
-async def _exit(command: Command, client: AdminClient, shown: Terminal) -> Exit:
+async def _exit(command: Command, client: AdminClient, shown: Terminal) -> ExitCode:
     return await perform(command, client, shown)
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -12,7 +12,7 @@
 
 from gentianwharf.admin import RulesAtHost
 from gentianwharf.cli import (
-    Exit,
+    ExitCode,
     _apply,
     _decisions,
     _everywhere,
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize(("command", "part"), READS)
 def test_read(command: Command, part: str, as_json: bool) -> None:
     result = ran(command, as_json=as_json)
-    assert result.code is Exit.DONE, result.problems
+    assert result.code is ExitCode.DONE, result.problems
     if as_json:
         assert json.loads(result.out) is not None
     else:
@@ -113,7 +113,7 @@
     command: Command, call: tuple[Any, ...]
 ) -> None:
     daemon = FakeDaemon()
-    assert ran(command, daemon).code is Exit.DONE
+    assert ran(command, daemon).code is ExitCode.DONE
     assert daemon.calls == [call]
 
 
@@ -129,23 +129,29 @@
     assert "would own keys twice" in result.out
     assert "340 shards" in result.out
     assert bool(daemon.calls) is done
-    assert result.code is (Exit.DONE if done else Exit.REFUSED)
+    assert result.code is (ExitCode.DONE if done else ExitCode.REFUSED)
 
 
 @pytest.mark.parametrize(
     ("error", "code"),
     [
         pytest.param(
-            PeerUnavailableError("m", step="s", peer="p"), Exit.UNREACHABLE, id="down"
+            PeerUnavailableError("m", step="s", peer="p"),
+            ExitCode.UNREACHABLE,
+            id="down",
         ),
         pytest.param(
-            OutcomeUnknownError("m", step="s", peer="p"), Exit.UNREACHABLE, id="unknown"
+            OutcomeUnknownError("m", step="s", peer="p"),
+            ExitCode.UNREACHABLE,
+            id="unknown",
+        ),
+        pytest.param(
+            GentianwharfError("m", step="s", peer="p"), ExitCode.REFUSED, id="no"
         ),
-        pytest.param(GentianwharfError("m", step="s", peer="p"), Exit.REFUSED, id="no"),
     ],
 )
 def test_daemons_error_is_told_with_its_step_and_peer(
-    error: GentianwharfError, code: Exit
+    error: GentianwharfError, code: ExitCode
 ) -> None:
     command = partial(_rules.show, in_force=False)
     result = ran(command, FakeDaemon(error=error))
@@ -156,24 +162,24 @@
 @pytest.mark.parametrize("error", [Refused(), ConnectTimeout()])
 def test_daemon_out_of_reach(error: Exception) -> None:
     result = ran(_status.status, lost=[error], reached=False)
-    assert result.code is Exit.UNREACHABLE
+    assert result.code is ExitCode.UNREACHABLE
     assert "check --admin" in result.problems
 
 
 def test_wrong_token_is_refused() -> None:
     result = ran(_status.status, token="something-else-entirely")
-    assert result.code is Exit.REFUSED
+    assert result.code is ExitCode.REFUSED
     assert "Authorization" in result.problems
 
 
 def test_report_is_written_as_a_page(tmp_path: Path) -> None:
     page = tmp_path / "burn.html"
-    assert ran(partial(_status.burn, html=page, host=None)).code is Exit.DONE
+    assert ran(partial(_status.burn, html=page, host=None)).code is ExitCode.DONE
     text = page.read_text()
     assert text.startswith("<!DOCTYPE html>")
     assert ">0.40</td>" in text
     nowhere = partial(_status.burn, html=tmp_path / "no" / "burn.html", host=None)
-    assert ran(nowhere).code is Exit.REFUSED
+    assert ran(nowhere).code is ExitCode.REFUSED
 
 
 @pytest.fixture
@@ -205,7 +211,7 @@
     file = tmp_path / "rules.jsonc"
     file.write_text(ran(partial(_rules.show, in_force=False), daemon).out)
     result = ran(apply(file), daemon)
-    assert (result.code, result.out) == (Exit.DONE, "applied as revision 20\n")
+    assert (result.code, result.out) == (ExitCode.DONE, "applied as revision 20\n")
     assert daemon.calls == [("apply", rule_version().document, 10, "amira")]
 
 
@@ -224,7 +230,7 @@
     assert "added    desk-new" in result.out
     assert "removed  all" in result.out
     assert bool(daemon.calls) is applied
-    assert result.code is (Exit.DONE if applied else Exit.REFUSED)
+    assert result.code is (ExitCode.DONE if applied else ExitCode.REFUSED)
 
 
 def test_conflict_prints_both_changes_and_exits_4(rule_file: Path) -> None:
@@ -238,7 +244,7 @@
         mine=diff_documents(base, migration(0.1)),
     )
     result = ran(apply(rule_file), FakeDaemon(result=conflict))
-    assert result.code is Exit.CONFLICT
+    assert result.code is ExitCode.CONFLICT
     assert "karim was faster" in result.problems
     theirs_part, mine_part = result.out.split("--- what this file would have changed")
     assert "then.site: old -> new" in theirs_part
@@ -256,21 +262,18 @@
     )
     refused = RulesRefused(findings=(finding,))
     result = ran(apply(rule_file), FakeDaemon(result=refused))
-    assert result.code is Exit.REFUSED
+    assert result.code is ExitCode.REFUSED
     assert "rules.0.then.service: found 'desk'; expected one of ledger" in (
         result.problems
     )
 
 
 def test_lost_answer_is_asked_for_again_under_the_same_id(rule_file: Path) -> None:
-    """The daemon applies the rules, and the connection breaks before its answer.
-
-    Told of a failure, the operator would apply once more, by hand, on top of it.
-    """
+    """A connection that breaks before the answer must not apply the change twice."""
     daemon = FakeDaemon()
     broken = ResponseFailed([])
     result = ran(apply(rule_file), daemon, lost=[broken, None])
-    assert result.code is Exit.DONE
+    assert result.code is ExitCode.DONE
     assert len(daemon.calls) == 2
     assert len(set(daemon.change_ids)) == 1
 
@@ -278,7 +281,7 @@
 def test_change_found_by_reading_back_says_so(rule_file: Path) -> None:
     found = RulesApplied(version=rule_version(2), read_back=True, superseded=True)
     result = ran(apply(rule_file), FakeDaemon(result=found))
-    assert result.code is Exit.DONE
+    assert result.code is ExitCode.DONE
     assert "found by reading back" in result.out
     assert "others have changed" in result.out
 
@@ -286,14 +289,14 @@
 def test_document_in_force_already_says_so(rule_file: Path) -> None:
     same = RulesApplied(version=rule_version(2), read_back=False, already=True)
     result = ran(apply(rule_file), FakeDaemon(result=same))
-    assert (result.code, "in force already" in result.out) == (Exit.DONE, True)
+    assert (result.code, "in force already" in result.out) == (ExitCode.DONE, True)
 
 
 def test_outcome_that_stays_unknown_names_the_change(rule_file: Path) -> None:
     lost: list[Exception | None] = [ResponseFailed([]) for _ in range(3)]
     daemon = FakeDaemon()
     result = ran(apply(rule_file), daemon, lost=lost)
-    assert result.code is Exit.UNREACHABLE
+    assert result.code is ExitCode.UNREACHABLE
     assert "rules history" in result.problems
     assert str(daemon.change_ids[0]) in result.problems
 
@@ -301,7 +304,7 @@
 def test_diff_changes_nothing(rule_file: Path) -> None:
     daemon = FakeDaemon()
     result = ran(partial(_rules.diff, file=rule_file), daemon)
-    assert result.code is Exit.DONE
+    assert result.code is ExitCode.DONE
     assert "added    desk-new" in result.out
     assert daemon.calls == []
 
@@ -311,7 +314,7 @@
 ) -> None:
     daemon = FakeDaemon()
     result = ran(apply(rule_file, wait_s=20), daemon)
-    assert result.code is Exit.DONE
+    assert result.code is ExitCode.DONE
     assert result.out == ("applied as revision 20\nin force on 2 of 2 listed hosts\n")
     assert daemon.waits == [(20, 20.0)]
 
@@ -320,14 +323,10 @@
 def test_apply_names_the_hosts_where_the_rules_are_not_in_force(
     rule_file: Path, as_json: bool
 ) -> None:
-    """A host is cut off while an operator applies a migration step.
-
-    Told just "applied", the operator would go on to the next step while callers of
-    that host still follow the list before.
-    """
+    """Guards against a next migration step while a cut-off host has the old rules."""
     daemon = FakeDaemon(late=RulesAtHost.SILENT)
     result = ran(apply(rule_file, wait_s=20), daemon, as_json=as_json)
-    assert result.code is Exit.INCOMPLETE
+    assert result.code is ExitCode.INCOMPLETE
     assert "ariana-1 (ariana): silent, no answer within 0.5 s" in result.problems
     assert "lac-1" not in result.problems
     if as_json:
@@ -335,12 +334,9 @@
 
 
 def test_wait_that_is_lost_does_not_look_like_a_failed_change(rule_file: Path) -> None:
-    """The rules are applied; then the daemon dies while the tool waits for the hosts.
-
-    Exit 3 would say that the change may not have taken effect.
-    """
+    """Exit code 3 would say that the applied rules may not have taken effect."""
     result = ran(apply(rule_file, wait_s=20), lost=[None, ResponseFailed([])])
-    assert result.code is Exit.INCOMPLETE
+    assert result.code is ExitCode.INCOMPLETE
     assert "applied as revision 20" in result.out
     assert "not known" in result.problems
 
@@ -355,7 +351,7 @@
 )
 def test_rules_status_shows_every_host(late: RulesAtHost, part: str) -> None:
     result = ran(_everywhere.status, FakeDaemon(late=late))
-    assert result.code is Exit.INCOMPLETE
+    assert result.code is ExitCode.INCOMPLETE
     (line,) = [one for one in result.out.splitlines() if "ariana-1" in one]
     assert part in line
 
@@ -363,31 +359,34 @@
 def test_report_that_lacks_a_host_says_so_and_exits_5() -> None:
     daemon = FakeDaemon(silent=[SilentHost(host="ariana-1", reason="no answer")])
     result = ran(partial(_status.burn, html=None, host=None), daemon)
-    assert result.code is Exit.INCOMPLETE
+    assert result.code is ExitCode.INCOMPLETE
     assert "Answers of 1 of 2 hosts" in result.out
     assert "MISSING ariana-1: no answer" in result.out
 
 
 def test_report_of_one_host_alone_asks_for_it() -> None:
     daemon = FakeDaemon()
-    assert ran(partial(_status.burn, html=None, host="lac-1"), daemon).code is Exit.DONE
+    assert (
+        ran(partial(_status.burn, html=None, host="lac-1"), daemon).code
+        is ExitCode.DONE
+    )
     assert daemon.burns == ["lac-1"]
 
 
 @pytest.mark.parametrize(
     ("silent", "code", "part"),
     [
-        pytest.param((), Exit.REFUSED, "not sampled", id="kept-by-nobody"),
+        pytest.param((), ExitCode.REFUSED, "not sampled", id="kept-by-nobody"),
         pytest.param(
             (SilentHost(host="ariana-1", reason="no answer"),),
-            Exit.INCOMPLETE,
+            ExitCode.INCOMPLETE,
             "ariana-1 could not be asked: no answer",
             id="a-host-is-silent",
         ),
     ],
 )
 def test_request_that_is_not_kept_is_told(
-    silent: tuple[SilentHost, ...], code: Exit, part: str
+    silent: tuple[SilentHost, ...], code: ExitCode, part: str
 ) -> None:
     daemon = FakeDaemon(silent=silent)
     command = partial(
--- a/tests/test_cli_main.py
+++ b/tests/test_cli_main.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from gentianwharf.cli import Exit, main
+from gentianwharf.cli import ExitCode, main
 from tests.builders_admin import TOKEN
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -27,28 +27,34 @@
 @pytest.mark.parametrize(
     ("arguments", "code"),
     [
-        pytest.param(["settings", "check", SETTINGS], Exit.DONE, id="settings"),
-        pytest.param(["settings", "check", "nowhere"], Exit.REFUSED, id="no-file"),
-        pytest.param(["settings", "check", RULES], Exit.REFUSED, id="wrong-file"),
+        pytest.param(["settings", "check", SETTINGS], ExitCode.DONE, id="settings"),
+        pytest.param(["settings", "check", "nowhere"], ExitCode.REFUSED, id="no-file"),
+        pytest.param(["settings", "check", RULES], ExitCode.REFUSED, id="wrong-file"),
         pytest.param(
-            ["rules", "check", RULES, "--settings", SETTINGS], Exit.DONE, id="rules"
+            ["rules", "check", RULES, "--settings", SETTINGS], ExitCode.DONE, id="rules"
         ),
-        pytest.param(["rules", "check", RULES], Exit.USAGE, id="no-settings"),
-        pytest.param(["rules", "chek"], Exit.USAGE, id="misspelt"),
-        pytest.param(["keys", "pin", "desk", "a"], Exit.USAGE, id="no-server"),
-        pytest.param(["keys", "pin", "desk", "a", "b", "--off"], Exit.USAGE, id="both"),
+        pytest.param(["rules", "check", RULES], ExitCode.USAGE, id="no-settings"),
+        pytest.param(["rules", "chek"], ExitCode.USAGE, id="misspelt"),
+        pytest.param(["keys", "pin", "desk", "a"], ExitCode.USAGE, id="no-server"),
         pytest.param(
-            ["rules", "explain", "/a", "--header", "x"], Exit.USAGE, id="bad-header"
+            ["keys", "pin", "desk", "a", "b", "--off"], ExitCode.USAGE, id="both"
         ),
         pytest.param(
-            ["status", "--token-file", "nowhere"], Exit.USAGE, id="no-token-file"
+            ["rules", "explain", "/a", "--header", "x"], ExitCode.USAGE, id="bad-header"
         ),
-        pytest.param(["status", "--admin", "http://gateway:80"], Exit.USAGE, id="name"),
-        pytest.param(["status", "--admin", "127.0.0.1:80"], Exit.USAGE, id="no-scheme"),
-        pytest.param(["--version"], Exit.DONE, id="version"),
+        pytest.param(
+            ["status", "--token-file", "nowhere"], ExitCode.USAGE, id="no-token-file"
+        ),
+        pytest.param(
+            ["status", "--admin", "http://gateway:80"], ExitCode.USAGE, id="name"
+        ),
+        pytest.param(
+            ["status", "--admin", "127.0.0.1:80"], ExitCode.USAGE, id="no-scheme"
+        ),
+        pytest.param(["--version"], ExitCode.DONE, id="version"),
     ],
 )
-def test_exit_code_without_a_daemon(arguments: list[str], code: Exit) -> None:
+def test_exit_code_without_a_daemon(arguments: list[str], code: ExitCode) -> None:
     assert code_of(*arguments) == code
 
 
@@ -61,7 +67,7 @@
         raise KeyError("inner")
 
     monkeypatch.setattr("gentianwharf.cli._files.check_settings", crash)
-    assert code_of("settings", "check", SETTINGS) == Exit.FAULT
+    assert code_of("settings", "check", SETTINGS) == ExitCode.FAULT
 
 
 def test_settings_are_checked_together_with_their_first_rules(
@@ -71,9 +77,9 @@
     settings.write_text(Path(SETTINGS).read_text())
     rules = Path(RULES).read_text()
     (tmp_path / "rules.jsonc").write_text(rules.replace('"nouveau"', '"nord"'))
-    assert code_of("settings", "check", str(settings)) == Exit.REFUSED
+    assert code_of("settings", "check", str(settings)) == ExitCode.REFUSED
     assert "rules.0.then.site: found 'nord'" in capsys.readouterr().err
-    assert code_of("settings", "check", str(settings), "--json") == Exit.REFUSED
+    assert code_of("settings", "check", str(settings), "--json") == ExitCode.REFUSED
     assert "nord" in json.loads(capsys.readouterr().out)["mistakes"][1]
 
 
@@ -86,9 +92,9 @@
     file = tmp_path / "rules.jsonc"
     file.write_text(text)
     arguments = ["rules", "check", str(file), "--settings", SETTINGS]
-    assert code_of(*arguments) == Exit.REFUSED
+    assert code_of(*arguments) == ExitCode.REFUSED
     assert f"line {line}: error: rule 3 (inscription)" in capsys.readouterr().out
-    assert code_of(*arguments, "--json") == Exit.REFUSED
+    assert code_of(*arguments, "--json") == ExitCode.REFUSED
     assert json.loads(capsys.readouterr().out)[0]["line"] == line
 
 
@@ -114,16 +120,16 @@
     token_file.write_text(f"{TOKEN}\n")
     admin = ["--admin", f"http://127.0.0.1:{admin_port}"]
     done = run_tool("status", *admin, "--token-file", str(token_file), "--json")
-    assert done.returncode == Exit.DONE, done.stderr
+    assert done.returncode == ExitCode.DONE, done.stderr
     assert json.loads(done.stdout)["host"] == "lac-1"
     refused = run_tool("status", *admin)
-    assert refused.returncode == Exit.REFUSED
+    assert refused.returncode == ExitCode.REFUSED
     assert "Authorization" in refused.stderr
 
 
 def test_no_daemon_there() -> None:
     result = run_tool("status", "--admin", "http://127.0.0.1:1")
-    assert result.returncode == Exit.UNREACHABLE
+    assert result.returncode == ExitCode.UNREACHABLE
     assert "can't be reached" in result.stderr
 
 
@@ -140,4 +146,4 @@
         done = subprocess.run(
             command, stdout=closed, stderr=subprocess.PIPE, text=True, check=False
         )
-    assert (done.returncode, done.stderr) == (Exit.DONE, "")
+    assert (done.returncode, done.stderr) == (ExitCode.DONE, "")
--- a/tests/test_cli_migration.py
+++ b/tests/test_cli_migration.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from gentianwharf.cli import Exit
+from gentianwharf.cli import ExitCode
 from tests.builders_processes import (
     RULES,
     THREE_DOMAINS,
@@ -45,7 +45,7 @@
 
 def read(running: Deployment, host: str, *arguments: str) -> Any:
     done = run_tool(running, host, *arguments, "--json")
-    assert done.returncode == Exit.DONE, done.stderr
+    assert done.returncode == ExitCode.DONE, done.stderr
     return json.loads(done.stdout)
 
 
@@ -68,7 +68,7 @@
     done = run_tool(
         running, host, "rules", "apply", str(file), "--edited-from", str(revision)
     )
-    assert done.returncode in (Exit.DONE, Exit.CONFLICT), done.stderr
+    assert done.returncode in (ExitCode.DONE, ExitCode.CONFLICT), done.stderr
     return done.returncode
 
 
@@ -87,9 +87,9 @@
     """
     file = rule_file(tmp_path / "rules.jsonc", share=1.0)
     first = read(running, "lac-1", "rules", "show")["revision"]
-    assert apply(running, "lac-1", file, first) == Exit.DONE
+    assert apply(running, "lac-1", file, first) == ExitCode.DONE
     late = rule_file(tmp_path / "late.jsonc", share=0.1)
-    assert apply(running, "charguia-1", late, first) == Exit.CONFLICT
+    assert apply(running, "charguia-1", late, first) == ExitCode.CONFLICT
     newest = read(running, "lac-1", "rules", "show")["revision"]
     # ``apply`` has waited for them: no host may still be behind.
     for host in THREE_DOMAINS:
@@ -130,14 +130,16 @@
         "lac-1",
         *("rules", "apply", str(file), "--edited-from", str(first), "--wait-s", "2"),
     )
-    assert applied.returncode == Exit.INCOMPLETE, applied.stderr
+    assert applied.returncode == ExitCode.INCOMPLETE, applied.stderr
     assert "not yet in force on ariana-1 (ariana): silent" in applied.stderr
     assert "lac-1" not in applied.stderr
     burn = run_tool(running, "lac-1", "report", "burn")
-    assert burn.returncode == Exit.INCOMPLETE
+    assert burn.returncode == ExitCode.INCOMPLETE
     assert "MISSING ariana-1" in burn.stdout
     running.send("ariana-1", signal.SIGCONT)
     wait_until(
-        lambda: run_tool(running, "lac-1", "rules", "status").returncode == Exit.DONE,
+        lambda: (
+            run_tool(running, "lac-1", "rules", "status").returncode == ExitCode.DONE
+        ),
         what="the rules to be in force on the host that returned",
     )
--- a/tests/test_cli_operations_page.py
+++ b/tests/test_cli_operations_page.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gentianwharf.admin import ALARMS, AdminApp
-from gentianwharf.cli import Exit
+from gentianwharf.cli import ExitCode
 from gentianwharf.cli._app import app
 
 PAGE = (Path(__file__).parent.parent / "docs" / "OPERATIONS.md").read_text()
@@ -34,8 +34,8 @@
     assert f"| `{command}" in PAGE
 
 
-@pytest.mark.parametrize("code", Exit)
-def test_exit_code_is_described(code: Exit) -> None:
+@pytest.mark.parametrize("code", ExitCode)
+def test_exit_code_is_described(code: ExitCode) -> None:
     assert f"| {int(code)} | {code.name.lower()}" in PAGE
 
 
