--- a/src/gentianwharf/admin/_app.py
+++ b/src/gentianwharf/admin/_app.py
@@ -150,7 +150,7 @@
         """
         revision = optional_integer(request, "revision")
         wait_s = min(integer_argument(request, "wait_s", default=0), MOST_WAIT_S)
-        found = await self._fleet_rules.rules_everywhere(
+        found = await self._fleet_rules.rollout_status(
             revision=revision, wait_s=float(wait_s)
         )
         return reply_json(request, found)
--- a/src/gentianwharf/admin/_protocols.py
+++ b/src/gentianwharf/admin/_protocols.py
@@ -117,7 +117,7 @@
         """
 
 
-class RulesAtHost(StrEnum):
+class HostRulesStatus(StrEnum):
     """How a host stands to a revision of the rules.
 
     ``UNREADABLE`` is a host that has the revision and can't put it in force: its
@@ -141,14 +141,14 @@
 
     host: str
     domain: str
-    standing: RulesAtHost
+    standing: HostRulesStatus
     in_force_revision: int | None
     reason: str = ""
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RulesEverywhere:
+class RolloutStatus:
     """Which listed hosts have ``revision``, or a newer one, in force."""
 
     revision: int
@@ -159,9 +159,9 @@
 class FleetRules(Protocol):
     """The rules in force on every listed host; they are asked, not the store."""
 
-    async def rules_everywhere(
+    async def rollout_status(
         self, *, revision: int | None, wait_s: float
-    ) -> RulesEverywhere:
+    ) -> RolloutStatus:
         """Return once ``revision`` is in force everywhere, or after ``wait_s``.
 
         None stands for the newest revision that any host has.
--- a/src/gentianwharf/cli/_everywhere.py
+++ b/src/gentianwharf/cli/_everywhere.py
@@ -3,14 +3,14 @@
 from dataclasses import dataclass
 from typing import Any, final
 
-from gentianwharf.admin import RulesAtHost
+from gentianwharf.admin import HostRulesStatus
 from gentianwharf.errors import GentianwharfError
 
 from ._client import READ_TIMEOUT_S, AdminClient
 from ._exit_codes import ExitCode
 from ._terminal import Terminal
 
-IN_FORCE = RulesAtHost.IN_FORCE.value
+IN_FORCE = HostRulesStatus.IN_FORCE.value
 
 
 async def status(client: AdminClient, shown: Terminal) -> ExitCode:
--- a/src/gentianwharf/daemon/_fleet.py
+++ b/src/gentianwharf/daemon/_fleet.py
@@ -7,7 +7,7 @@
 from twisted.internet.interfaces import IReactorTime
 from twisted.internet.task import deferLater
 
-from gentianwharf.admin import HostRules, JsonValue, RulesAtHost, RulesEverywhere
+from gentianwharf.admin import HostRules, HostRulesStatus, JsonValue, RolloutStatus
 from gentianwharf.errors import InputError
 from gentianwharf.metrics import (
     BurnSum,
@@ -79,9 +79,9 @@
         self._rules_key = rules_key
         queries.answer_with(RULES, lambda _: _encoder.encode(self._own()))
 
-    async def rules_everywhere(
+    async def rollout_status(
         self, *, revision: int | None, wait_s: float
-    ) -> RulesEverywhere:
+    ) -> RolloutStatus:
         """Return once ``revision`` is in force everywhere, or after ``wait_s``."""
         end_s = self._clock.seconds() + wait_s
         held: dict[str, RulesHeld] = {}
@@ -132,7 +132,7 @@
         revision: int | None,
         held: Mapping[str, RulesHeld],
         silent: Mapping[str, str],
-    ) -> RulesEverywhere:
+    ) -> RolloutStatus:
         wanted = _newest(held.values()) if revision is None else revision
         hosts = tuple(
             _host_rules(
@@ -142,9 +142,9 @@
                 self._hosts.hosts.values(), key=lambda one: (one.domain, one.id)
             )
         )
-        return RulesEverywhere(
+        return RolloutStatus(
             revision=wanted,
-            everywhere=all(one.standing is RulesAtHost.IN_FORCE for one in hosts),
+            everywhere=all(one.standing is HostRulesStatus.IN_FORCE for one in hosts),
             hosts=hosts,
         )
 
@@ -170,15 +170,15 @@
         return HostRules(
             host=host,
             domain=domain,
-            standing=RulesAtHost.SILENT,
+            standing=HostRulesStatus.SILENT,
             in_force_revision=held.in_force if held is not None else None,
             reason=reason or "not asked yet: it has just been listed",
         )
-    standing = RulesAtHost.OLDER
+    standing = HostRulesStatus.OLDER
     if _has(held, wanted):
-        standing = RulesAtHost.IN_FORCE
+        standing = HostRulesStatus.IN_FORCE
     elif held.held >= wanted:
-        standing = RulesAtHost.UNREADABLE
+        standing = HostRulesStatus.UNREADABLE
     return HostRules(
         host=host, domain=domain, standing=standing, in_force_revision=held.in_force
     )
--- a/tests/builders_admin.py
+++ b/tests/builders_admin.py
@@ -14,12 +14,12 @@
     DaemonState,
     DomainLoss,
     HostRules,
+    HostRulesStatus,
     JsonValue,
     KeptDecisions,
     KeyOwner,
     Measures,
-    RulesAtHost,
-    RulesEverywhere,
+    RolloutStatus,
     ServerStatus,
 )
 from gentianwharf.errors import RefusedError
@@ -43,13 +43,13 @@
 JSON_HEADERS = {"content-type": "application/json", "gentianwharf-operator": "amira"}
 
 IN_FORCE_HOST = HostRules(
-    host="lac-1", domain="lac", standing=RulesAtHost.IN_FORCE, in_force_revision=20
+    host="lac-1", domain="lac", standing=HostRulesStatus.IN_FORCE, in_force_revision=20
 )
 LATE_HOSTS = (
     HostRules(
         host="ariana-1",
         domain="ariana",
-        standing=RulesAtHost.SILENT,
+        standing=HostRulesStatus.SILENT,
         in_force_revision=10,
         reason="no answer within 0.5 s",
     ),
@@ -98,7 +98,7 @@
     )
     calls: list[tuple[Any, ...]] = field(default_factory=list)
     change_ids: list[str | None] = field(default_factory=list)
-    late: RulesAtHost = RulesAtHost.IN_FORCE
+    late: HostRulesStatus = HostRulesStatus.IN_FORCE
     waits: list[tuple[int | None, float]] = field(default_factory=list)
     silent: Sequence[SilentHost] = ()
     burns: list[str | None] = field(default_factory=list)
@@ -227,16 +227,16 @@
         self.calls.append(("declare-lost", domain, author))
         return self.loss(domain)
 
-    async def rules_everywhere(
+    async def rollout_status(
         self, *, revision: int | None, wait_s: float
-    ) -> RulesEverywhere:
+    ) -> RolloutStatus:
         """See ``FleetRules``."""
         self._fail()
         self.waits.append((revision, wait_s))
         late = tuple(replace(one, standing=self.late) for one in LATE_HOSTS)
-        return RulesEverywhere(
+        return RolloutStatus(
             revision=20 if revision is None else revision,
-            everywhere=self.late is RulesAtHost.IN_FORCE,
+            everywhere=self.late is HostRulesStatus.IN_FORCE,
             hosts=(IN_FORCE_HOST, *late),
         )
 
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -10,7 +10,7 @@
 from twisted.internet.error import TimeoutError as ConnectTimeout
 from twisted.web.client import ResponseFailed
 
-from gentianwharf.admin import RulesAtHost
+from gentianwharf.admin import HostRulesStatus
 from gentianwharf.cli import (
     ExitCode,
     _apply,
@@ -324,7 +324,7 @@
     rule_file: Path, as_json: bool
 ) -> None:
     """Guards against a next migration step while a cut-off host has the old rules."""
-    daemon = FakeDaemon(late=RulesAtHost.SILENT)
+    daemon = FakeDaemon(late=HostRulesStatus.SILENT)
     result = ran(apply(rule_file, wait_s=20), daemon, as_json=as_json)
     assert result.code is ExitCode.INCOMPLETE
     assert "ariana-1 (ariana): silent, no answer within 0.5 s" in result.problems
@@ -344,12 +344,12 @@
 @pytest.mark.parametrize(
     ("late", "part"),
     [
-        (RulesAtHost.SILENT, "no answer within 0.5 s"),
-        (RulesAtHost.OLDER, "older"),
-        (RulesAtHost.UNREADABLE, "unreadable"),
+        (HostRulesStatus.SILENT, "no answer within 0.5 s"),
+        (HostRulesStatus.OLDER, "older"),
+        (HostRulesStatus.UNREADABLE, "unreadable"),
     ],
 )
-def test_rules_status_shows_every_host(late: RulesAtHost, part: str) -> None:
+def test_rules_status_shows_every_host(late: HostRulesStatus, part: str) -> None:
     result = ran(_everywhere.status, FakeDaemon(late=late))
     assert result.code is ExitCode.INCOMPLETE
     (line,) = [one for one in result.out.splitlines() if "ariana-1" in one]
--- a/tests/test_daemon_fleet.py
+++ b/tests/test_daemon_fleet.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from gentianwharf.admin import RulesAtHost, RulesEverywhere
+from gentianwharf.admin import HostRulesStatus, RolloutStatus
 from gentianwharf.daemon._decisions import FleetDecisions
 from gentianwharf.daemon._fleet import FleetBurnView, FleetRulesView
 from gentianwharf.daemon._hosts import HostTable
@@ -96,10 +96,10 @@
         for _ in range(int(duration_s * 100)):
             self.clock.advance(0.01)
 
-    def ask(self, revision: int | None, wait_s: float) -> "Deferred[RulesEverywhere]":
+    def ask(self, revision: int | None, wait_s: float) -> "Deferred[RolloutStatus]":
         view = self.hosts["lac-1"].fleet_rules
         return Deferred.fromCoroutine(
-            view.rules_everywhere(revision=revision, wait_s=wait_s)
+            view.rollout_status(revision=revision, wait_s=wait_s)
         )
 
     def burn(self, host: str | None = None, duration_s: float = 4) -> Any:
@@ -108,7 +108,7 @@
         return result_of(done)
 
 
-def standings(found: RulesEverywhere) -> dict[str, RulesAtHost]:
+def standings(found: RolloutStatus) -> dict[str, HostRulesStatus]:
     return {one.host: one.standing for one in found.hosts}
 
 
@@ -122,7 +122,7 @@
     fleet.run(0.2)
     found = result_of(waiting)
     assert found.everywhere
-    assert set(standings(found).values()) == {RulesAtHost.IN_FORCE}
+    assert set(standings(found).values()) == {HostRulesStatus.IN_FORCE}
 
 
 def test_newer_rules_in_force_are_enough() -> None:
@@ -142,8 +142,10 @@
     assert not waiting.called
     fleet.run(1)
     found = result_of(waiting)
-    (late,) = [one for one in found.hosts if one.standing is not RulesAtHost.IN_FORCE]
-    assert (late.host, late.standing) == ("ariana-1", RulesAtHost.SILENT)
+    (late,) = [
+        one for one in found.hosts if one.standing is not HostRulesStatus.IN_FORCE
+    ]
+    assert (late.host, late.standing) == ("ariana-1", HostRulesStatus.SILENT)
     assert late.reason == "no answer within 0.5 s"
 
 
@@ -161,7 +163,7 @@
     fleet.run(3)
     found = result_of(waiting)
     late = {one.host: one for one in found.hosts}["ariana-1"]
-    assert (late.standing, late.in_force_revision) == (RulesAtHost.SILENT, 5)
+    assert (late.standing, late.in_force_revision) == (HostRulesStatus.SILENT, 5)
     assert not found.everywhere
 
 
@@ -178,7 +180,7 @@
     waiting = fleet.ask(7, 1)
     fleet.run(2)
     found = result_of(waiting)
-    assert standings(found)["ariana-1"] is RulesAtHost.UNREADABLE
+    assert standings(found)["ariana-1"] is HostRulesStatus.UNREADABLE
     assert not found.everywhere
 
 
@@ -190,8 +192,8 @@
     fleet.run(1)
     found = result_of(waiting)
     assert (found.revision, found.everywhere) == (7, False)
-    assert standings(found)["ariana-1"] is RulesAtHost.IN_FORCE
-    assert standings(found)["lac-1"] is RulesAtHost.OLDER
+    assert standings(found)["ariana-1"] is HostRulesStatus.IN_FORCE
+    assert standings(found)["lac-1"] is HostRulesStatus.OLDER
 
 
 def test_fleet_without_rules_is_told() -> None:
