--- a/src/gentianwharf/admin/__init__.py
+++ b/src/gentianwharf/admin/__init__.py
@@ -1,7 +1,7 @@
 """The daemon's admin port: health, state and the operator's commands over HTTP."""
 
 from ._access import TokenAccess, read_token, token_of
-from ._alarms import ALARMS, AlarmRule, AlarmWatch
+from ._alarms import ALARMS, AlarmEvaluator, AlarmRule
 from ._app import AdminApp
 from ._protocols import (
     Alarm,
@@ -31,8 +31,8 @@
     "ALARMS",
     "AdminApp",
     "Alarm",
+    "AlarmEvaluator",
     "AlarmRule",
-    "AlarmWatch",
     "BurnView",
     "DaemonState",
     "DecisionsView",
--- a/src/gentianwharf/admin/_alarms.py
+++ b/src/gentianwharf/admin/_alarms.py
@@ -9,7 +9,7 @@
 
 from ._protocols import Alarm, DaemonState, ServerStatus
 
-Test = Callable[[DaemonState, Sequence[ServerStatus]], str | None]
+AlarmCondition = Callable[[DaemonState, Sequence[ServerStatus]], str | None]
 
 STORE_SILENT_S = 5.0
 """A watch waits as long as this when nothing changes; with the alarm's own time a
@@ -22,14 +22,14 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AlarmRule:
-    """An alarm that is raised once ``test`` has found something for ``after_s``.
+    """An alarm that is raised once ``condition`` has found something for ``after_s``.
 
     The wait keeps states that a failover passes through from waking anybody.
     """
 
     name: str
     after_s: float
-    test: Test
+    condition: AlarmCondition
 
 
 def _no_rules(state: DaemonState, servers: Sequence[ServerStatus]) -> str | None:
@@ -108,20 +108,20 @@
 
 
 ALARMS = (
-    AlarmRule(name="no-rules", after_s=5.0, test=_no_rules),
-    AlarmRule(name="no-server", after_s=2.0, test=_no_server),
-    AlarmRule(name="no-right-to-send", after_s=2.0, test=_no_right),
-    AlarmRule(name="store-silent", after_s=5.0, test=_store_silent),
-    AlarmRule(name="not-ready", after_s=10.0, test=_not_ready),
-    AlarmRule(name="no-control-holder", after_s=10.0, test=_no_holder),
-    AlarmRule(name="server-suspect", after_s=10.0, test=_suspect),
-    AlarmRule(name="leaving-owns-shards", after_s=30.0, test=_stuck_on_leaving),
-    AlarmRule(name="imbalance", after_s=120.0, test=_imbalance),
+    AlarmRule(name="no-rules", after_s=5.0, condition=_no_rules),
+    AlarmRule(name="no-server", after_s=2.0, condition=_no_server),
+    AlarmRule(name="no-right-to-send", after_s=2.0, condition=_no_right),
+    AlarmRule(name="store-silent", after_s=5.0, condition=_store_silent),
+    AlarmRule(name="not-ready", after_s=10.0, condition=_not_ready),
+    AlarmRule(name="no-control-holder", after_s=10.0, condition=_no_holder),
+    AlarmRule(name="server-suspect", after_s=10.0, condition=_suspect),
+    AlarmRule(name="leaving-owns-shards", after_s=30.0, condition=_stuck_on_leaving),
+    AlarmRule(name="imbalance", after_s=120.0, condition=_imbalance),
 )
 
 
 @final
-class AlarmWatch:
+class AlarmEvaluator:
     """Remembers since when each alarm's test has held."""
 
     def __init__(self, *, rules: Sequence[AlarmRule] = ALARMS) -> None:
@@ -137,7 +137,7 @@
         """
         raised = []
         for rule in self._rules:
-            detail = rule.test(state, servers)
+            detail = rule.condition(state, servers)
             if detail is None:
                 self._since_s.pop(rule.name, None)
                 continue
--- a/src/gentianwharf/daemon/_state.py
+++ b/src/gentianwharf/daemon/_state.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import final
 
-from gentianwharf.admin import AlarmWatch, DaemonState, Measures
+from gentianwharf.admin import AlarmEvaluator, DaemonState, Measures
 from gentianwharf.logs import log
 from gentianwharf.ownership import OwnershipState, OwnershipSystem
 from gentianwharf.topology import Service
@@ -66,7 +66,7 @@
         self._parts = parts
         self._servers = servers
         self._why_not_ready = why_not_ready
-        self._alarms = AlarmWatch()
+        self._alarms = AlarmEvaluator()
         self._owners = OwnerChanges(on_moved=parts.recorder.moved)
         self._state: DaemonState | None = None
         self._begun_s = parts.reactor.seconds()
--- a/tests/test_admin_alarms.py
+++ b/tests/test_admin_alarms.py
@@ -5,7 +5,13 @@
 
 import pytest
 
-from gentianwharf.admin import ALARMS, AlarmWatch, DaemonState, Measures, ServerStatus
+from gentianwharf.admin import (
+    ALARMS,
+    AlarmEvaluator,
+    DaemonState,
+    Measures,
+    ServerStatus,
+)
 from tests.builders_admin import FakeDaemon, server_status
 
 WELL = replace(FakeDaemon().state(), alarms=())
@@ -15,7 +21,7 @@
 def raised(
     state: DaemonState, servers: list[ServerStatus], *, after_s: float
 ) -> dict[str, str]:
-    watch = AlarmWatch()
+    watch = AlarmEvaluator()
     watch.update(state, servers, now_s=100.0)
     found = watch.update(state, servers, now_s=100.0 + after_s)
     return {one.name: one.detail for one in found.alarms}
@@ -111,7 +117,7 @@
 
 
 def test_interrupted_state_starts_anew() -> None:
-    watch = AlarmWatch()
+    watch = AlarmEvaluator()
     unready = replace(WELL, ready=False)
     for now_s, state in [(0.0, unready), (9.0, WELL), (10.0, unready), (19.0, unready)]:
         assert watch.update(state, SERVERS, now_s=now_s).alarms == ()
