--- a/src/gentianwharf/admin/_app.py
+++ b/src/gentianwharf/admin/_app.py
@@ -269,7 +269,7 @@
         request_id = argument(request, "request_id")
         if request_id is not None:
             return reply_json(request, await self._decisions.find(request_id))
-        kept = self._decisions.latest(refused_only=refused_only, most=most)
+        kept = self._decisions.latest(refused_only=refused_only, limit=most)
         return reply_json(request, kept)
 
     @app.handle_errors(GentianwharfError)
--- a/src/gentianwharf/admin/_protocols.py
+++ b/src/gentianwharf/admin/_protocols.py
@@ -276,7 +276,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeptDecisions:
+class RetainedDecisions:
     """Decisions, the newest first, each with its ``host``.
 
     ``silent`` are the listed hosts that were asked and did not answer, with reasons.
@@ -289,11 +289,11 @@
 class DecisionsView(Protocol):
     """Why requests went where they went."""
 
-    def latest(self, *, refused_only: bool, most: int) -> KeptDecisions:
-        """Return this host's newest kept decisions, at most ``most``.
+    def latest(self, *, refused_only: bool, limit: int) -> RetainedDecisions:
+        """Return this host's newest kept decisions, at most ``limit``.
 
         ``refused_only`` leaves out all that were neither refused nor unknown.
         """
 
-    async def find(self, request_id: str) -> KeptDecisions:
+    async def find(self, request_id: str) -> RetainedDecisions:
         """Return what any listed host keeps on a request."""
--- a/src/gentianwharf/daemon/_decisions.py
+++ b/src/gentianwharf/daemon/_decisions.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from gentianwharf.admin import JsonValue, KeptDecisions
+from gentianwharf.admin import JsonValue, RetainedDecisions
 from gentianwharf.metrics import Decision, Recorder
 from gentianwharf.spread import PeerQueries
 
@@ -42,16 +42,18 @@
             DECISION, lambda request_id: _encoder.encode(self._own(request_id))
         )
 
-    def latest(self, *, refused_only: bool, most: int) -> KeptDecisions:
+    def latest(self, *, refused_only: bool, limit: int) -> RetainedDecisions:
         """Return this host's newest kept decisions."""
-        kept = self._recorder.decisions.latest(most=most, always_kept_only=refused_only)
-        return KeptDecisions(decisions=[self._told(one) for one in kept], silent={})
+        kept = self._recorder.decisions.latest(
+            most=limit, always_kept_only=refused_only
+        )
+        return RetainedDecisions(decisions=[self._told(one) for one in kept], silent={})
 
-    async def find(self, request_id: str) -> KeptDecisions:
+    async def find(self, request_id: str) -> RetainedDecisions:
         """Return what this host keeps on a request, else what any other does."""
         found = self._own(request_id)
         if found:
-            return KeptDecisions(decisions=found, silent={})
+            return RetainedDecisions(decisions=found, silent={})
 
         def take(host: str, answer: bytes) -> None:
             kept = read_answer(
@@ -71,7 +73,7 @@
             host_timeout_s=HOST_TIMEOUT_S,
             timeout_s=TIMEOUT_S,
         )
-        return KeptDecisions(
+        return RetainedDecisions(
             decisions=cast("list[dict[str, JsonValue]]", found), silent=silent
         )
 
--- a/tests/builders_admin.py
+++ b/tests/builders_admin.py
@@ -16,9 +16,9 @@
     HostRules,
     HostRulesStatus,
     JsonValue,
-    KeptDecisions,
     KeyOwner,
     Measures,
+    RetainedDecisions,
     RolloutStatus,
     ServerStatus,
 )
@@ -258,16 +258,16 @@
             [objective], [count], hosts=["lac-1"], silent=self.silent
         ).as_builtins()
 
-    def latest(self, *, refused_only: bool, most: int) -> KeptDecisions:
+    def latest(self, *, refused_only: bool, limit: int) -> RetainedDecisions:
         """See ``DecisionsView``."""
-        self.decision_calls.append((None, refused_only, most))
-        return KeptDecisions(decisions=[DECISION], silent={})
+        self.decision_calls.append((None, refused_only, limit))
+        return RetainedDecisions(decisions=[DECISION], silent={})
 
-    async def find(self, request_id: str) -> KeptDecisions:
+    async def find(self, request_id: str) -> RetainedDecisions:
         """See ``DecisionsView``."""
         self.decision_calls.append((request_id, False, 1))
         decisions = [] if request_id == "nowhere" else [DECISION]
-        return KeptDecisions(
+        return RetainedDecisions(
             decisions=decisions, silent={one.host: one.reason for one in self.silent}
         )
 
