--- a/src/gentianwharf/admin/__init__.py
+++ b/src/gentianwharf/admin/__init__.py
@@ -25,7 +25,7 @@
     ServerStatus,
     StateView,
 )
-from ._replies import Problem, encode_json
+from ._replies import ProblemType, encode_json
 
 __all__ = [
     "ALARMS",
@@ -46,7 +46,7 @@
     "KeyOwner",
     "KeysControl",
     "Measures",
-    "Problem",
+    "ProblemType",
     "RetainedDecisions",
     "RolloutStatus",
     "RulesControl",
--- a/src/gentianwharf/admin/_app.py
+++ b/src/gentianwharf/admin/_app.py
@@ -31,7 +31,7 @@
     ServersControl,
     StateView,
 )
-from ._replies import Problem, reply_error, reply_json, reply_problem
+from ._replies import ProblemType, reply_error, reply_json, reply_problem
 from ._requests import (
     ExplainBody,
     MoveBody,
@@ -136,7 +136,7 @@
         rules = self._rules.in_force()
         if rules is None:
             return reply_problem(
-                request, Problem.NOT_FOUND, "no rules are in force on this host yet"
+                request, ProblemType.NOT_FOUND, "no rules are in force on this host yet"
             )
         answer = {"revision": rules.revision, "document": rules.document}
         return reply_json(request, answer)
@@ -183,7 +183,7 @@
         rules = self._rules.in_force()
         if rules is None:
             return reply_problem(
-                request, Problem.NOT_FOUND, "no rules are in force on this host yet"
+                request, ProblemType.NOT_FOUND, "no rules are in force on this host yet"
             )
         explanation = explain(rules, body.facts())
         owner: KeyOwner | None = None
@@ -284,7 +284,7 @@
         """Answer for an unknown path or a method that the path does not take."""
         return reply_problem(
             request,
-            Problem.NOT_FOUND,
+            ProblemType.NOT_FOUND,
             f"nothing answers {request.method.decode('latin-1')} on this path;"
             " docs/OPERATIONS.md lists what does",
         )
@@ -294,5 +294,7 @@
         """Log a fault of ours; the answer keeps its text back."""
         log.error("admin request failed: {}", failure.getTraceback())
         return reply_problem(
-            request, Problem.INTERNAL, "a fault of the daemon; its log has the trace"
+            request,
+            ProblemType.INTERNAL,
+            "a fault of the daemon; its log has the trace",
         )
--- a/src/gentianwharf/admin/_changes.py
+++ b/src/gentianwharf/admin/_changes.py
@@ -9,7 +9,7 @@
 
 from gentianwharf.rules import ApplyResult, RulesConflict, RulesRefused
 
-from ._replies import Problem, reply_json, reply_problem
+from ._replies import ProblemType, reply_json, reply_problem
 
 Result = TypeVar("Result")
 log = Logger("gentianwharf.admin")
@@ -20,7 +20,7 @@
     if isinstance(result, RulesRefused):
         return reply_problem(
             request,
-            Problem.INPUT,
+            ProblemType.INPUT,
             f"the rule document has {len(result.findings)} findings; nothing was"
             " written",
             findings=result.findings,
@@ -28,7 +28,7 @@
     if isinstance(result, RulesConflict):
         return reply_problem(
             request,
-            Problem.CONFLICT,
+            ProblemType.CONFLICT,
             f"{result.current.author} was faster: the rules are at revision"
             f" {result.current.revision}, this document was edited from"
             f" {result.edited_from_revision}; nothing of it was written",
--- a/src/gentianwharf/admin/_guard.py
+++ b/src/gentianwharf/admin/_guard.py
@@ -7,7 +7,7 @@
 from twisted.web.server import Request
 
 from ._access import TokenAccess
-from ._replies import Problem, reply_problem
+from ._replies import ProblemType, reply_problem
 
 OPEN_PATHS = frozenset({b"/livez", b"/readyz"})
 READ_METHODS = frozenset({b"GET", b"HEAD"})
@@ -31,19 +31,21 @@
         if not self._access.allows(request):
             return reply_problem(
                 request,
-                Problem.UNAUTHORIZED,
+                ProblemType.UNAUTHORIZED,
                 "expected the header Authorization: Bearer TOKEN with the token of"
                 " the daemon's settings",
             )
         if not _names_an_address(request):
             return reply_problem(
                 request,
-                Problem.UNAUTHORIZED,
+                ProblemType.UNAUTHORIZED,
                 "expected an IP number in the header Host: host names are not served",
             )
         if request.method not in READ_METHODS and not _is_json(request):
             return reply_problem(
-                request, Problem.MEDIA_TYPE, "expected content-type application/json"
+                request,
+                ProblemType.MEDIA_TYPE,
+                "expected content-type application/json",
             )
         return self._inner.render(request)
 
--- a/src/gentianwharf/admin/_replies.py
+++ b/src/gentianwharf/admin/_replies.py
@@ -17,7 +17,7 @@
 )
 
 
-class Problem(StrEnum):
+class ProblemType(StrEnum):
     """Kinds of problem, as the last part of the problem's ``type``."""
 
     UNAUTHORIZED = "unauthorized"
@@ -33,24 +33,24 @@
 
 
 _STATUS = {
-    Problem.UNAUTHORIZED: 401,
-    Problem.INPUT: 422,
-    Problem.NOT_FOUND: 404,
-    Problem.MEDIA_TYPE: 415,
-    Problem.TOO_LARGE: 413,
-    Problem.REFUSED: 409,
-    Problem.CONFLICT: 409,
-    Problem.UNAVAILABLE: 503,
-    Problem.OUTCOME_UNKNOWN: 504,
-    Problem.INTERNAL: 500,
+    ProblemType.UNAUTHORIZED: 401,
+    ProblemType.INPUT: 422,
+    ProblemType.NOT_FOUND: 404,
+    ProblemType.MEDIA_TYPE: 415,
+    ProblemType.TOO_LARGE: 413,
+    ProblemType.REFUSED: 409,
+    ProblemType.CONFLICT: 409,
+    ProblemType.UNAVAILABLE: 503,
+    ProblemType.OUTCOME_UNKNOWN: 504,
+    ProblemType.INTERNAL: 500,
 }
 
-_KINDS: tuple[tuple[type[GentianwharfError], Problem], ...] = (
-    (InputError, Problem.INPUT),
-    (RefusedError, Problem.REFUSED),
-    (ConflictError, Problem.CONFLICT),
-    (PeerUnavailableError, Problem.UNAVAILABLE),
-    (OutcomeUnknownError, Problem.OUTCOME_UNKNOWN),
+_KINDS: tuple[tuple[type[GentianwharfError], ProblemType], ...] = (
+    (InputError, ProblemType.INPUT),
+    (RefusedError, ProblemType.REFUSED),
+    (ConflictError, ProblemType.CONFLICT),
+    (PeerUnavailableError, ProblemType.UNAVAILABLE),
+    (OutcomeUnknownError, ProblemType.OUTCOME_UNKNOWN),
 )
 
 
@@ -79,13 +79,13 @@
 
 
 def reply_problem(
-    request: Request, kind: Problem, detail: str, **more: object
+    request: Request, kind: ProblemType, detail: str, **more: object
 ) -> bytes:
     """Answer ``request`` with a problem; ``more`` adds members to it."""
     status = _STATUS[kind]
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/problem+json")
-    if kind is Problem.UNAUTHORIZED:
+    if kind is ProblemType.UNAUTHORIZED:
         request.setHeader(b"www-authenticate", b"Bearer")
     problem = {
         "type": f"urn:gentianwharf:{kind}",
@@ -100,6 +100,6 @@
     """Answer ``request`` with an error's message, step and peer."""
     kind = next(
         (kind for error_type, kind in _KINDS if isinstance(error, error_type)),
-        Problem.INTERNAL,
+        ProblemType.INTERNAL,
     )
     return reply_problem(request, kind, error.message, step=error.step, peer=error.peer)
--- a/src/gentianwharf/admin/_site.py
+++ b/src/gentianwharf/admin/_site.py
@@ -6,7 +6,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Request, Site
 
-from ._replies import Problem, reply_problem
+from ._replies import ProblemType, reply_problem
 
 MOST_BODY_BYTES = 1024 * 1024
 """Four times the largest rule document: comments and indentation take room."""
@@ -40,7 +40,7 @@
         if isinstance(self.content, _BoundedBody) and self.content.overflowed:
             body = reply_problem(
                 self,
-                Problem.TOO_LARGE,
+                ProblemType.TOO_LARGE,
                 f"the body is larger than {MOST_BODY_BYTES} bytes",
             )
             self.write(body)
--- a/src/gentianwharf/cli/_client.py
+++ b/src/gentianwharf/cli/_client.py
@@ -10,7 +10,7 @@
 from twisted.internet import error as network
 from twisted.web.client import HTTPConnectionPool
 
-from gentianwharf.admin import Problem
+from gentianwharf.admin import ProblemType
 from gentianwharf.errors import (
     GentianwharfError,
     OutcomeUnknownError,
@@ -158,9 +158,9 @@
         except ValidationError as error:
             raise self._strange(status, path) from error
         step, peer = reply.step or _step(path), reply.peer or self._url
-        if reply.kind == Problem.UNAVAILABLE:
+        if reply.kind == ProblemType.UNAVAILABLE:
             raise PeerUnavailableError(reply.detail, step=step, peer=peer)
-        if reply.kind == Problem.OUTCOME_UNKNOWN:
+        if reply.kind == ProblemType.OUTCOME_UNKNOWN:
             raise OutcomeUnknownError(reply.detail, step=step, peer=peer)
         raise ProblemError(reply, step=step, peer=peer)
 
