--- a/src/gentianwharf/admin/_app.py
+++ b/src/gentianwharf/admin/_app.py
@@ -110,7 +110,7 @@
     @app.route("/readyz", methods=["GET"])
     def readyz(self, request: Request) -> bytes:
         """Answer 200 when the balancer may send requests here."""
-        reasons = list(self._state.why_not_ready())
+        reasons = list(self._state.unready_reasons())
         answer = {"ready": not reasons, "reasons": reasons}
         return reply_json(request, answer, status=503 if reasons else 200)
 
@@ -241,7 +241,7 @@
     @app.route("/domains/<domain>/declare-lost", methods=["GET"])
     def domain_loss(self, request: Request, domain: str) -> bytes:
         """Say what declaring a failure domain lost would risk."""
-        return reply_json(request, self._domains.loss(domain))
+        return reply_json(request, self._domains.preview_loss(domain))
 
     @app.route("/domains/<domain>/declare-lost", methods=["POST"])
     async def declare_lost(self, request: Request, domain: str) -> bytes:
--- a/src/gentianwharf/admin/_protocols.py
+++ b/src/gentianwharf/admin/_protocols.py
@@ -81,7 +81,7 @@
     def is_live(self) -> bool:
         """Return False when only a restart helps."""
 
-    def why_not_ready(self) -> Sequence[str]:
+    def unready_reasons(self) -> Sequence[str]:
         """Return why the balancer should send no request here; empty when ready."""
 
     def state(self) -> DaemonState:
@@ -260,7 +260,7 @@
 class DomainsControl(Protocol):
     """Failure domains that an operator may declare lost."""
 
-    def loss(self, domain: str) -> DomainLoss:
+    def preview_loss(self, domain: str) -> DomainLoss:
         """Return what it would do and risk, without doing it."""
 
     async def declare_lost(self, domain: str, author: str) -> DomainLoss:
--- a/src/gentianwharf/daemon/_state.py
+++ b/src/gentianwharf/daemon/_state.py
@@ -87,7 +87,7 @@
         """Return True: whoever can answer this needs no restart."""
         return True
 
-    def why_not_ready(self) -> Sequence[str]:
+    def unready_reasons(self) -> Sequence[str]:
         """Return why the balancer should send no request here."""
         return self._why_not_ready()
 
--- a/src/gentianwharf/daemon/_views.py
+++ b/src/gentianwharf/daemon/_views.py
@@ -274,7 +274,7 @@
         self._services = services
         self._domains = {domain.name: domain for domain in domains}
 
-    def loss(self, domain: str) -> DomainLoss:
+    def preview_loss(self, domain: str) -> DomainLoss:
         """Return what it would do and risk, without doing it."""
         return self._loss(domain, declared=False)
 
--- a/tests/builders_admin.py
+++ b/tests/builders_admin.py
@@ -108,7 +108,7 @@
         """See ``StateView``."""
         return self.live
 
-    def why_not_ready(self) -> Sequence[str]:
+    def unready_reasons(self) -> Sequence[str]:
         """See ``StateView``."""
         return self.reasons
 
@@ -212,7 +212,7 @@
             ListedHost(id="lac-1", domain="lac", address="127.0.0.1", leaving=False)
         ]
 
-    def loss(self, domain: str) -> DomainLoss:
+    def preview_loss(self, domain: str) -> DomainLoss:
         """See ``DomainsControl``."""
         return DomainLoss(
             domain=domain,
@@ -225,7 +225,7 @@
     async def declare_lost(self, domain: str, author: str) -> DomainLoss:
         """See ``DomainsControl``."""
         self.calls.append(("declare-lost", domain, author))
-        return self.loss(domain)
+        return self.preview_loss(domain)
 
     async def rollout_status(
         self, *, revision: int | None, wait_s: float
