--- a/src/gentianwharf/admin/__init__.py
+++ b/src/gentianwharf/admin/__init__.py
@@ -1,6 +1,6 @@
 """The daemon's admin port: health, state and the operator's commands over HTTP."""
 
-from ._access import TokenAccess, read_token, token_of
+from ._access import TokenAuthenticator, configured_token, read_token
 from ._alarms import ALARMS, AlarmEvaluator, AlarmRule
 from ._app import AdminApp
 from ._protocols import (
@@ -53,8 +53,8 @@
     "ServerStatus",
     "ServersControl",
     "StateView",
-    "TokenAccess",
+    "TokenAuthenticator",
+    "configured_token",
     "encode_json",
     "read_token",
-    "token_of",
 ]
--- a/src/gentianwharf/admin/_access.py
+++ b/src/gentianwharf/admin/_access.py
@@ -37,7 +37,7 @@
     return token
 
 
-def token_of(*, token_file: str | None, directory: Path) -> str | None:
+def configured_token(*, token_file: str | None, directory: Path) -> str | None:
     """Return the token that settings in ``directory`` name, None when they name none.
 
     The settings' own check refuses that on any but a loopback address.
@@ -46,13 +46,13 @@
 
 
 @final
-class TokenAccess:
+class TokenAuthenticator:
     """Lets in who knows the token; everybody when there is none (loopback only)."""
 
     def __init__(self, *, token: str | None) -> None:
         self._expected = None if token is None else f"Bearer {token}".encode()
 
-    def allows(self, request: Request) -> bool:
+    def is_authorized(self, request: Request) -> bool:
         """Compare in constant time: a plain comparison tells how much was right."""
         if self._expected is None:
             return True
--- a/src/gentianwharf/admin/_app.py
+++ b/src/gentianwharf/admin/_app.py
@@ -16,7 +16,7 @@
 from gentianwharf.errors import GentianwharfError, InputError
 from gentianwharf.rules import RuleDocument, explain
 
-from ._access import TokenAccess
+from ._access import TokenAuthenticator
 from ._changes import reply_applied, to_the_end
 from ._guard import GuardedResource
 from ._protocols import (
@@ -90,11 +90,13 @@
         self._burn = burn
         self._decisions = decisions
         self._metrics = metrics
-        self._access = TokenAccess(token=token)
+        self._authenticator = TokenAuthenticator(token=token)
 
     def resource(self) -> Resource:
         """Return the guarded routes."""
-        return GuardedResource(inner=self.app.resource(), access=self._access)
+        return GuardedResource(
+            inner=self.app.resource(), authenticator=self._authenticator
+        )
 
     def site(self) -> Site:
         """Return the site to listen with; it bounds the size of bodies."""
--- a/src/gentianwharf/admin/_guard.py
+++ b/src/gentianwharf/admin/_guard.py
@@ -6,7 +6,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Request
 
-from ._access import TokenAccess
+from ._access import TokenAuthenticator
 from ._replies import ProblemType, reply_problem
 
 OPEN_PATHS = frozenset({b"/livez", b"/readyz"})
@@ -19,16 +19,16 @@
 
     isLeaf = True
 
-    def __init__(self, *, inner: Resource, access: TokenAccess) -> None:
+    def __init__(self, *, inner: Resource, authenticator: TokenAuthenticator) -> None:
         super().__init__()
         self._inner = inner
-        self._access = access
+        self._authenticator = authenticator
 
     def render(self, request: Request) -> Any:
         """Let the request through to the routes, or answer it here."""
         if request.path in OPEN_PATHS:
             return self._inner.render(request)
-        if not self._access.allows(request):
+        if not self._authenticator.is_authorized(request):
             return reply_problem(
                 request,
                 ProblemType.UNAUTHORIZED,
--- a/tests/test_admin_access.py
+++ b/tests/test_admin_access.py
@@ -4,15 +4,18 @@
 
 import pytest
 
-from gentianwharf.admin import read_token, token_of
+from gentianwharf.admin import configured_token, read_token
 from gentianwharf.errors import InputError
 
 
 @pytest.mark.parametrize("text", ["a-token-of-some-length", "a-token-of-some-length\n"])
 def test_token_is_one_line_of_a_file(tmp_path: Path, text: str) -> None:
     (tmp_path / "token").write_text(text)
-    assert token_of(token_file="token", directory=tmp_path) == "a-token-of-some-length"
-    assert token_of(token_file=None, directory=tmp_path) is None
+    assert (
+        configured_token(token_file="token", directory=tmp_path)
+        == "a-token-of-some-length"
+    )
+    assert configured_token(token_file=None, directory=tmp_path) is None
 
 
 @pytest.mark.parametrize(
