--- a/src/gentianwharf/cli/__init__.py
+++ b/src/gentianwharf/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's tool ``gentianwharf``."""
+"""The operators' command-line tool ``gentianwharf``."""
 
 from ._app import main
 from ._exit_codes import ExitCode
--- a/src/gentianwharf/cli/__main__.py
+++ b/src/gentianwharf/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Run the operator's tool as ``python -m gentianwharf.cli``."""
+"""Entry point of ``python -m gentianwharf.cli``."""
 
 from . import main
 
--- a/src/gentianwharf/cli/_app.py
+++ b/src/gentianwharf/cli/_app.py
@@ -1,4 +1,4 @@
-"""The command line of ``gentianwharf``; what commands do is in the other modules."""
+"""Command-line options of ``gentianwharf``; other modules implement the commands."""
 
 import sys
 import traceback
@@ -12,9 +12,9 @@
 from gentianwharf import __version__
 from gentianwharf.errors import InputError
 
-from . import _apply, _decisions, _everywhere, _files, _fleet, _logs, _rules, _status
+from . import _apply, _decisions, _files, _fleet, _logs, _rollout, _rules, _status
 from ._exit_codes import ExitCode
-from ._session import Common, run, terminal
+from ._session import CommonOptions, run, standard_terminal
 
 Flag = Annotated[bool, Parameter(negative="")]
 InForce = Annotated[
@@ -53,7 +53,7 @@
         help="Longest wait in seconds.",
     ),
 ]
-Most = Annotated[
+Limit = Annotated[
     int,
     Parameter(
         validator=validators.Number(gte=1, lte=1000), help="How many at the most."
@@ -71,7 +71,7 @@
 ]
 RequestKey = Annotated[str | None, Parameter(help="The request's Gentianwharf-Key.")]
 Page = Annotated[Path | None, Parameter(help="File for the page.")]
-NO_OPTIONS = Common()
+DEFAULT_OPTIONS = CommonOptions()
 
 app = App(
     name="gentianwharf",
@@ -86,7 +86,7 @@
 domains_app = App(name="domains", help="Failure domains.")
 report_app = App(name="report", help="Reports.")
 logs_app = App(name="logs", help="Log files of hosts.")
-for _part in (
+for _group in (
     settings_app,
     rules_app,
     keys_app,
@@ -96,38 +96,44 @@
     report_app,
     logs_app,
 ):
-    app.command(_part)
+    app.command(_group)
 
 
-def _locally(work: Callable[[], ExitCode]) -> int:
-    """Run what needs no daemon; a mistake in a file is refused."""
+def _run_locally(action: Callable[[], ExitCode]) -> int:
+    """Run a command that needs no daemon; invalid input exits with ``REFUSED``."""
     try:
-        return work()
+        return action()
     except InputError as error:
-        terminal().problem(str(error))
+        standard_terminal().problem(str(error))
         return ExitCode.REFUSED
 
 
 @settings_app.command(name="check")
 def settings_check(file: Path, /, *, json: Flag = False) -> int:
     """Check a settings file; every mistake is named with its line."""
-    return _locally(partial(_files.check_settings, file, terminal(as_json=json)))
+    return _run_locally(
+        partial(_files.check_settings, file, standard_terminal(as_json=json))
+    )
 
 
 @rules_app.command(name="check")
 def rules_check(file: Path, /, *, settings: Path, json: Flag = False) -> int:
     """Check a rule file against a settings file; asks no daemon."""
-    return _locally(partial(_files.check_rules, file, settings, terminal(as_json=json)))
+    return _run_locally(
+        partial(_files.check_rules, file, settings, standard_terminal(as_json=json))
+    )
 
 
 @rules_app.command(name="show")
-def rules_show(*, in_force: InForce = False, common: Common = NO_OPTIONS) -> int:
+def rules_show(
+    *, in_force: InForce = False, common: CommonOptions = DEFAULT_OPTIONS
+) -> int:
     """Print the rules in the store as a file to edit and apply."""
     return run(common, partial(_rules.show, in_force=in_force))
 
 
 @rules_app.command(name="diff")
-def rules_diff(file: Path, /, *, common: Common = NO_OPTIONS) -> int:
+def rules_diff(file: Path, /, *, common: CommonOptions = DEFAULT_OPTIONS) -> int:
     """Print what applying a file would change."""
     return run(common, partial(_rules.diff, file=file))
 
@@ -141,7 +147,7 @@
     yes: Yes = False,
     wait: Wait = True,
     wait_s: WaitS = 20,
-    common: Common = NO_OPTIONS,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> int:
     """Put a rule file in force; exits 4 when another operator was faster."""
     return run(
@@ -150,20 +156,20 @@
             _apply.apply,
             file=file,
             edited_from=edited_from,
-            without_asking=yes,
+            assume_yes=yes,
             wait_s=wait_s if wait else 0,
         ),
     )
 
 
 @rules_app.command(name="status")
-def rules_status(*, common: Common = NO_OPTIONS) -> int:
+def rules_status(*, common: CommonOptions = DEFAULT_OPTIONS) -> int:
     """Print which revision of the rules each listed host has in force."""
-    return run(common, _everywhere.status)
+    return run(common, _rollout.status)
 
 
 @rules_app.command(name="history")
-def rules_history(*, common: Common = NO_OPTIONS) -> int:
+def rules_history(*, common: CommonOptions = DEFAULT_OPTIONS) -> int:
     """Print the versions of the rules still kept, newest first."""
     return run(common, _rules.history)
 
@@ -178,13 +184,13 @@
     query: str = "",
     header: Headers = (),
     key: RequestKey = None,
-    common: Common = NO_OPTIONS,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> int:
     """Say which rule decides a request, why others do not, and who owns its key."""
     try:
         headers = _rules.parse_headers(header)
     except InputError as error:
-        terminal().problem(error.message)
+        standard_terminal().problem(error.message)
         return ExitCode.USAGE
     bare_path, _, written_query = path.partition("?")
     request = {
@@ -199,14 +205,16 @@
 
 
 @keys_app.command(name="owner")
-def keys_owner(service: str, key: str, /, *, common: Common = NO_OPTIONS) -> int:
+def keys_owner(
+    service: str, key: str, /, *, common: CommonOptions = DEFAULT_OPTIONS
+) -> int:
     """Print who owns a key."""
     return run(common, partial(_fleet.key_owner, service=service, key=key))
 
 
 @keys_app.command(name="move")
 def keys_move(
-    service: str, key: str, server: str, /, *, common: Common = NO_OPTIONS
+    service: str, key: str, server: str, /, *, common: CommonOptions = DEFAULT_OPTIONS
 ) -> int:
     """Move the key's shard to a server."""
     return run(
@@ -222,43 +230,45 @@
     /,
     *,
     off: Flag = False,
-    common: Common = NO_OPTIONS,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> int:
     """Give a key an entry of its own on a server, or take it away with --off."""
     if (server is None) != off:
-        terminal().problem("keys pin: expected either a server or --off")
+        standard_terminal().problem("keys pin: expected either a server or --off")
         return ExitCode.USAGE
     return run(common, partial(_fleet.pin_key, service=service, key=key, server=server))
 
 
 @servers_app.command(name="list")
-def servers_list(*, service: str | None = None, common: Common = NO_OPTIONS) -> int:
+def servers_list(
+    *, service: str | None = None, common: CommonOptions = DEFAULT_OPTIONS
+) -> int:
     """Print the backend servers as this daemon sees them."""
     return run(common, partial(_fleet.list_servers, service=service))
 
 
 @servers_app.command(name="drain")
-def servers_drain(server: str, /, *, common: Common = NO_OPTIONS) -> int:
+def servers_drain(server: str, /, *, common: CommonOptions = DEFAULT_OPTIONS) -> int:
     """Give a server no new work and move its shards away."""
     return run(common, partial(_fleet.drain_server, server=server))
 
 
 @hosts_app.command(name="list")
-def hosts_list(*, common: Common = NO_OPTIONS) -> int:
+def hosts_list(*, common: CommonOptions = DEFAULT_OPTIONS) -> int:
     """Print the platform's list of live and leaving hosts, which lags."""
     return run(common, _fleet.list_hosts)
 
 
 @domains_app.command(name="declare-lost")
 def domains_declare_lost(
-    domain: str, /, *, yes: Flag = False, common: Common = NO_OPTIONS
+    domain: str, /, *, yes: Flag = False, common: CommonOptions = DEFAULT_OPTIONS
 ) -> int:
     """Let other domains take over a failure domain's keys; says the risk and asks."""
-    return run(common, partial(_fleet.declare_lost, domain=domain, without_asking=yes))
+    return run(common, partial(_fleet.declare_lost, domain=domain, assume_yes=yes))
 
 
 @app.command(name="status")
-def status(*, common: Common = NO_OPTIONS) -> int:
+def status(*, common: CommonOptions = DEFAULT_OPTIONS) -> int:
     """Print a daemon's state, the three measures and its alarms."""
     return run(common, _status.status)
 
@@ -268,14 +278,14 @@
     *,
     request_id: RequestId = None,
     refused: Refused = False,
-    most: Most = 20,
-    common: Common = NO_OPTIONS,
+    most: Limit = 20,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> int:
     """Print why requests went where they did, waited or were refused."""
     return run(
         common,
         partial(
-            _decisions.decisions, request_id=request_id, refused=refused, most=most
+            _decisions.decisions, request_id=request_id, refused=refused, limit=most
         ),
     )
 
@@ -283,12 +293,14 @@
 @logs_app.command(name="explain")
 def logs_explain(request_id: str, /, *files: Path, json: Flag = False) -> int:
     """Print what log files of hosts tell of a request; asks no daemon."""
-    return _locally(partial(_logs.explain, request_id, files, terminal(as_json=json)))
+    return _run_locally(
+        partial(_logs.explain, request_id, files, standard_terminal(as_json=json))
+    )
 
 
 @report_app.command(name="burn")
 def report_burn(
-    *, html: Page = None, host: BurnHost = None, common: Common = NO_OPTIONS
+    *, html: Page = None, host: BurnHost = None, common: CommonOptions = DEFAULT_OPTIONS
 ) -> int:
     """Print the service-level burn of all hosts, or write it as a page."""
     return run(common, partial(_status.burn, html=html, host=host))
@@ -302,7 +314,7 @@
     except CycloptsError:
         sys.exit(ExitCode.USAGE)
     except Exception:
-        # Python's own exit code would be 1, which says that nothing took effect.
+        # Python's default exit code is 1, which means that nothing took effect.
         traceback.print_exc()
         sys.exit(ExitCode.FAULT)
     sys.exit(code if isinstance(code, int) else ExitCode.DONE)
--- a/src/gentianwharf/cli/_client.py
+++ b/src/gentianwharf/cli/_client.py
@@ -1,4 +1,4 @@
-"""The operator's side of the admin port."""
+"""HTTP client of the admin port."""
 
 import json
 from collections.abc import Mapping
@@ -21,28 +21,29 @@
 CONNECT_TIMEOUT_S = 5.0
 READ_TIMEOUT_S = 10.0
 WRITE_TIMEOUT_S = 35.0
-"""Above the 28 s that a daemon may take to settle a write with a silent store."""
+"""Above the 28 s that a daemon may take to determine whether a write took effect while
+the store does not answer."""
 
 
-class Http(Protocol):
-    """What is used of ``treq``'s client."""
+class HttpClient(Protocol):
+    """The part of ``treq``'s client that is used here."""
 
     def request(self, method: str, url: str, **options: Any) -> Any:
         """Send a request; returns a Deferred of the response."""
 
 
-def treq_http(reactor: Any) -> Http:
+def treq_client(reactor: Any) -> HttpClient:
     """Return a client on ``reactor``; it looks up no host names."""
     agent = ip_agent(
         reactor=reactor,
         pool=HTTPConnectionPool(reactor, persistent=False),
         connect_timeout_s=CONNECT_TIMEOUT_S,
     )
-    return cast(Http, HTTPClient(agent))
+    return cast(HttpClient, HTTPClient(agent))
 
 
 class ProblemReply(BaseModel):
-    """A problem as the admin port tells it; other members are kept."""
+    """A problem document of the admin port, with its extension members."""
 
     model_config = ConfigDict(extra="allow", frozen=True)
 
@@ -57,14 +58,14 @@
         """The last part of the type."""
         return self.type.rpartition(":")[2]
 
-    def member(self, name: str) -> Any:
-        """Return a member that only some problems have, None when absent."""
+    def extension_member(self, name: str) -> Any:
+        """Return a member that only some problem types have, None when absent."""
         return (self.model_extra or {}).get(name)
 
 
 @final
 class ProblemError(GentianwharfError):
-    """The daemon understood the request and said no; nothing took effect."""
+    """The daemon rejected the request with a problem; nothing took effect."""
 
     def __init__(self, reply: ProblemReply, *, step: str, peer: str) -> None:
         super().__init__(reply.detail, step=step, peer=peer)
@@ -76,7 +77,7 @@
     """Calls one daemon's admin port."""
 
     def __init__(
-        self, *, http: Http, url: str, token: str | None, operator: str
+        self, *, http: HttpClient, url: str, token: str | None, operator: str
     ) -> None:
         self._http = http
         self._url = url.rstrip("/")
@@ -91,19 +92,21 @@
         **query: str | int | None,
     ) -> Any:
         """Read JSON; raises ``PeerUnavailableError`` when nothing can be read."""
-        response, body = await self._exchange("GET", path, query, timeout_s=timeout_s)
+        response, body = await self._send_request(
+            "GET", path, query, timeout_s=timeout_s
+        )
         return self._decode(response.code, body, path)
 
     async def send(
         self, method: str, *path: str, body: Any, **query: str | int | None
     ) -> Any:
-        """Ask for a change; ``OutcomeUnknownError`` when its answer was lost."""
-        response, answer = await self._exchange(
+        """Request a change; raises ``OutcomeUnknownError`` when the answer is lost."""
+        response, answer = await self._send_request(
             method, path, query, timeout_s=WRITE_TIMEOUT_S, body=body
         )
         return self._decode(response.code, answer, path)
 
-    async def _exchange(
+    async def _send_request(
         self,
         method: str,
         path: tuple[str, ...],
@@ -114,7 +117,9 @@
     ) -> tuple[Any, bytes]:
         options: dict[str, Any] = {
             "headers": dict(self._headers),
-            "params": {key: str(one) for key, one in query.items() if one is not None},
+            "params": {
+                name: str(value) for name, value in query.items() if value is not None
+            },
             "timeout": timeout_s,
         }
         if method != "GET":
@@ -125,12 +130,12 @@
             response = await self._http.request(method, url, **options)
             return response, await response.content()
         except network.ConnectError as error:
-            raise self._unreachable(path, str(error)) from error
+            raise self._unreachable_error(path, str(error)) from error
         except Exception as error:
-            # Whatever the connection died of, a change may have taken effect by then.
+            # Whatever broke the connection, the change may already have taken effect.
             text = str(error) or type(error).__name__
             if method == "GET":
-                raise self._unreachable(path, text) from error
+                raise self._unreachable_error(path, text) from error
             raise OutcomeUnknownError(
                 f"the daemon's answer was lost ({text}): the change may have taken"
                 " effect",
@@ -138,7 +143,9 @@
                 peer=self._url,
             ) from error
 
-    def _unreachable(self, path: tuple[str, ...], text: str) -> PeerUnavailableError:
+    def _unreachable_error(
+        self, path: tuple[str, ...], text: str
+    ) -> PeerUnavailableError:
         return PeerUnavailableError(
             f"the daemon can't be reached: {text}; check --admin and that the daemon"
             " runs",
@@ -150,13 +157,13 @@
         try:
             value = json.loads(body)
         except ValueError as error:
-            raise self._strange(status, path) from error
+            raise self._unexpected_answer_error(status, path) from error
         if status < 400:
             return value
         try:
             reply = ProblemReply.model_validate(value)
         except ValidationError as error:
-            raise self._strange(status, path) from error
+            raise self._unexpected_answer_error(status, path) from error
         step, peer = reply.step or _step(path), reply.peer or self._url
         if reply.kind == ProblemType.UNAVAILABLE:
             raise PeerUnavailableError(reply.detail, step=step, peer=peer)
@@ -164,9 +171,11 @@
             raise OutcomeUnknownError(reply.detail, step=step, peer=peer)
         raise ProblemError(reply, step=step, peer=peer)
 
-    def _strange(self, status: int, path: tuple[str, ...]) -> PeerUnavailableError:
+    def _unexpected_answer_error(
+        self, status: int, path: tuple[str, ...]
+    ) -> PeerUnavailableError:
         return PeerUnavailableError(
-            f"the answer (status {status}) is not a daemon's; check --admin",
+            f"unexpected answer (status {status}), not from a daemon; check --admin",
             step=_step(path),
             peer=self._url,
         )
--- a/src/gentianwharf/cli/_decisions.py
+++ b/src/gentianwharf/cli/_decisions.py
@@ -1,4 +1,4 @@
-"""``gentianwharf decisions``: why requests went, waited or were refused."""
+"""``gentianwharf decisions``: why requests were sent, queued or refused."""
 
 from typing import Any
 
@@ -9,41 +9,41 @@
 
 async def decisions(
     client: AdminClient,
-    shown: Terminal,
+    terminal: Terminal,
     *,
     request_id: str | None,
     refused: bool,
-    most: int,
+    limit: int,
 ) -> ExitCode:
-    """Print the asked daemon's kept decisions, or any host's on one request."""
+    """Print the decisions retained by the daemon, or by any host on one request."""
     found = await client.get(
         "decisions",
         request_id=request_id,
         refused_only="true" if refused else None,
-        most=most,
+        most=limit,
     )
-    kept = found["decisions"]
-    if shown.as_json:
-        shown.json(found)
-    elif kept:
-        _print(kept, shown)
+    retained = found["decisions"]
+    if terminal.as_json:
+        terminal.json(found)
+    elif retained:
+        _print(retained, terminal)
     else:
-        shown.note("no such decision is kept")
-    if kept or request_id is None:
+        terminal.note("no such decision is kept")
+    if retained or request_id is None:
         return ExitCode.DONE
     for host, reason in found["silent"].items():
-        shown.problem(f"{host} could not be asked: {reason}")
+        terminal.problem(f"{host} could not be asked: {reason}")
     if found["silent"]:
         return ExitCode.INCOMPLETE
-    shown.problem(
+    terminal.problem(
         f"no listed host keeps a decision on {request_id}: it was served and not"
         " sampled, or its host was replaced; see docs/OPERATIONS.md, Decisions"
     )
     return ExitCode.REFUSED
 
 
-def _print(kept: list[dict[str, Any]], shown: Terminal) -> None:
-    shown.table(
+def _print(retained: list[dict[str, Any]], terminal: Terminal) -> None:
+    terminal.table(
         [
             "host",
             "ago s",
@@ -58,17 +58,17 @@
         ],
         [
             [
-                one["host"],
-                round(one["ago_s"], 1),
-                one["request_id"],
-                one["service"] or None,
-                one["request_class"] or None,
-                one["rule"] or None,
-                one["server"] or None,
-                one["run"],
-                float(one["waited_s"]),
-                one["refused"] or "; ".join(one["reasons"]) or None,
+                decision["host"],
+                round(decision["ago_s"], 1),
+                decision["request_id"],
+                decision["service"] or None,
+                decision["request_class"] or None,
+                decision["rule"] or None,
+                decision["server"] or None,
+                decision["run"],
+                float(decision["waited_s"]),
+                decision["refused"] or "; ".join(decision["reasons"]) or None,
             ]
-            for one in kept
+            for decision in retained
         ],
     )
--- a/src/gentianwharf/cli/_exit_codes.py
+++ b/src/gentianwharf/cli/_exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the operator's tool."""
+"""Exit codes of the command-line tool."""
 
 from enum import IntEnum
 
@@ -11,13 +11,13 @@
 
 
 class ExitCode(IntEnum):
-    """What a script can tell from the exit code.
+    """Exit codes of every command.
 
-    ``UNREACHABLE`` also stands for a change whose outcome could not be learned; the
-    message then says how to find out. ``INCOMPLETE`` is a change that took effect and
-    is not in force on every host, or a read that lacks some. ``FAULT`` is a fault of
-    the tool itself, with a trace; 70 is what ``sysexits.h`` calls an internal software
-    error.
+    ``UNREACHABLE`` also stands for a change whose outcome is unknown; the message then
+    says how to find out. ``INCOMPLETE`` is a change that took effect and is not in
+    force on every host, or a report without the data of some hosts. ``FAULT`` is a
+    fault of the tool itself, printed with a traceback; its value 70 is ``EX_SOFTWARE``
+    (internal software error) of ``sysexits.h``.
     """
 
     DONE = 0
--- a/src/gentianwharf/cli/_files.py
+++ b/src/gentianwharf/cli/_files.py
@@ -1,4 +1,4 @@
-"""``gentianwharf settings check`` and ``rules check``, which ask no daemon."""
+"""``gentianwharf settings check`` and ``rules check``, which need no daemon."""
 
 from pathlib import Path
 
@@ -16,50 +16,50 @@
 from ._terminal import Terminal
 
 
-def check_settings(file: Path, shown: Terminal) -> ExitCode:
-    """Check a settings file, and against it the rule file that it names."""
+def check_settings(file: Path, terminal: Terminal) -> ExitCode:
+    """Check a settings file and the initial rule file that it names."""
     try:
         settings = load_settings(file)
         load_initial_rules(settings, directory=file.parent)
     except InputError as error:
-        if not shown.as_json:
+        if not terminal.as_json:
             raise
-        shown.json({"file": str(file), "mistakes": error.message.splitlines()})
+        terminal.json({"file": str(file), "mistakes": error.message.splitlines()})
         return ExitCode.REFUSED
-    if shown.as_json:
-        shown.json({"file": str(file), "mistakes": []})
+    if terminal.as_json:
+        terminal.json({"file": str(file), "mistakes": []})
         return ExitCode.DONE
-    shown.line(
+    terminal.line(
         f"{file}: {len(settings.services)} services in {len(settings.domains)}"
         " failure domains, no mistakes"
     )
     return ExitCode.DONE
 
 
-def check_rules(rules: Path, settings: Path, shown: Terminal) -> ExitCode:
+def check_rules(rules: Path, settings: Path, terminal: Terminal) -> ExitCode:
     """Check a rule file against a settings file, without a daemon."""
     scope = rule_scope_of(load_settings(settings))
     document, lines = load_rules_with_lines(rules)
     findings = RuleChecker(scope=scope).check(document)
-    refused = any(one.severity is Severity.ERROR for one in findings)
-    if shown.as_json:
-        shown.json(
+    refused = any(finding.severity is Severity.ERROR for finding in findings)
+    if terminal.as_json:
+        terminal.json(
             [
                 {
-                    "line": line_of_finding(one, lines),
-                    "severity": one.severity,
-                    "rule_number": one.rule_number,
-                    "rule_name": one.rule_name,
-                    "location": one.location,
-                    "found": one.found,
-                    "expected": one.expected,
+                    "line": line_of_finding(finding, lines),
+                    "severity": finding.severity,
+                    "rule_number": finding.rule_number,
+                    "rule_name": finding.rule_name,
+                    "location": finding.location,
+                    "found": finding.found,
+                    "expected": finding.expected,
                 }
-                for one in findings
+                for finding in findings
             ]
         )
     else:
-        for one in findings:
-            shown.line(f"{rules}: line {line_of_finding(one, lines)}: {one}")
+        for finding in findings:
+            terminal.line(f"{rules}: line {line_of_finding(finding, lines)}: {finding}")
         verdict = "refused" if refused else "can be applied"
-        shown.line(f"{rules}: {len(document.rules)} rules, {verdict}")
+        terminal.line(f"{rules}: {len(document.rules)} rules, {verdict}")
     return ExitCode.REFUSED if refused else ExitCode.DONE
--- a/src/gentianwharf/cli/_fleet.py
+++ b/src/gentianwharf/cli/_fleet.py
@@ -8,114 +8,122 @@
 
 
 async def key_owner(
-    client: AdminClient, shown: Terminal, *, service: str, key: str
+    client: AdminClient, terminal: Terminal, *, service: str, key: str
 ) -> ExitCode:
-    """Print who owns a key."""
-    _print_owner(await client.get("keys", service, "owner", key=key), shown)
+    """Print the owner of a key."""
+    _print_owner(await client.get("keys", service, "owner", key=key), terminal)
     return ExitCode.DONE
 
 
 async def move_key(
-    client: AdminClient, shown: Terminal, *, service: str, key: str, server: str
+    client: AdminClient, terminal: Terminal, *, service: str, key: str, server: str
 ) -> ExitCode:
-    """Begin to move a key's shard."""
+    """Start the move of a key's shard to a server."""
     body = {"key": key, "server": server}
-    _print_owner(await client.send("POST", "keys", service, "move", body=body), shown)
+    _print_owner(
+        await client.send("POST", "keys", service, "move", body=body), terminal
+    )
     return ExitCode.DONE
 
 
 async def pin_key(
     client: AdminClient,
-    shown: Terminal,
+    terminal: Terminal,
     *,
     service: str,
     key: str,
     server: str | None,
 ) -> ExitCode:
-    """Give a key an entry of its own, or take it away."""
+    """Pin a key to a server, or remove its pin when ``server`` is None."""
     body = {"key": key, "server": server}
-    _print_owner(await client.send("POST", "keys", service, "pin", body=body), shown)
+    _print_owner(await client.send("POST", "keys", service, "pin", body=body), terminal)
     return ExitCode.DONE
 
 
-def _print_owner(owner: dict[str, Any], shown: Terminal) -> None:
-    if shown.as_json:
-        shown.json(owner)
+def _print_owner(owner: dict[str, Any], terminal: Terminal) -> None:
+    if terminal.as_json:
+        terminal.json(owner)
         return
-    place = "an entry of its own" if owner["single"] else f"shard {owner['shard']}"
-    shown.line(f"{owner['service']} {owner['key']}: {place}")
-    shown.line(f"    owner: {owner['server'] or 'none'}, site {owner['site'] or '-'}")
-    shown.line(f"    token {owner['token']}, table version {owner['table_version']}")
+    entry = "an entry of its own" if owner["single"] else f"shard {owner['shard']}"
+    terminal.line(f"{owner['service']} {owner['key']}: {entry}")
+    terminal.line(
+        f"    owner: {owner['server'] or 'none'}, site {owner['site'] or '-'}"
+    )
+    terminal.line(f"    token {owner['token']}, table version {owner['table_version']}")
     if owner["moving_to"] is not None:
-        shown.line(f"    moving to {owner['moving_to']}: {owner['step']}")
+        terminal.line(f"    moving to {owner['moving_to']}: {owner['step']}")
 
 
 async def list_servers(
-    client: AdminClient, shown: Terminal, *, service: str | None
+    client: AdminClient, terminal: Terminal, *, service: str | None
 ) -> ExitCode:
     """Print the backend servers."""
     servers = [
-        one
-        for one in await client.get("servers")
-        if service is None or one["service"] == service
+        server
+        for server in await client.get("servers")
+        if service is None or server["service"] == service
     ]
-    if shown.as_json:
-        shown.json(servers)
+    if terminal.as_json:
+        terminal.json(servers)
         return ExitCode.DONE
     columns = ["id", "service", "domain", "site", "address", "state", "shards"]
-    shown.table(
+    terminal.table(
         [*columns, "busy", "slots", "load"],
         [
-            [one[name] for name in columns]
-            + [one["slots_busy"], one["slots"], one["reported_load"]]
-            for one in servers
+            [server[name] for name in columns]
+            + [server["slots_busy"], server["slots"], server["reported_load"]]
+            for server in servers
         ],
     )
     return ExitCode.DONE
 
 
 async def drain_server(
-    client: AdminClient, shown: Terminal, *, server: str
+    client: AdminClient, terminal: Terminal, *, server: str
 ) -> ExitCode:
-    """Give a server no new work and move its shards away."""
+    """Stop sending new requests to a server and move its shards to others."""
     status = await client.send("POST", "servers", server, "drain", body={})
-    if shown.as_json:
-        shown.json(status)
+    if terminal.as_json:
+        terminal.json(status)
         return ExitCode.DONE
-    shown.line(f"{server} gets no new work; {status['shards']} shards have to move")
+    terminal.line(f"{server} gets no new work; {status['shards']} shards have to move")
     return ExitCode.DONE
 
 
-async def list_hosts(client: AdminClient, shown: Terminal) -> ExitCode:
-    """Print the platform's host list."""
+async def list_hosts(client: AdminClient, terminal: Terminal) -> ExitCode:
+    """Print the hosts that the platform lists."""
     hosts = await client.get("hosts")
-    if shown.as_json:
-        shown.json(hosts)
+    if terminal.as_json:
+        terminal.json(hosts)
         return ExitCode.DONE
     columns = ["id", "domain", "address", "leaving"]
-    shown.table(columns, [[one[name] for name in columns] for one in hosts])
+    terminal.table(columns, [[host[name] for name in columns] for host in hosts])
     return ExitCode.DONE
 
 
 async def declare_lost(
-    client: AdminClient, shown: Terminal, *, domain: str, without_asking: bool
+    client: AdminClient, terminal: Terminal, *, domain: str, assume_yes: bool
 ) -> ExitCode:
-    """Say what declaring a failure domain lost risks, ask, and do it."""
+    """Print the risks of declaring a failure domain lost, confirm, and declare it."""
     loss = await client.get("domains", domain, "declare-lost")
-    heard = loss["heard_ago_s"]
-    shown.note(
+    heard_ago_s = loss["heard_ago_s"]
+    terminal.note(
         f"Failure domain {domain}: "
-        + (f"last heard {heard:.0f} s ago" if heard is not None else "never heard")
+        + (
+            f"last heard {heard_ago_s:.0f} s ago"
+            if heard_ago_s is not None
+            else "never heard"
+        )
     )
     for service, shards in loss["shards"].items():
-        shown.note(f"    {service}: {shards} shards would get new owners")
-    shown.note("Risks:")
+        terminal.note(f"    {service}: {shards} shards would get new owners")
+    terminal.note("Risks:")
     for risk in loss["risks"]:
-        shown.note(f"    {risk}")
+        terminal.note(f"    {risk}")
     question = f"Type {domain} to declare it lost:"
-    if not without_asking and not shown.confirm(question, domain):
-        shown.problem("nothing was done")
+    if not assume_yes and not terminal.confirm(question, domain):
+        terminal.problem("nothing was done")
         return ExitCode.REFUSED
     await client.send("POST", "domains", domain, "declare-lost", body={})
-    shown.note(f"{domain} is declared lost")
+    terminal.note(f"{domain} is declared lost")
     return ExitCode.DONE
--- a/src/gentianwharf/cli/_logs.py
+++ b/src/gentianwharf/cli/_logs.py
@@ -1,4 +1,4 @@
-"""``gentianwharf logs explain``: one request's story from many hosts' logs."""
+"""``gentianwharf logs explain``: the log lines of one request from many hosts."""
 
 from collections.abc import Mapping, Sequence
 from datetime import UTC, datetime
@@ -11,33 +11,33 @@
 from ._terminal import Terminal
 
 
-def explain(request_id: str, files: Sequence[Path], shown: Terminal) -> ExitCode:
-    """Print a request's lines in order, and what the hosts believed at its end."""
+def explain(request_id: str, files: Sequence[Path], terminal: Terminal) -> ExitCode:
+    """Print a request's log lines in order and the last logged state at its end."""
     lines = [line for file in files for line in read_log(file)]
     story = story_of(request_id, lines)
-    if shown.as_json:
-        shown.json(_document(story))
+    if terminal.as_json:
+        terminal.json(_document(story))
     elif story.lines:
-        _print(story, shown)
+        _print(story, terminal)
     if story.lines:
         return ExitCode.DONE
-    shown.problem(
-        f"no line of {len(lines)} names {request_id}: of successes one in fifty is"
-        " logged; else the log of its host is missing, or left lines out under load"
-        " (log_lines_dropped)"
+    terminal.problem(
+        f"none of {len(lines)} log lines names {request_id}: of successful requests"
+        " only one in fifty is logged; otherwise the log of its host is missing or has"
+        " dropped lines under load (log_lines_dropped)"
     )
     return ExitCode.REFUSED
 
 
-def _print(story: Story, shown: Terminal) -> None:
-    begun_s = story.lines[0].at_s
-    shown.line(f"request {story.request_id}, first line at {_time(begun_s)}")
+def _print(story: Story, terminal: Terminal) -> None:
+    first_s = story.lines[0].at_s
+    terminal.line(f"request {story.request_id}, first line at {_time(first_s)}")
     for line in story.lines:
-        after_ms = (line.at_s - begun_s) * 1000
-        shown.line(f"  +{after_ms:.0f} ms  {line.host}  {_text(line)}")
-    shown.line("what was believed at its end")
+        elapsed_ms = (line.at_s - first_s) * 1000
+        terminal.line(f"  +{elapsed_ms:.0f} ms  {line.host}  {_text(line)}")
+    terminal.line("last logged state at its end")
     for belief in story.beliefs:
-        shown.line(
+        terminal.line(
             f"  {belief.about}: {_text(belief.line)}"
             f"  ({belief.age_s:.2f} s old, {belief.line.host})"
         )
@@ -45,9 +45,9 @@
 
 def _text(line: LogLine) -> str:
     fields = " ".join(
-        f"{name}={one}"
-        for name, one in line.fields.items()
-        if one not in ("", None) and name != "request_id"
+        f"{name}={value}"
+        for name, value in line.fields.items()
+        if value not in ("", None) and name != "request_id"
     )
     return f"{line.message}  {fields}".rstrip()
 
@@ -59,8 +59,8 @@
 def _document(story: Story) -> Mapping[str, Any]:
     return {
         "request_id": story.request_id,
-        "lines": [_line(one) for one in story.lines],
-        "beliefs": [_belief(one) for one in story.beliefs],
+        "lines": [_line(line) for line in story.lines],
+        "beliefs": [_belief(belief) for belief in story.beliefs],
     }
 
 
--- a/src/gentianwharf/cli/_rules.py
+++ b/src/gentianwharf/cli/_rules.py
@@ -13,45 +13,47 @@
 from ._terminal import Terminal
 
 
-async def show(client: AdminClient, shown: Terminal, *, in_force: bool) -> ExitCode:
+async def show(client: AdminClient, terminal: Terminal, *, in_force: bool) -> ExitCode:
     """Print the rules as a file that can be edited and applied again."""
     path = ("rules", "in-force") if in_force else ("rules",)
     version = await client.get(*path)
     if version is None:
-        shown.problem("the store has no rules yet; apply a file with --edited-from 0")
+        terminal.problem(
+            "the store has no rules yet; apply a file with --edited-from 0"
+        )
         return ExitCode.REFUSED
-    if shown.as_json:
-        shown.json(version)
+    if terminal.as_json:
+        terminal.json(version)
         return ExitCode.DONE
-    shown.line(f"// edited_from_revision: {version['revision']}")
+    terminal.line(f"// edited_from_revision: {version['revision']}")
     if "author" in version:
-        shown.line(f"// change {version['number']} by {version['author']}")
-    shown.line(json.dumps(version["document"], indent=2, ensure_ascii=False))
+        terminal.line(f"// change {version['number']} by {version['author']}")
+    terminal.line(json.dumps(version["document"], indent=2, ensure_ascii=False))
     return ExitCode.DONE
 
 
-async def diff(client: AdminClient, shown: Terminal, *, file: Path) -> ExitCode:
-    """Print what applying ``file`` would change."""
+async def diff(client: AdminClient, terminal: Terminal, *, file: Path) -> ExitCode:
+    """Print the changes that applying ``file`` would make."""
     document = load_rules(file)
     version = await client.get("rules")
-    found = changes_against(version, document)
-    if shown.as_json:
+    changes = changes_from_version(version, document)
+    if terminal.as_json:
         revision = version["revision"] if version else 0
-        shown.json({"revision": revision, "changes": found})
+        terminal.json({"revision": revision, "changes": changes})
     else:
-        print_changes(found, shown)
+        print_changes(changes, terminal)
     return ExitCode.DONE
 
 
-def changes_against(
+def changes_from_version(
     version: dict[str, Any] | None, document: RuleDocument
 ) -> list[dict[str, Any]]:
-    """Return the changes from a version of the store, None for none, to a document."""
+    """Return the changes from a stored version to ``document``; None: no version."""
     before = RuleDocument.model_validate(version["document"]) if version else None
-    return [_plain_change(one) for one in diff_documents(before, document)]
+    return [_change_fields(change) for change in diff_documents(before, document)]
 
 
-def _plain_change(change: RuleChange) -> dict[str, Any]:
+def _change_fields(change: RuleChange) -> dict[str, Any]:
     return {
         "kind": change.kind.value,
         "rule_name": change.rule_name,
@@ -61,68 +63,70 @@
     }
 
 
-def print_changes(found: list[dict[str, Any]], shown: Terminal) -> None:
-    """Print changes, a rule a line and its fields below it."""
-    if not found:
-        shown.note("no change")
-    for one in found:
-        numbers = f"{one['number_before'] or '-'} -> {one['number_after'] or '-'}"
-        shown.note(f"{one['kind']:8} {one['rule_name']} (rule {numbers})")
-        for detail in one["details"]:
-            shown.note(f"         {detail}")
+def print_changes(changes: list[dict[str, Any]], terminal: Terminal) -> None:
+    """Print one line for each changed rule, with its changed fields below it."""
+    if not changes:
+        terminal.note("no change")
+    for change in changes:
+        numbers = f"{change['number_before'] or '-'} -> {change['number_after'] or '-'}"
+        terminal.note(f"{change['kind']:8} {change['rule_name']} (rule {numbers})")
+        for detail in change["details"]:
+            terminal.note(f"         {detail}")
 
 
-async def history(client: AdminClient, shown: Terminal) -> ExitCode:
-    """Print the versions still kept, newest first."""
+async def history(client: AdminClient, terminal: Terminal) -> ExitCode:
+    """Print the retained versions of the rules, newest first."""
     versions = await client.get("rules", "history")
-    if shown.as_json:
-        shown.json(versions)
+    if terminal.as_json:
+        terminal.json(versions)
         return ExitCode.DONE
-    shown.table(
+    terminal.table(
         ["change", "revision", "edited from", "by", "rules", "change id"],
         [
             [
-                one["number"],
-                one["revision"],
-                one["edited_from_revision"],
-                one["author"],
-                len(one["document"]["rules"]),
-                one["change_id"],
+                version["number"],
+                version["revision"],
+                version["edited_from_revision"],
+                version["author"],
+                len(version["document"]["rules"]),
+                version["change_id"],
             ]
-            for one in versions
+            for version in versions
         ],
     )
     return ExitCode.DONE
 
 
 async def explain(
-    client: AdminClient, shown: Terminal, *, request: dict[str, Any]
+    client: AdminClient, terminal: Terminal, *, request: dict[str, Any]
 ) -> ExitCode:
-    """Print which rule decides a request, and why earlier ones do not."""
+    """Print the rule that decides a request and why earlier rules do not match."""
     answer = await client.send("POST", "explain", body=request)
-    if shown.as_json:
-        shown.json(answer)
+    if terminal.as_json:
+        terminal.json(answer)
         return ExitCode.DONE
-    found, owner = answer["explanation"], answer["owner"]
-    for one in found["passed_over"]:
-        shown.line(f"rule {one['number']} ({one['rule_name']}) does not match:")
-        for reason in one["reasons"]:
-            shown.line(f"    {reason}")
-    if found["number"] is None:
-        shown.line("no rule matches: the request is refused as not run")
+    explanation, owner = answer["explanation"], answer["owner"]
+    for rule in explanation["passed_over"]:
+        terminal.line(f"rule {rule['number']} ({rule['rule_name']}) does not match:")
+        for reason in rule["reasons"]:
+            terminal.line(f"    {reason}")
+    if explanation["number"] is None:
+        terminal.line("no rule matches: the request is refused as not run")
         return ExitCode.DONE
-    shown.line(f"rule {found['number']} ({found['rule_name']}) decides:")
+    terminal.line(f"rule {explanation['number']} ({explanation['rule_name']}) decides:")
     for name in ("service", "site", "request_class", "key", "shard", "repeatable"):
-        shown.line(f"    {name}: {found[name] if found[name] is not None else '-'}")
+        terminal.line(
+            f"    {name}: {explanation[name] if explanation[name] is not None else '-'}"
+        )
     if owner is not None:
-        shown.line(
+        terminal.line(
             f"    owner: {owner['server'] or 'none'} under token {owner['token']}"
         )
     return ExitCode.DONE
 
 
 def parse_headers(texts: tuple[str, ...]) -> dict[str, str]:
-    """Return headers given as ``name: value``.
+    """Parse header options of the form ``name: value``.
 
     >>> parse_headers(("X-Club: lions",))
     {'x-club': 'lions'}
--- a/src/gentianwharf/cli/_session.py
+++ b/src/gentianwharf/cli/_session.py
@@ -1,4 +1,4 @@
-"""From a command line to a client and a terminal, and back to an exit code."""
+"""Run a command against a daemon and return its exit code."""
 
 import getpass
 import sys
@@ -15,7 +15,7 @@
 from gentianwharf.errors import GentianwharfError, InputError
 from gentianwharf.settings import check_ip_url
 
-from ._client import AdminClient, ProblemError, treq_http
+from ._client import AdminClient, ProblemError, treq_client
 from ._exit_codes import ExitCode, exit_code_of
 from ._terminal import Terminal
 
@@ -25,7 +25,7 @@
 @final
 @Parameter(name="*")
 @dataclass(frozen=True, kw_only=True)
-class Common:
+class CommonOptions:
     """Options of every command that talks to a daemon.
 
     Parameters
@@ -54,60 +54,66 @@
 Command = Callable[[AdminClient, Terminal], Awaitable[ExitCode]]
 
 
-def terminal(*, as_json: bool = False) -> Terminal:
-    """Return the process's own terminal."""
-    return Terminal(out=sys.stdout, problems=sys.stderr, ask=input, as_json=as_json)
+def standard_terminal(*, as_json: bool = False) -> Terminal:
+    """Return a terminal on the process's standard streams."""
+    return Terminal(out=sys.stdout, problems=sys.stderr, prompt=input, as_json=as_json)
 
 
-async def perform(command: Command, client: AdminClient, shown: Terminal) -> ExitCode:
-    """Run ``command``; an error becomes its message and exit code."""
+async def perform(
+    command: Command, client: AdminClient, terminal: Terminal
+) -> ExitCode:
+    """Run ``command``; print an error's message and return its exit code."""
     try:
-        return await command(client, shown)
+        return await command(client, terminal)
     except ProblemError as error:
-        report_problem(error, shown)
+        report_problem(error, terminal)
         return ExitCode.CONFLICT if error.reply.kind == "conflict" else ExitCode.REFUSED
     except GentianwharfError as error:
-        shown.problem(str(error))
+        terminal.problem(str(error))
         return exit_code_of(error)
 
 
-def report_problem(error: ProblemError, shown: Terminal) -> None:
-    """Print a problem, with its findings where it has any."""
-    shown.problem(str(error))
-    for finding in error.reply.member("findings") or ():
-        shown.problem(
+def report_problem(error: ProblemError, terminal: Terminal) -> None:
+    """Print a problem and its findings, if any."""
+    terminal.problem(str(error))
+    for finding in error.reply.extension_member("findings") or ():
+        terminal.problem(
             f"{finding['severity']}: {finding['location']}: found {finding['found']};"
             f" expected {finding['expected']}"
         )
 
 
-def run(common: Common, command: Command) -> int:
-    """Run ``command`` against the daemon in ``common``; return its exit code."""
-    shown = terminal(as_json=common.json)
+def run(common: CommonOptions, command: Command) -> int:
+    """Run ``command`` against the daemon named in ``common``; return its exit code."""
+    terminal = standard_terminal(as_json=common.json)
     try:
         url = check_ip_url(common.admin)
         token = None if common.token_file is None else read_token(common.token_file)
     except (InputError, ValueError) as error:
-        shown.problem(str(error))
+        terminal.problem(str(error))
         return ExitCode.USAGE
-    codes = [ExitCode.FAULT]
+    exit_codes = [ExitCode.FAULT]
 
-    def begin(reactor: Any) -> Deferred[None]:
+    def start(reactor: Any) -> Deferred[None]:
         client = AdminClient(
-            http=treq_http(reactor),
+            http=treq_client(reactor),
             url=url,
             token=token,
             operator=common.operator or getpass.getuser(),
         )
-        return ensureDeferred(_note(perform(command, client, shown), codes))
+        return ensureDeferred(
+            _store_exit_code(perform(command, client, terminal), exit_codes)
+        )
 
     try:
-        react(begin, ())
-    except SystemExit as ended:
-        if ended.code not in (0, None):
+        react(start, ())
+    except SystemExit as exit_request:
+        if exit_request.code not in (0, None):
             return ExitCode.FAULT
-    return codes[0]
+    return exit_codes[0]
 
 
-async def _note(performed: Awaitable[ExitCode], codes: list[ExitCode]) -> None:
-    codes[0] = await performed
+async def _store_exit_code(
+    command_run: Awaitable[ExitCode], exit_codes: list[ExitCode]
+) -> None:
+    exit_codes[0] = await command_run
--- a/src/gentianwharf/cli/_status.py
+++ b/src/gentianwharf/cli/_status.py
@@ -11,37 +11,37 @@
 from ._terminal import Terminal
 
 
-async def status(client: AdminClient, shown: Terminal) -> ExitCode:
-    """Print one daemon's state, the three measures and its alarms."""
+async def status(client: AdminClient, terminal: Terminal) -> ExitCode:
+    """Print a daemon's state, the three measures and its alarms."""
     state = await client.get("state")
-    if shown.as_json:
-        shown.json(state)
+    if terminal.as_json:
+        terminal.json(state)
         return ExitCode.DONE
-    _print_daemon(state, shown)
-    _print_services(state, shown)
-    _print_measures(state["measures"], shown)
+    _print_daemon(state, terminal)
+    _print_services(state, terminal)
+    _print_measures(state["measures"], terminal)
     for alarm in state["alarms"]:
-        shown.line(f"ALARM {alarm['name']}: {alarm['detail']}")
+        terminal.line(f"ALARM {alarm['name']}: {alarm['detail']}")
     return ExitCode.DONE
 
 
-def _print_daemon(state: dict[str, Any], shown: Terminal) -> None:
+def _print_daemon(state: dict[str, Any], terminal: Terminal) -> None:
     ready = (
         "stopping" if state["stopping"] else "ready" if state["ready"] else "unready"
     )
-    shown.line(
+    terminal.line(
         f"{state['host']} ({state['customer']}, domain {state['domain']}, site"
         f" {state['site']}): {ready}"
     )
-    heard = state["store_heard_ago_s"]
-    age = f"{heard:.1f} s ago" if heard is not None else "never"
-    shown.line(
+    store_heard_ago_s = state["store_heard_ago_s"]
+    age = f"{store_heard_ago_s:.1f} s ago" if store_heard_ago_s is not None else "never"
+    terminal.line(
         f"rules: revision {state['rules_revision'] or 'none'}; store heard {age}"
     )
 
 
-def _print_services(state: dict[str, Any], shown: Terminal) -> None:
-    shown.table(
+def _print_services(state: dict[str, Any], terminal: Terminal) -> None:
+    terminal.table(
         ["service", "table version", "right to send", "control holder"],
         [
             [
@@ -55,39 +55,39 @@
     )
 
 
-def _print_measures(measures: dict[str, Any] | None, shown: Terminal) -> None:
+def _print_measures(measures: dict[str, Any] | None, terminal: Terminal) -> None:
     if measures is None:
-        shown.line("no measures yet")
+        terminal.line("no measures yet")
         return
     rows = [
-        *(["imbalance", name, one] for name, one in measures["imbalance"].items()),
-        *(["churn (shards)", name, one] for name, one in measures["churn"].items()),
+        *(["imbalance", name, value] for name, value in measures["imbalance"].items()),
+        *(["churn (shards)", name, value] for name, value in measures["churn"].items()),
         *(
-            ["unavailable time (s)", name, one]
-            for name, one in measures["unavailable_s"].items()
+            ["unavailable time (s)", name, value]
+            for name, value in measures["unavailable_s"].items()
         ),
     ]
-    shown.line(f"measures over {measures['window_s']:.0f} s:")
-    shown.table(["measure", "of", "value"], rows)
+    terminal.line(f"measures over {measures['window_s']:.0f} s:")
+    terminal.table(["measure", "of", "value"], rows)
 
 
 async def burn(
-    client: AdminClient, shown: Terminal, *, html: Path | None, host: str | None
+    client: AdminClient, terminal: Terminal, *, html: Path | None, host: str | None
 ) -> ExitCode:
-    """Print the service-level burn, or write it as a page.
+    """Print the service-level burn, or write it as an HTML page.
 
-    Exits 5 when a listed host is missing in it: a script must not take the rest of a
-    fleet for the whole.
+    Exits with ``INCOMPLETE`` when the data of a listed host is missing, so that a
+    script does not take a partial report for one of the whole fleet.
     """
     fields = await client.get("burn", host=host)
     report = BurnReport.from_builtins(fields)
     if html is not None:
         _write(html, burn_html(report))
-        shown.note(f"written to {html}")
-    if shown.as_json:
-        shown.json(fields)
+        terminal.note(f"written to {html}")
+    if terminal.as_json:
+        terminal.json(fields)
     elif html is None:
-        shown.line(burn_text(report))
+        terminal.line(burn_text(report))
     return ExitCode.INCOMPLETE if report.silent else ExitCode.DONE
 
 
--- a/src/gentianwharf/cli/_terminal.py
+++ b/src/gentianwharf/cli/_terminal.py
@@ -1,4 +1,4 @@
-"""What the tool prints and asks."""
+"""Output of the command-line tool and prompts to the operator."""
 
 import json
 import os
@@ -10,11 +10,11 @@
 @final
 @dataclass(frozen=True, kw_only=True)
 class Terminal:
-    """Where a command prints: tables for people, one JSON value with ``as_json``."""
+    """Output of a command: text and tables, or one JSON value with ``as_json``."""
 
     out: TextIO
     problems: TextIO
-    ask: Callable[[str], str]
+    prompt: Callable[[str], str]
     as_json: bool = False
 
     def line(self, text: str) -> None:
@@ -22,11 +22,11 @@
         _print(text, self.out)
 
     def note(self, text: str) -> None:
-        """Print what people read beside a result, never into JSON."""
+        """Print a remark; with ``as_json`` to ``problems``, to keep the JSON valid."""
         _print(text, self.problems if self.as_json else self.out)
 
     def problem(self, text: str) -> None:
-        """Print what went wrong."""
+        """Print an error message to ``problems``."""
         _print(f"gentianwharf: {text}", self.problems)
 
     def json(self, value: Any) -> None:
@@ -39,28 +39,29 @@
             self.line(text)
 
     def confirm(self, question: str, answer: str) -> bool:
-        """Ask, and say whether ``answer`` came back; a closed input means no."""
+        """Prompt and return whether the reply is ``answer``; end of input means no."""
         try:
-            return self.ask(f"{question} ").strip() == answer
+            return self.prompt(f"{question} ").strip() == answer
         except EOFError:
             return False
 
 
 def _print(text: str, file: TextIO) -> None:
-    """Print a line; one that nobody reads any more is dropped.
+    """Print a line; drop it when the reader has closed the pipe.
 
-    ``gentianwharf status | head`` closes the pipe while the tool prints. It must
-    neither end in a trace nor lose the exit code, which says what became of a change.
+    ``gentianwharf status | head`` closes the pipe while the tool prints. The tool must
+    neither end with a traceback nor lose its exit code, which tells whether a change
+    took effect.
     """
     try:
         print(text, file=file, flush=True)
     except BrokenPipeError:
-        # What is still in the buffer would raise once more when the process ends.
+        # Flushing the rest of the buffer at exit would raise the error again.
         os.dup2(os.open(os.devnull, os.O_WRONLY), file.fileno())
 
 
 def table_lines(headings: Sequence[str], rows: Iterable[Sequence[Any]]) -> list[str]:
-    """Return the lines of a table; numbers stand to the right.
+    """Return the lines of a table; columns of numbers are aligned to the right.
 
     >>> for line in table_lines(["server", "shards"], [["desk-1", 64], ["b", 7]]):
     ...     print(line)
@@ -68,17 +69,17 @@
     desk-1      64
     b            7
     """
-    kept = [list(row) for row in rows]
-    cells = [list(headings), *([_cell(one) for one in row] for row in kept)]
+    values = [list(row) for row in rows]
+    cells = [list(headings), *([_cell(value) for value in row] for row in values)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(headings))]
-    right = [
-        bool(kept) and all(_is_number(row[column]) for row in kept)
+    right_aligned = [
+        bool(values) and all(_is_number(row[column]) for row in values)
         for column in range(len(headings))
     ]
     return [
         "  ".join(
-            text.rjust(width) if to_the_right else text.ljust(width)
-            for text, width, to_the_right in zip(row, widths, right, strict=True)
+            text.rjust(width) if is_right else text.ljust(width)
+            for text, width, is_right in zip(row, widths, right_aligned, strict=True)
         ).rstrip()
         for row in cells
     ]
--- a/tests/builders_cli.py
+++ b/tests/builders_cli.py
@@ -60,7 +60,9 @@
     ask: Callable[[str], str] = lambda question: "",
 ) -> Ran:
     """Run a command against ``daemon``."""
-    shown = Terminal(out=StringIO(), problems=StringIO(), ask=ask, as_json=as_json)
+    terminal = Terminal(
+        out=StringIO(), problems=StringIO(), prompt=ask, as_json=as_json
+    )
     http = LossyHttp(
         stub=StubTreq(admin_app(daemon or FakeDaemon()).resource()),
         lost=lost or [],
@@ -69,13 +71,13 @@
     client = AdminClient(
         http=http, url="http://127.0.0.1:8081", token=token, operator="amira"
     )
-    code = result_of(ensureDeferred(_exit(command, client, shown)))
+    code = result_of(ensureDeferred(_exit(command, client, terminal)))
     return Ran(
         code=code,
-        out=shown.out.getvalue(),  # type: ignore[attr-defined]
-        problems=shown.problems.getvalue(),  # type: ignore[attr-defined]
+        out=terminal.out.getvalue(),  # type: ignore[attr-defined]
+        problems=terminal.problems.getvalue(),  # type: ignore[attr-defined]
     )
 
 
-async def _exit(command: Command, client: AdminClient, shown: Terminal) -> ExitCode:
-    return await perform(command, client, shown)
+async def _exit(command: Command, client: AdminClient, terminal: Terminal) -> ExitCode:
+    return await perform(command, client, terminal)
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -15,8 +15,8 @@
     ExitCode,
     _apply,
     _decisions,
-    _everywhere,
     _fleet,
+    _rollout,
     _rules,
     _status,
 )
@@ -58,9 +58,9 @@
     pytest.param(
         partial(_status.burn, html=None, host=None), "burn rate 0.40", id="burn"
     ),
-    pytest.param(_everywhere.status, "newest revision: 20", id="rules-status"),
+    pytest.param(_rollout.status, "newest revision: 20", id="rules-status"),
     pytest.param(
-        partial(_decisions.decisions, request_id=None, refused=True, most=5),
+        partial(_decisions.decisions, request_id=None, refused=True, limit=5),
         "queue-full",
         id="decisions",
     ),
@@ -103,7 +103,7 @@
             id="drain",
         ),
         pytest.param(
-            partial(_fleet.declare_lost, domain="lac", without_asking=True),
+            partial(_fleet.declare_lost, domain="lac", assume_yes=True),
             ("declare-lost", "lac", "amira"),
             id="declare-lost",
         ),
@@ -124,7 +124,7 @@
     answer: str, done: bool
 ) -> None:
     daemon = FakeDaemon()
-    command = partial(_fleet.declare_lost, domain="lac", without_asking=False)
+    command = partial(_fleet.declare_lost, domain="lac", assume_yes=False)
     result = ran(command, daemon, ask=lambda question: answer)
     assert "would own keys twice" in result.out
     assert "340 shards" in result.out
@@ -194,14 +194,14 @@
     file: Path,
     *,
     edited_from: int | None = None,
-    without_asking: bool = False,
+    assume_yes: bool = False,
     wait_s: int = 0,
 ) -> Command:
     return partial(
         _apply.apply,
         file=file,
         edited_from=edited_from,
-        without_asking=without_asking,
+        assume_yes=assume_yes,
         wait_s=wait_s,
     )
 
@@ -226,7 +226,7 @@
     daemon = FakeDaemon()
     file = tmp_path / "rules.jsonc"
     file.write_text(migration(0.1).model_dump_json())
-    result = ran(apply(file, without_asking=yes), daemon, ask=lambda question: answer)
+    result = ran(apply(file, assume_yes=yes), daemon, ask=lambda question: answer)
     assert "added    desk-new" in result.out
     assert "removed  all" in result.out
     assert bool(daemon.calls) is applied
@@ -350,7 +350,7 @@
     ],
 )
 def test_rules_status_shows_every_host(late: HostRulesStatus, part: str) -> None:
-    result = ran(_everywhere.status, FakeDaemon(late=late))
+    result = ran(_rollout.status, FakeDaemon(late=late))
     assert result.code is ExitCode.INCOMPLETE
     (line,) = [one for one in result.out.splitlines() if "ariana-1" in one]
     assert part in line
@@ -390,7 +390,7 @@
 ) -> None:
     daemon = FakeDaemon(silent=silent)
     command = partial(
-        _decisions.decisions, request_id="nowhere", refused=False, most=20
+        _decisions.decisions, request_id="nowhere", refused=False, limit=20
     )
     result = ran(command, daemon)
     assert result.code is code
