--- a/src/gentianwharf/admin/__init__.py
+++ b/src/gentianwharf/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon's admin port: health, state and the operator's commands over HTTP."""
+"""The daemon's admin port: health, state and operators' commands over HTTP."""
 
 from ._access import TokenAuthenticator, configured_token, read_token
 from ._alarms import ALARMS, AlarmEvaluator, AlarmRule
--- a/src/gentianwharf/admin/_app.py
+++ b/src/gentianwharf/admin/_app.py
@@ -1,6 +1,6 @@
 """The admin port's routes.
 
-One guard in front of all of them checks the token, so that a route can't forget it.
+One resource in front of all routes checks the token, so that no route can omit it.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 from gentianwharf.rules import RuleDocument, explain
 
 from ._access import TokenAuthenticator
-from ._changes import reply_applied, to_the_end
+from ._changes import reply_apply_result, run_to_completion
 from ._guard import GuardedResource
 from ._protocols import (
     BurnView,
@@ -36,31 +36,31 @@
     ExplainBody,
     MoveBody,
     PinBody,
-    argument,
-    change_id_of,
-    flag_argument,
-    integer_argument,
-    operator_of,
-    optional_integer,
+    optional_query_integer,
+    query_argument,
+    query_flag,
+    query_integer,
     read_body,
+    read_change_id,
+    read_operator,
 )
 from ._site import admin_site
 
-MOST_DECISIONS = 1_000
+MAX_DECISIONS = 1_000
 
-MOST_WAIT_S = 60
-"""Longest wait for a revision. Longer ones are asked for again: an answer that takes
-minutes looks like a daemon gone silent."""
+MAX_WAIT_S = 60
+"""Longest wait for a revision. A client that wants to wait longer asks again, since a
+response that takes minutes can't be told from a daemon that has stopped answering."""
 
 log = Logger("gentianwharf.admin")
 
 
 @final
 class AdminApp:
-    """Health, state and the operator's commands, over what the daemon's parts give.
+    """Health, state and operators' commands, implemented by the daemon's parts.
 
-    ``site()`` is what the daemon listens with. ``metrics`` returns Prometheus text.
-    ``token`` None lets everybody in, which the settings allow on loopback alone.
+    The daemon listens with ``site()``. ``metrics`` returns Prometheus text. With
+    ``token`` None no token is needed, which the settings allow on loopback only.
     """
 
     app = Klein()
@@ -99,19 +99,19 @@
         )
 
     def site(self) -> Site:
-        """Return the site to listen with; it bounds the size of bodies."""
+        """Return the site to listen with; it limits the size of request bodies."""
         return admin_site(self.resource())
 
     @app.route("/livez", methods=["GET"])
     def livez(self, request: Request) -> bytes:
-        """Answer 200 unless only a restart helps."""
+        """Answer 200, or 503 when only a restart can make the daemon work again."""
         if self._state.is_live():
             return reply_json(request, {"live": True})
         return reply_json(request, {"live": False}, status=503)
 
     @app.route("/readyz", methods=["GET"])
     def readyz(self, request: Request) -> bytes:
-        """Answer 200 when the balancer may send requests here."""
+        """Answer 200 when the balancer may send requests here, else 503."""
         reasons = list(self._state.unready_reasons())
         answer = {"ready": not reasons, "reasons": reasons}
         return reply_json(request, answer, status=503 if reasons else 200)
@@ -129,12 +129,12 @@
 
     @app.route("/rules", methods=["GET"])
     async def rules(self, request: Request) -> bytes:
-        """Answer with the document in the store, null when there is none yet."""
+        """Answer with the rule document in the store, null when there is none yet."""
         return reply_json(request, await self._rules.read())
 
     @app.route("/rules/in-force", methods=["GET"])
     def rules_in_force(self, request: Request) -> bytes:
-        """Answer with what this host matches with; works without the store."""
+        """Answer with the rules that this host matches with; needs no store."""
         rules = self._rules.in_force()
         if rules is None:
             return reply_problem(
@@ -145,42 +145,42 @@
 
     @app.route("/rules/hosts", methods=["GET"])
     async def rules_hosts(self, request: Request) -> bytes:
-        """Answer with what every listed host matches with.
+        """Answer with the rules in force on every listed host.
 
-        With ``revision`` in the query it waits until that is in force everywhere, up
-        to ``wait_s``.
+        With ``revision`` in the query it waits up to ``wait_s`` seconds until that
+        revision is in force on all of them.
         """
-        revision = optional_integer(request, "revision")
-        wait_s = min(integer_argument(request, "wait_s", default=0), MOST_WAIT_S)
-        found = await self._fleet_rules.rollout_status(
+        revision = optional_query_integer(request, "revision")
+        wait_s = min(query_integer(request, "wait_s", default=0), MAX_WAIT_S)
+        status = await self._fleet_rules.rollout_status(
             revision=revision, wait_s=float(wait_s)
         )
-        return reply_json(request, found)
+        return reply_json(request, status)
 
     @app.route("/rules/history", methods=["GET"])
     async def rules_history(self, request: Request) -> bytes:
-        """Answer with the documents still kept, newest first."""
+        """Answer with the retained versions of the document, newest first."""
         return reply_json(request, await self._rules.history())
 
     @app.route("/rules", methods=["PUT"])
     async def put_rules(self, request: Request) -> bytes:
-        """Put the body's document in force if nobody else was faster."""
-        author = operator_of(request)
-        revision = integer_argument(request, "edited_from_revision", default=None)
+        """Put the body's document in force unless the rules have since changed."""
+        author = read_operator(request)
+        revision = query_integer(request, "edited_from_revision", default=None)
         document = read_body(request, RuleDocument)
-        result = await to_the_end(
+        result = await run_to_completion(
             self._rules.apply(
                 document,
                 edited_from_revision=revision,
                 author=author,
-                change_id=change_id_of(request),
+                change_id=read_change_id(request),
             )
         )
-        return reply_applied(request, result)
+        return reply_apply_result(request, result)
 
     @app.route("/explain", methods=["POST"])
     def explain(self, request: Request) -> bytes:
-        """Say which rule decides a request, and who owns its key."""
+        """Answer with the rule that decides a request, and its key's owner."""
         body = read_body(request, ExplainBody)
         rules = self._rules.in_force()
         if rules is None:
@@ -195,8 +195,8 @@
 
     @app.route("/keys/<service>/owner", methods=["GET"])
     def key_owner(self, request: Request, service: str) -> bytes:
-        """Say who owns the key in the query field ``key``."""
-        key = argument(request, "key")
+        """Answer with the owner of the key in the query field ``key``."""
+        key = query_argument(request, "key")
         if not key:
             raise InputError(
                 "key: expected the key in the query, got none",
@@ -207,20 +207,22 @@
 
     @app.route("/keys/<service>/move", methods=["POST"])
     async def move_key(self, request: Request, service: str) -> bytes:
-        """Begin to move a key's shard."""
-        author = operator_of(request)
+        """Start the move of a key's shard to a server."""
+        author = read_operator(request)
         body = read_body(request, MoveBody)
-        owner = await to_the_end(
+        owner = await run_to_completion(
             self._keys.move(service, body.key, body.server, author)
         )
         return reply_json(request, owner, status=202)
 
     @app.route("/keys/<service>/pin", methods=["POST"])
     async def pin_key(self, request: Request, service: str) -> bytes:
-        """Give a key an entry of its own, or take it away."""
-        author = operator_of(request)
+        """Pin a key to a server, or remove its pin."""
+        author = read_operator(request)
         body = read_body(request, PinBody)
-        owner = await to_the_end(self._keys.pin(service, body.key, body.server, author))
+        owner = await run_to_completion(
+            self._keys.pin(service, body.key, body.server, author)
+        )
         return reply_json(request, owner, status=202)
 
     @app.route("/servers", methods=["GET"])
@@ -230,49 +232,49 @@
 
     @app.route("/servers/<server>/drain", methods=["POST"])
     async def drain_server(self, request: Request, server: str) -> bytes:
-        """Give a server no new work and move its shards away."""
-        author = operator_of(request)
-        status = await to_the_end(self._servers.drain(server, author))
+        """Stop sending new requests to a server and move its shards to others."""
+        author = read_operator(request)
+        status = await run_to_completion(self._servers.drain(server, author))
         return reply_json(request, status, status=202)
 
     @app.route("/hosts", methods=["GET"])
     async def hosts(self, request: Request) -> bytes:
-        """Answer with the platform's host list."""
+        """Answer with the hosts that the platform lists."""
         return reply_json(request, list(await self._hosts.hosts()))
 
     @app.route("/domains/<domain>/declare-lost", methods=["GET"])
     def domain_loss(self, request: Request, domain: str) -> bytes:
-        """Say what declaring a failure domain lost would risk."""
+        """Answer with the effects and risks of declaring a failure domain lost."""
         return reply_json(request, self._domains.preview_loss(domain))
 
     @app.route("/domains/<domain>/declare-lost", methods=["POST"])
     async def declare_lost(self, request: Request, domain: str) -> bytes:
         """Let other domains take over a failure domain's keys."""
-        author = operator_of(request)
-        loss = await to_the_end(self._domains.declare_lost(domain, author))
+        author = read_operator(request)
+        loss = await run_to_completion(self._domains.declare_lost(domain, author))
         return reply_json(request, loss, status=202)
 
     @app.route("/burn", methods=["GET"])
     async def burn(self, request: Request) -> bytes:
-        """Answer with the service-level burn over all hosts, or ``host`` alone.
+        """Answer with the service-level burn over all hosts, or only ``host``.
 
-        The page is made by the tool: its plots take a third of a second, in which
-        this daemon would answer nobody and its rights would run out.
+        The command-line tool renders the HTML page: its plots take a third of a second,
+        during which this daemon would answer no request and its rights would expire.
         """
         return reply_json(
-            request, await self._burn.burn(host=argument(request, "host"))
+            request, await self._burn.burn(host=query_argument(request, "host"))
         )
 
     @app.route("/decisions", methods=["GET"])
     async def decisions(self, request: Request) -> bytes:
-        """Answer with this host's kept decisions, or any host's on ``request_id``."""
-        most = min(integer_argument(request, "most", default=100), MOST_DECISIONS)
-        refused_only = flag_argument(request, "refused_only")
-        request_id = argument(request, "request_id")
+        """Answer with this host's decisions, or any host's on ``request_id``."""
+        limit = min(query_integer(request, "most", default=100), MAX_DECISIONS)
+        refused_only = query_flag(request, "refused_only")
+        request_id = query_argument(request, "request_id")
         if request_id is not None:
             return reply_json(request, await self._decisions.find(request_id))
-        kept = self._decisions.latest(refused_only=refused_only, limit=most)
-        return reply_json(request, kept)
+        retained = self._decisions.latest(refused_only=refused_only, limit=limit)
+        return reply_json(request, retained)
 
     @app.handle_errors(GentianwharfError)
     def on_known_error(self, request: Any, failure: Failure) -> bytes:
@@ -283,7 +285,7 @@
 
     @app.handle_errors(HTTPException)
     def on_no_route(self, request: Any, failure: Failure) -> bytes:
-        """Answer for an unknown path or a method that the path does not take."""
+        """Answer for an unknown path, or a method that the path does not support."""
         return reply_problem(
             request,
             ProblemType.NOT_FOUND,
@@ -293,7 +295,7 @@
 
     @app.handle_errors(Exception)
     def on_fault(self, request: Any, failure: Failure) -> bytes:
-        """Log a fault of ours; the answer keeps its text back."""
+        """Log an internal error; the answer does not reveal its text."""
         log.error("admin request failed: {}", failure.getTraceback())
         return reply_problem(
             request,
--- a/src/gentianwharf/admin/_changes.py
+++ b/src/gentianwharf/admin/_changes.py
@@ -1,4 +1,4 @@
-"""Changes that operators ask for: run to their end, and answered."""
+"""Changes requested by operators: run to completion, and answered."""
 
 from collections.abc import Coroutine
 from typing import Any, TypeVar
@@ -15,8 +15,8 @@
 log = Logger("gentianwharf.admin")
 
 
-def reply_applied(request: Any, result: ApplyResult) -> bytes:
-    """Answer with what became of a rule document."""
+def reply_apply_result(request: Any, result: ApplyResult) -> bytes:
+    """Answer with the result of applying a rule document."""
     if isinstance(result, RulesRefused):
         return reply_problem(
             request,
@@ -37,21 +37,24 @@
     return reply_json(request, result)
 
 
-def to_the_end(operation: Coroutine[Any, Any, Result]) -> Deferred[Result]:
-    """Run a change that goes on when its caller hangs up.
+def run_to_completion(operation: Coroutine[Any, Any, Result]) -> Deferred[Result]:
+    """Run a change to completion even when its caller disconnects.
 
-    The routes' library cancels what a closed connection waited for. A write to the
-    store that is cancelled half-way would never be read back, and nobody would know
-    whether it took effect.
+    Klein cancels the Deferred that a route returned when the connection closes. A write
+    to the store that is cancelled half-way would never be read back, and it would
+    remain unknown whether it took effect.
     """
-    inner = ensureDeferred(operation)
-    outer: Deferred[Result] = Deferred()
+    completion = ensureDeferred(operation)
+    reply: Deferred[Result] = Deferred()
 
-    def pass_on(result: Any) -> None:
-        if not outer.called:
-            outer.callback(result)
+    def forward(result: Any) -> None:
+        if not reply.called:
+            reply.callback(result)
         elif isinstance(result, Failure):
-            log.error("after its caller hung up: {}", result.getErrorMessage())
+            log.error(
+                "change failed after its caller disconnected: {}",
+                result.getErrorMessage(),
+            )
 
-    inner.addBoth(pass_on)
-    return outer
+    completion.addBoth(forward)
+    return reply
--- a/src/gentianwharf/admin/_guard.py
+++ b/src/gentianwharf/admin/_guard.py
@@ -1,4 +1,4 @@
-"""The guard in front of all routes, so that none can forget it."""
+"""Checks that run before every route, so that no route can omit them."""
 
 from ipaddress import ip_address
 from typing import Any, final
@@ -9,13 +9,13 @@
 from ._access import TokenAuthenticator
 from ._replies import ProblemType, reply_problem
 
-OPEN_PATHS = frozenset({b"/livez", b"/readyz"})
+PUBLIC_PATHS = frozenset({b"/livez", b"/readyz"})
 READ_METHODS = frozenset({b"GET", b"HEAD"})
 
 
 @final
 class GuardedResource(Resource):
-    """Checks token, host and media type before any route sees the request."""
+    """Checks token, host and media type before a request reaches any route."""
 
     isLeaf = True
 
@@ -25,8 +25,8 @@
         self._authenticator = authenticator
 
     def render(self, request: Request) -> Any:
-        """Let the request through to the routes, or answer it here."""
-        if request.path in OPEN_PATHS:
+        """Pass the request on to the routes, or answer it with a problem."""
+        if request.path in PUBLIC_PATHS:
             return self._inner.render(request)
         if not self._authenticator.is_authorized(request):
             return reply_problem(
@@ -35,7 +35,7 @@
                 "expected the header Authorization: Bearer TOKEN with the token of"
                 " the daemon's settings",
             )
-        if not _names_an_address(request):
+        if not _has_ip_host(request):
             return reply_problem(
                 request,
                 ProblemType.UNAUTHORIZED,
@@ -51,10 +51,11 @@
 
 
 def _is_json(request: Request) -> bool:
-    """Guard against a web page that makes its reader's browser send commands.
+    """Return whether the body is declared as JSON; guards against request forgery.
 
-    A browser sends a form to a loopback address without asking, but JSON only after
-    a question that the admin port does not answer.
+    A web page can make its reader's browser send a form to a loopback address. For
+    JSON the browser first sends a CORS preflight request, which the admin port does
+    not answer.
     """
     media_type = request.getHeader(b"content-type") or b""
     if isinstance(media_type, str):
@@ -62,11 +63,12 @@
     return media_type.split(b";")[0].strip().lower() == b"application/json"
 
 
-def _names_an_address(request: Request) -> bool:
-    """Guard against a web page whose host name was made to lead to a loopback address.
+def _has_ip_host(request: Request) -> bool:
+    """Return whether the Host header has an IP address; guards against DNS rebinding.
 
-    The operator's browser takes the daemon for the page's own site and lets the page
-    read and send whatever it likes; but it names that host, not an IP number.
+    A web page can make its own host name resolve to a loopback address. The operator's
+    browser then treats the daemon as the page's own origin and lets the page read and
+    send anything; but its Host header has that name, not an IP address.
     """
     host = request.getRequestHostname().decode("latin-1").strip("[]")
     try:
--- a/src/gentianwharf/admin/_protocols.py
+++ b/src/gentianwharf/admin/_protocols.py
@@ -1,9 +1,9 @@
-"""What the admin port asks of the daemon's parts, a ``Protocol`` a part.
+"""Interfaces that the admin port needs: one ``Protocol`` for each part of the daemon.
 
 Every method that changes something takes the operator's name, for the log and the
-store. Each raises the errors of ``gentianwharf.errors``; the port turns
-``RefusedError`` into 409, ``InputError`` into 422, ``PeerUnavailableError`` into 503
-and ``OutcomeUnknownError`` into 504.
+store. All methods raise the errors of ``gentianwharf.errors``; the port answers
+``RefusedError`` with 409, ``InputError`` with 422, ``PeerUnavailableError`` with 503
+and ``OutcomeUnknownError`` with 504.
 """
 
 from collections.abc import Mapping, Sequence
@@ -22,9 +22,9 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Alarm:
-    """Something that an operator should look at; the name stands in OPERATIONS.md.
+    """A condition that needs an operator's attention; OPERATIONS.md lists the names.
 
-    ``since_s`` is for how long it has held.
+    ``since_s`` is the time in seconds for which the condition has held.
     """
 
     name: str
@@ -37,9 +37,9 @@
 class Measures:
     """The three measures by service; docs/OPERATIONS.md defines them.
 
-    ``imbalance`` is of the last whole minute and leaves out services with too few
-    answers to tell; ``churn`` in shards and ``unavailable_s`` in shard-seconds are of
-    the last ``window_s``.
+    ``imbalance`` covers the last whole minute and omits services with too few answers
+    for a meaningful value; ``churn`` in shards and ``unavailable_s`` in shard-seconds
+    cover the last ``window_s`` seconds.
     """
 
     window_s: float
@@ -51,11 +51,12 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DaemonState:
-    """One daemon's view of itself, for ``/state`` and ``gentianwharf status``.
+    """State of one daemon, for ``/state`` and ``gentianwharf status``.
 
-    ``store_heard_ago_s`` is None when the store has never answered;
-    ``table_versions`` is by service, ``right_to_send`` likewise. A witness without a
-    memory (``docs/design/ownership.md``) confirms nothing yet.
+    ``store_heard_ago_s`` is the time since the store's last answer, None when it has
+    never answered. ``table_versions``, ``right_to_send`` and ``control_holders`` are by
+    service. A witness without a memory (``docs/design/ownership.md``) does not confirm
+    anything yet.
     """
 
     customer: str
@@ -79,10 +80,10 @@
     """The daemon's health and state."""
 
     def is_live(self) -> bool:
-        """Return False when only a restart helps."""
+        """Return False when only a restart can make the daemon work again."""
 
     def unready_reasons(self) -> Sequence[str]:
-        """Return why the balancer should send no request here; empty when ready."""
+        """Return why the balancer should not send requests here; empty when ready."""
 
     def state(self) -> DaemonState:
         """Return the whole state."""
@@ -91,17 +92,17 @@
 class RulesControl(Protocol):
     """The rules in force on this host and the operators' document in the store.
 
-    ``gentianwharf.rules.RuleBook`` gives all but ``in_force``.
+    ``gentianwharf.rules.RuleBook`` implements all methods but ``in_force``.
     """
 
     def in_force(self) -> RuleSet | None:
-        """Return what this host matches requests with."""
+        """Return the rules that this host matches requests with."""
 
     async def read(self) -> RuleVersion | None:
         """Return the document in the store."""
 
     async def history(self) -> list[RuleVersion]:
-        """Return the documents still kept, newest first."""
+        """Return the retained versions of the document, newest first."""
 
     async def apply(
         self,
@@ -111,17 +112,17 @@
         author: str,
         change_id: str | None = None,
     ) -> ApplyResult:
-        """Put ``document`` in force if nobody else was faster.
+        """Put ``document`` in force unless the rules have changed since the revision.
 
-        Repeating a call with its ``change_id`` is safe.
+        A call may be repeated safely with the same ``change_id``.
         """
 
 
 class HostRulesStatus(StrEnum):
-    """How a host stands to a revision of the rules.
+    """Whether a host has a revision of the rules in force.
 
-    ``UNREADABLE`` is a host that has the revision and can't put it in force: its
-    release is older than the document.
+    ``UNREADABLE`` means that the host has the revision and can't put it in force
+    because its release is too old for the document.
     """
 
     IN_FORCE = "in force"
@@ -133,10 +134,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostRules:
-    """What a listed host matches requests with.
+    """The rules that a listed host matches requests with.
 
-    ``in_force_revision`` is None for no rules and for a silent host, ``reason`` says
-    why a host is silent.
+    ``in_force_revision`` is None for a host without rules and for a silent host;
+    ``reason`` says why a host is silent.
     """
 
     host: str
@@ -157,12 +158,12 @@
 
 
 class FleetRules(Protocol):
-    """The rules in force on every listed host; they are asked, not the store."""
+    """The rules in force on every listed host, as the hosts themselves report them."""
 
     async def rollout_status(
         self, *, revision: int | None, wait_s: float
     ) -> RolloutStatus:
-        """Return once ``revision`` is in force everywhere, or after ``wait_s``.
+        """Return once ``revision`` is in force on all hosts, or after ``wait_s`` s.
 
         None stands for the newest revision that any host has.
         """
@@ -171,9 +172,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyOwner:
-    """Who owns a key; ``moving_to`` and ``step`` tell of a move under way.
+    """The owner of a key; ``moving_to`` and ``step`` describe a move in progress.
 
-    ``single`` says that the key has an entry of its own beside its shard.
+    ``single`` is true when the key is pinned, with an entry of its own beside that of
+    its shard.
     """
 
     service: str
@@ -192,24 +194,25 @@
     """Owners of keys."""
 
     def owner(self, service: str, key: str) -> KeyOwner:
-        """Return who owns ``key`` as this host knows it."""
+        """Return the owner of ``key`` according to this host's table."""
 
     async def move(self, service: str, key: str, server: str, author: str) -> KeyOwner:
-        """Begin to move the key's shard to ``server``; returns at the intent."""
+        """Start moving the key's shard to ``server``; returns once that is stored."""
 
     async def pin(
         self, service: str, key: str, server: str | None, author: str
     ) -> KeyOwner:
-        """Give ``key`` an entry of its own on ``server``; None takes it away."""
+        """Pin ``key`` to ``server``; None removes the pin."""
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerStatus:
-    """A backend server as this host sees it.
+    """A backend server as seen from this host.
 
-    ``slots_busy`` counts this host's own requests, ``reported_load`` is the server's
-    word and lags; ``shards`` counts those that it owns.
+    ``slots_busy`` counts this host's own requests only. ``reported_load`` is the load
+    that the server itself last reported, and lags. ``shards`` counts the shards that
+    the server owns.
     """
 
     id: str
@@ -231,7 +234,7 @@
         """Return every backend server."""
 
     async def drain(self, server: str, author: str) -> ServerStatus:
-        """Give ``server`` no new work and move its shards away."""
+        """Stop sending new requests to ``server`` and move its shards to others."""
 
 
 class HostsView(Protocol):
@@ -244,10 +247,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DomainLoss:
-    """What declaring a failure domain lost would do, or has done.
+    """Effects of declaring a failure domain lost, before or after the declaration.
 
-    ``shards`` counts by service those that would get new owners, ``heard_ago_s`` the
-    time since a host of that domain was heard, None for never.
+    ``shards`` counts by service the shards that get new owners. ``heard_ago_s`` is the
+    time since the last message from a host of that domain, None for never.
     """
 
     domain: str
@@ -261,7 +264,7 @@
     """Failure domains that an operator may declare lost."""
 
     def preview_loss(self, domain: str) -> DomainLoss:
-        """Return what it would do and risk, without doing it."""
+        """Return the effects and risks of declaring ``domain`` lost."""
 
     async def declare_lost(self, domain: str, author: str) -> DomainLoss:
         """Let other domains take over the keys of ``domain``."""
@@ -271,7 +274,7 @@
     """The service-level burn."""
 
     async def burn(self, *, host: str | None) -> Mapping[str, JsonValue]:
-        """Return the report as JSON, over all listed hosts or one alone."""
+        """Return the report as JSON, over all listed hosts or only ``host``."""
 
 
 @final
@@ -279,7 +282,7 @@
 class RetainedDecisions:
     """Decisions, the newest first, each with its ``host``.
 
-    ``silent`` are the listed hosts that were asked and did not answer, with reasons.
+    ``silent`` has the listed hosts that did not answer the query, with the reasons.
     """
 
     decisions: Sequence[Mapping[str, JsonValue]]
@@ -287,13 +290,13 @@
 
 
 class DecisionsView(Protocol):
-    """Why requests went where they went."""
+    """Decisions about requests: why they were sent to a server or refused."""
 
     def latest(self, *, refused_only: bool, limit: int) -> RetainedDecisions:
-        """Return this host's newest kept decisions, at most ``limit``.
+        """Return this host's newest retained decisions, at most ``limit``.
 
-        ``refused_only`` leaves out all that were neither refused nor unknown.
+        ``refused_only`` omits requests that were neither refused nor left unknown.
         """
 
     async def find(self, request_id: str) -> RetainedDecisions:
-        """Return what any listed host keeps on a request."""
+        """Return the decisions that any listed host retains on a request."""
--- a/src/gentianwharf/admin/_replies.py
+++ b/src/gentianwharf/admin/_replies.py
@@ -1,4 +1,4 @@
-"""Answers of the admin port: JSON, and problems as ``application/problem+json``."""
+"""Responses of the admin port: JSON, and problems as ``application/problem+json``."""
 
 from enum import StrEnum
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class ProblemType(StrEnum):
-    """Kinds of problem, as the last part of the problem's ``type``."""
+    """Problem types of RFC 9457, as the last part of the problem's ``type``."""
 
     UNAUTHORIZED = "unauthorized"
     INPUT = "input"
@@ -32,7 +32,7 @@
     INTERNAL = "internal"
 
 
-_STATUS = {
+_STATUS_CODES = {
     ProblemType.UNAUTHORIZED: 401,
     ProblemType.INPUT: 422,
     ProblemType.NOT_FOUND: 404,
@@ -45,7 +45,7 @@
     ProblemType.INTERNAL: 500,
 }
 
-_KINDS: tuple[tuple[type[GentianwharfError], ProblemType], ...] = (
+_PROBLEM_TYPES: tuple[tuple[type[GentianwharfError], ProblemType], ...] = (
     (InputError, ProblemType.INPUT),
     (RefusedError, ProblemType.REFUSED),
     (ConflictError, ProblemType.CONFLICT),
@@ -54,7 +54,7 @@
 )
 
 
-def _plain(value: object) -> Any:
+def _to_builtins(value: object) -> Any:
     if isinstance(value, BaseModel):
         return value.model_dump(mode="json", exclude_defaults=True)
     if hasattr(value, "items"):
@@ -68,38 +68,44 @@
     >>> encode_json({"a": (1, None)})
     b'{"a":[1,null]}'
     """
-    return msgspec.json.encode(value, enc_hook=_plain)
+    return msgspec.json.encode(value, enc_hook=_to_builtins)
 
 
 def reply_json(request: Request, value: object, *, status: int = 200) -> bytes:
-    """Answer ``request`` with ``value``."""
+    """Answer ``request`` with ``value`` as JSON."""
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/json")
     return encode_json(value)
 
 
 def reply_problem(
-    request: Request, kind: ProblemType, detail: str, **more: object
+    request: Request, problem_type: ProblemType, detail: str, **extensions: object
 ) -> bytes:
-    """Answer ``request`` with a problem; ``more`` adds members to it."""
-    status = _STATUS[kind]
+    """Answer ``request`` with a problem and its extension members."""
+    status = _STATUS_CODES[problem_type]
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/problem+json")
-    if kind is ProblemType.UNAUTHORIZED:
+    if problem_type is ProblemType.UNAUTHORIZED:
         request.setHeader(b"www-authenticate", b"Bearer")
     problem = {
-        "type": f"urn:gentianwharf:{kind}",
-        "title": kind.replace("-", " "),
+        "type": f"urn:gentianwharf:{problem_type}",
+        "title": problem_type.replace("-", " "),
         "status": status,
         "detail": detail,
     }
-    return encode_json(problem | more)
+    return encode_json(problem | extensions)
 
 
 def reply_error(request: Request, error: GentianwharfError) -> bytes:
     """Answer ``request`` with an error's message, step and peer."""
-    kind = next(
-        (kind for error_type, kind in _KINDS if isinstance(error, error_type)),
+    problem_type = next(
+        (
+            problem_type
+            for error_type, problem_type in _PROBLEM_TYPES
+            if isinstance(error, error_type)
+        ),
         ProblemType.INTERNAL,
     )
-    return reply_problem(request, kind, error.message, step=error.step, peer=error.peer)
+    return reply_problem(
+        request, problem_type, error.message, step=error.step, peer=error.peer
+    )
--- a/src/gentianwharf/admin/_requests.py
+++ b/src/gentianwharf/admin/_requests.py
@@ -1,4 +1,4 @@
-"""Bodies and headers that operators send, checked at the border."""
+"""Parsing and validation of the bodies, headers and queries of operators' requests."""
 
 import re
 from typing import Any, TypeVar
@@ -11,7 +11,7 @@
 from gentianwharf.rules import RequestFacts
 
 OPERATOR_HEADER = "gentianwharf-operator"
-MOST_OPERATOR_CHARACTERS = 64
+MAX_OPERATOR_CHARACTERS = 64
 CHANGE_ID = re.compile(r"[A-Za-z0-9-]{8,64}")
 
 Body = TypeVar("Body", bound=BaseModel)
@@ -22,21 +22,21 @@
 
 
 class MoveBody(_Body):
-    """The server that shall own the key's shard."""
+    """The server to move the key's shard to."""
 
     key: str = Field(min_length=1)
     server: str = Field(min_length=1)
 
 
 class PinBody(_Body):
-    """The server that shall own the key by itself; null ends that."""
+    """The server to pin the key to; null removes the pin."""
 
     key: str = Field(min_length=1)
     server: str | None
 
 
 class ExplainBody(_Body):
-    """A request to be explained; ``key`` stands for its ``Gentianwharf-Key``."""
+    """A request to explain; ``key`` is the value of its ``Gentianwharf-Key``."""
 
     method: str = "GET"
     host: str = ""
@@ -46,7 +46,7 @@
     key: str | None = None
 
     def facts(self) -> RequestFacts:
-        """Return what the rules look at."""
+        """Return the properties of the request that rules match."""
         headers = {name.lower(): value for name, value in self.headers.items()}
         if self.key is not None:
             headers["gentianwharf-key"] = self.key
@@ -61,14 +61,14 @@
 
 def read_body(request: Request, model: type[Body]) -> Body:
     """Return the body as ``model``; raises ``InputError`` naming what is wrong."""
-    source = _peer(request)
+    peer = _peer(request)
     try:
         data = msgspec.json.decode(_content(request))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise InputError(
-            f"the body is not JSON: {error}", step="read body", peer=source
+            f"the body is not JSON: {error}", step="read body", peer=peer
         ) from error
-    return check_body(data, model, peer=source)
+    return check_body(data, model, peer=peer)
 
 
 def check_body(data: Any, model: type[Body], *, peer: str) -> Body:
@@ -76,20 +76,20 @@
     try:
         return model.model_validate(data)
     except ValidationError as error:
-        wrong = "; ".join(
-            f"{'.'.join(map(str, one['loc'])) or 'body'}: {one['msg']}"
-            for one in error.errors()
+        details = "; ".join(
+            f"{'.'.join(map(str, mistake['loc'])) or 'body'}: {mistake['msg']}"
+            for mistake in error.errors()
         )
-        raise InputError(wrong, step="check body", peer=peer) from error
+        raise InputError(details, step="check body", peer=peer) from error
 
 
-def operator_of(request: Request) -> str:
-    """Return who asks for a change; raises ``InputError`` when nobody is named."""
+def read_operator(request: Request) -> str:
+    """Return the operator's name; raises ``InputError`` when missing or too long."""
     value = request.getHeader(OPERATOR_HEADER) or ""
     name = value if isinstance(value, str) else value.decode("utf-8", "replace")
-    if not name.strip() or len(name) > MOST_OPERATOR_CHARACTERS:
+    if not name.strip() or len(name) > MAX_OPERATOR_CHARACTERS:
         raise InputError(
-            f"expected the operator's name, at most {MOST_OPERATOR_CHARACTERS}"
+            f"expected the operator's name, at most {MAX_OPERATOR_CHARACTERS}"
             f" characters, in the header {OPERATOR_HEADER}, got {name!r}",
             step="read operator",
             peer=_peer(request),
@@ -97,12 +97,12 @@
     return name.strip()
 
 
-def change_id_of(request: Request) -> str | None:
-    """Return the change's id; raises ``InputError`` when it has another form.
+def read_change_id(request: Request) -> str | None:
+    """Return the change's id, if any; raises ``InputError`` when it is malformed.
 
-    It is kept in the store's record with those of many other changes.
+    Its length is limited because the store's record retains the ids of many changes.
     """
-    change_id = argument(request, "change_id")
+    change_id = query_argument(request, "change_id")
     if change_id is not None and not CHANGE_ID.fullmatch(change_id):
         raise InputError(
             f"change_id: expected 8 to 64 letters, digits or hyphens, got"
@@ -113,15 +113,15 @@
     return change_id
 
 
-def argument(request: Request, name: str) -> str | None:
+def query_argument(request: Request, name: str) -> str | None:
     """Return the first query field ``name``, or None."""
     values = request.args.get(name.encode())
     return values[0].decode("utf-8", "replace") if values else None
 
 
-def integer_argument(request: Request, name: str, *, default: int | None) -> int:
+def query_integer(request: Request, name: str, *, default: int | None) -> int:
     """Return the query field ``name`` as a number from 0."""
-    text = argument(request, name)
+    text = query_argument(request, name)
     if text is None and default is not None:
         return default
     if text is None or not (text.isascii() and text.isdigit()) or len(text) > 18:
@@ -133,16 +133,16 @@
     return int(text)
 
 
-def optional_integer(request: Request, name: str) -> int | None:
+def optional_query_integer(request: Request, name: str) -> int | None:
     """Return the query field ``name`` as a number from 0, None when it is absent."""
-    if argument(request, name) is None:
+    if query_argument(request, name) is None:
         return None
-    return integer_argument(request, name, default=None)
+    return query_integer(request, name, default=None)
 
 
-def flag_argument(request: Request, name: str) -> bool:
+def query_flag(request: Request, name: str) -> bool:
     """Return the query field ``name``, true or false; false when it is absent."""
-    text = argument(request, name)
+    text = query_argument(request, name)
     if text not in (None, "true", "false"):
         raise InputError(
             f"{name}: expected true or false in the query, got {text!r}",
--- a/src/gentianwharf/admin/_site.py
+++ b/src/gentianwharf/admin/_site.py
@@ -1,4 +1,4 @@
-"""The admin port's site, which keeps only so much of a request's body."""
+"""The admin port's site, which limits the size of request bodies."""
 
 from io import BytesIO
 from typing import final
@@ -8,30 +8,31 @@
 
 from ._replies import ProblemType, reply_problem
 
-MOST_BODY_BYTES = 1024 * 1024
-"""Four times the largest rule document: comments and indentation take room."""
+MAX_BODY_BYTES = 1024 * 1024
+"""Four times the largest rule document, to allow for comments and indentation."""
 
 
 @final
 class _BoundedBody(BytesIO):
-    """Drops what goes beyond the limit.
+    """Discards the chunks of a body that exceed the limit.
 
-    The request's own class would gather a body of any size in memory or in a file;
-    the hosts have no disks, and an endless upload would end the daemon.
+    Twisted's own request class stores a body of any size in memory or in a temporary
+    file. The hosts have no disks, so an endless upload would use up the memory and
+    end the daemon.
     """
 
     overflowed = False
 
     def write(self, data: object) -> int:
         chunk = bytes(data)  # type: ignore[call-overload]
-        if self.tell() + len(chunk) > MOST_BODY_BYTES:
+        if self.tell() + len(chunk) > MAX_BODY_BYTES:
             self.overflowed = True
             return len(chunk)
         return super().write(chunk)
 
 
 class _AdminRequest(Request):
-    """A request whose body is bounded."""
+    """A request with a body of limited size."""
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
         self.content = _BoundedBody()
@@ -41,7 +42,7 @@
             body = reply_problem(
                 self,
                 ProblemType.TOO_LARGE,
-                f"the body is larger than {MOST_BODY_BYTES} bytes",
+                f"the body is larger than {MAX_BODY_BYTES} bytes",
             )
             self.write(body)
             self.finish()
@@ -50,5 +51,5 @@
 
 
 def admin_site(resource: Resource) -> Site:
-    """Return the site to listen with."""
+    """Return the site that the daemon listens with."""
     return Site(resource, requestFactory=_AdminRequest)
