--- a/tests/builders_admin.py
+++ b/tests/builders_admin.py
@@ -1,4 +1,4 @@
-"""A daemon made of fakes behind the admin port, and a way to call it in memory."""
+"""A fake daemon behind the admin port, and a client that calls it in memory."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -45,7 +45,7 @@
 IN_FORCE_HOST = HostRules(
     host="lac-1", domain="lac", standing=HostRulesStatus.IN_FORCE, in_force_revision=20
 )
-LATE_HOSTS = (
+OTHER_HOSTS = (
     HostRules(
         host="ariana-1",
         domain="ariana",
@@ -71,7 +71,7 @@
 
 
 def rule_version(number: int = 1, *, author: str = "amira") -> RuleVersion:
-    """Return a version of the migration's rules."""
+    """Return a version of the rules, with one rule for the keyed service."""
     return RuleVersion(
         number=number,
         revision=number * 10,
@@ -84,13 +84,13 @@
 
 @dataclass
 class FakeDaemon:
-    """Every part that the admin port asks; ``calls`` records what was changed."""
+    """Implements every protocol of the admin port; ``calls`` records the changes."""
 
     live: bool = True
     reasons: Sequence[str] = ()
     error: Exception | None = None
     result: ApplyResult | None = None
-    waiting: Deferred[None] | None = None
+    apply_blocker: Deferred[None] | None = None
     rule_set: RuleSet | None = field(
         default_factory=lambda: RuleSet(
             document=rule_version().document, revision=10, shards=SHARDS
@@ -98,10 +98,10 @@
     )
     calls: list[tuple[Any, ...]] = field(default_factory=list)
     change_ids: list[str | None] = field(default_factory=list)
-    late: HostRulesStatus = HostRulesStatus.IN_FORCE
-    waits: list[tuple[int | None, float]] = field(default_factory=list)
-    silent: Sequence[SilentHost] = ()
-    burns: list[str | None] = field(default_factory=list)
+    other_status: HostRulesStatus = HostRulesStatus.IN_FORCE
+    rollout_waits: list[tuple[int | None, float]] = field(default_factory=list)
+    silent_hosts: Sequence[SilentHost] = ()
+    burn_hosts: list[str | None] = field(default_factory=list)
     decision_calls: list[tuple[str | None, bool, int]] = field(default_factory=list)
 
     def is_live(self) -> bool:
@@ -160,8 +160,8 @@
         change_id: str | None = None,
     ) -> ApplyResult:
         """See ``RulesControl``."""
-        if self.waiting is not None:
-            await self.waiting
+        if self.apply_blocker is not None:
+            await self.apply_blocker
         self._fail()
         self.calls.append(("apply", document, edited_from_revision, author))
         self.change_ids.append(change_id)
@@ -232,17 +232,19 @@
     ) -> RolloutStatus:
         """See ``FleetRules``."""
         self._fail()
-        self.waits.append((revision, wait_s))
-        late = tuple(replace(one, standing=self.late) for one in LATE_HOSTS)
+        self.rollout_waits.append((revision, wait_s))
+        others = tuple(
+            replace(host, standing=self.other_status) for host in OTHER_HOSTS
+        )
         return RolloutStatus(
             revision=20 if revision is None else revision,
-            everywhere=self.late is HostRulesStatus.IN_FORCE,
-            hosts=(IN_FORCE_HOST, *late),
+            everywhere=self.other_status is HostRulesStatus.IN_FORCE,
+            hosts=(IN_FORCE_HOST, *others),
         )
 
     async def burn(self, *, host: str | None) -> Mapping[str, JsonValue]:
         """See ``BurnView``."""
-        self.burns.append(host)
+        self.burn_hosts.append(host)
         objective = Objective(request_class="consultation", limit_s=0.3, share=0.99)
         count = WindowCount(
             window_s=3600.0,
@@ -255,7 +257,7 @@
             bad=4,
         )
         return burn_report(
-            [objective], [count], hosts=["lac-1"], silent=self.silent
+            [objective], [count], hosts=["lac-1"], silent=self.silent_hosts
         ).as_builtins()
 
     def latest(self, *, refused_only: bool, limit: int) -> RetainedDecisions:
@@ -268,7 +270,8 @@
         self.decision_calls.append((request_id, False, 1))
         decisions = [] if request_id == "nowhere" else [DECISION]
         return RetainedDecisions(
-            decisions=decisions, silent={one.host: one.reason for one in self.silent}
+            decisions=decisions,
+            silent={host.host: host.reason for host in self.silent_hosts},
         )
 
     def _fail(self) -> None:
@@ -309,14 +312,14 @@
     )
 
 
-def in_memory(daemon: FakeDaemon) -> StubTreq:
+def stub_client(daemon: FakeDaemon) -> StubTreq:
     """Return a client that calls the admin port without a socket."""
     return StubTreq(admin_app(daemon).resource())
 
 
 @dataclass(frozen=True)
-class Answer:
-    """An answer as its caller sees it."""
+class Response:
+    """A response of the admin port."""
 
     status: int
     media_type: str
@@ -327,29 +330,29 @@
         return json.loads(self.body)
 
 
-def call(
+def send_request(
     http: StubTreq,
     method: str,
     path: str,
     *,
     headers: Mapping[str, str] | None = None,
     body: object = None,
-) -> Answer:
-    """Call the admin port with the right token, unless ``headers`` are given."""
-    allowed = {"authorization": f"Bearer {TOKEN}", **JSON_HEADERS}
+) -> Response:
+    """Send a request with valid credentials, unless ``headers`` are given."""
+    valid_headers = {"authorization": f"Bearer {TOKEN}", **JSON_HEADERS}
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     client: Any = http
     response = result_of(
         client.request(
             method,
             f"http://127.0.0.1:8081{path}",
-            headers=dict(allowed if headers is None else headers),
+            headers=dict(valid_headers if headers is None else headers),
             data=None if method == "GET" else data,
         )
     )
     http.flush()
     media_types = response.headers.getRawHeaders("content-type") or [""]
-    return Answer(
+    return Response(
         status=response.code,
         media_type=media_types[0],
         body=result_of(response.content()),
--- a/tests/builders_cli.py
+++ b/tests/builders_cli.py
@@ -1,4 +1,4 @@
-"""The operator's tool against a daemon of fakes, without a socket."""
+"""Run commands of the command-line tool against a fake daemon, without a socket."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -17,21 +17,21 @@
 
 
 @dataclass
-class LossyHttp:
-    """Calls the admin port in memory; answers listed in ``lost`` come to nothing.
+class LossyHttpClient:
+    """Calls the admin port in memory; replaces answers by the errors in ``errors``.
 
-    ``lost`` holds an error for each of the next calls, None for one that is well;
-    ``reached`` False keeps a lost call from reaching the daemon at all.
+    ``errors`` has an item for each of the next requests, None for one that succeeds.
+    With ``delivered`` False a request with an error does not reach the daemon at all.
     """
 
     stub: StubTreq
-    lost: list[Exception | None] = field(default_factory=list)
-    reached: bool = True
+    errors: list[Exception | None] = field(default_factory=list)
+    delivered: bool = True
 
     def request(self, method: str, url: str, **options: Any) -> Deferred[Any]:
         """Send a request."""
-        error = self.lost.pop(0) if self.lost else None
-        if error is not None and not self.reached:
+        error = self.errors.pop(0) if self.errors else None
+        if error is not None and not self.delivered:
             return fail(error)
         options.pop("timeout", None)
         client: Any = self.stub
@@ -41,38 +41,38 @@
 
 
 @dataclass(frozen=True)
-class Ran:
-    """What a command printed and exited with."""
+class CommandResult:
+    """The output and the exit code of a command."""
 
     code: ExitCode
     out: str
     problems: str
 
 
-def ran(
+def run(
     command: Command,
     daemon: FakeDaemon | None = None,
     *,
     token: str | None = TOKEN,
     as_json: bool = False,
-    lost: list[Exception | None] | None = None,
-    reached: bool = True,
-    ask: Callable[[str], str] = lambda question: "",
-) -> Ran:
+    errors: list[Exception | None] | None = None,
+    delivered: bool = True,
+    prompt: Callable[[str], str] = lambda question: "",
+) -> CommandResult:
     """Run a command against ``daemon``."""
     terminal = Terminal(
-        out=StringIO(), problems=StringIO(), prompt=ask, as_json=as_json
+        out=StringIO(), problems=StringIO(), prompt=prompt, as_json=as_json
     )
-    http = LossyHttp(
+    http = LossyHttpClient(
         stub=StubTreq(admin_app(daemon or FakeDaemon()).resource()),
-        lost=lost or [],
-        reached=reached,
+        errors=errors or [],
+        delivered=delivered,
     )
     client = AdminClient(
         http=http, url="http://127.0.0.1:8081", token=token, operator="amira"
     )
     code = result_of(ensureDeferred(_exit(command, client, terminal)))
-    return Ran(
+    return CommandResult(
         code=code,
         out=terminal.out.getvalue(),  # type: ignore[attr-defined]
         problems=terminal.problems.getvalue(),  # type: ignore[attr-defined]
--- a/tests/serve_admin.py
+++ b/tests/serve_admin.py
@@ -1,6 +1,6 @@
-"""Serve the admin port of a daemon of fakes; prints its port and ends with its input.
+"""Serve the admin port of a fake daemon until standard input closes; print its port.
 
-``python -m tests.serve_admin`` is started by tests that run the tool as a process.
+Tests that run the command-line tool as a process start ``python -m tests.serve_admin``.
 """
 
 import sys
@@ -15,7 +15,7 @@
 reactor = cast(Any, installed)
 
 
-class _UntilInputEnds(Protocol):
+class _StopOnInputClose(Protocol):
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         if reactor.running:
             reactor.stop()
@@ -24,7 +24,7 @@
 def main() -> None:
     """Listen on a free loopback port until standard input closes."""
     port = reactor.listenTCP(0, admin_app(FakeDaemon()).site(), interface="127.0.0.1")
-    StandardIO(_UntilInputEnds(), reactor=reactor)
+    StandardIO(_StopOnInputClose(), reactor=reactor)
     sys.stderr.write(f"{port.getHost().port}\n")
     sys.stderr.flush()
     reactor.run()
--- a/tests/test_admin_access.py
+++ b/tests/test_admin_access.py
@@ -1,4 +1,4 @@
-"""The admin port's token: what a file may hold."""
+"""The admin port's token file: accepted and rejected contents."""
 
 from pathlib import Path
 
@@ -30,7 +30,7 @@
         pytest.param(None, "can't be read", id="missing"),
     ],
 )
-def test_file_of_no_use_is_refused_without_its_content(
+def test_invalid_token_file_is_refused_without_its_content(
     tmp_path: Path, content: bytes | None, expected: str
 ) -> None:
     path = tmp_path / "token"
--- a/tests/test_admin_alarms.py
+++ b/tests/test_admin_alarms.py
@@ -1,4 +1,4 @@
-"""Alarms: what raises each, and that passing states raise none."""
+"""Alarms: the condition of each alarm, and that transient states raise none."""
 
 from dataclasses import replace
 from typing import Any
@@ -14,24 +14,24 @@
 )
 from tests.builders_admin import FakeDaemon, server_status
 
-WELL = replace(FakeDaemon().state(), alarms=())
+HEALTHY = replace(FakeDaemon().state(), alarms=())
 SERVERS = [server_status("desk-1"), server_status("desk-2")]
 
 
-def raised(
+def raised_alarms(
     state: DaemonState, servers: list[ServerStatus], *, after_s: float
 ) -> dict[str, str]:
-    watch = AlarmEvaluator()
-    watch.update(state, servers, now_s=100.0)
-    found = watch.update(state, servers, now_s=100.0 + after_s)
-    return {one.name: one.detail for one in found.alarms}
+    evaluator = AlarmEvaluator()
+    evaluator.update(state, servers, now_s=100.0)
+    evaluated = evaluator.update(state, servers, now_s=100.0 + after_s)
+    return {alarm.name: alarm.detail for alarm in evaluated.alarms}
 
 
 def with_server(**changed: Any) -> list[ServerStatus]:
     return [SERVERS[0], replace(SERVERS[1], **changed)]
 
 
-TABLE = [
+CASES = [
     pytest.param("no-rules", {"rules_revision": None}, SERVERS, "no rules", id="rules"),
     pytest.param(
         "store-silent", {"store_heard_ago_s": 11.0}, SERVERS, "11 s", id="store"
@@ -60,7 +60,7 @@
     pytest.param(
         "no-server",
         {},
-        [replace(one, state="leaving", shards=0) for one in SERVERS],
+        [replace(server, state="leaving", shards=0) for server in SERVERS],
         "desk",
         id="no-server",
     ),
@@ -85,41 +85,46 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "changed", "servers", "detail"), TABLE)
-def test_alarm_is_raised_after_its_time_and_not_before(
+@pytest.mark.parametrize(("name", "changed", "servers", "detail"), CASES)
+def test_alarm_is_raised_after_its_delay_and_not_before(
     name: str, changed: dict[str, Any], servers: list[ServerStatus], detail: str
 ) -> None:
-    state = replace(WELL, **changed)
-    after_s = next(one.after_s for one in ALARMS if one.name == name)
-    found = raised(state, servers, after_s=after_s)
-    assert list(found) == [name]
-    assert detail in found[name]
-    assert raised(state, servers, after_s=after_s - 0.5) == {}
+    state = replace(HEALTHY, **changed)
+    after_s = next(rule.after_s for rule in ALARMS if rule.name == name)
+    alarms = raised_alarms(state, servers, after_s=after_s)
+    assert list(alarms) == [name]
+    assert detail in alarms[name]
+    assert raised_alarms(state, servers, after_s=after_s - 0.5) == {}
 
 
 def test_every_alarm_has_a_case() -> None:
-    assert {one.values[0] for one in TABLE} == {one.name for one in ALARMS}
+    assert {case.values[0] for case in CASES} == {rule.name for rule in ALARMS}
 
 
-def test_well_daemon_raises_nothing() -> None:
-    assert raised(WELL, SERVERS, after_s=1000.0) == {}
+def test_healthy_daemon_raises_no_alarm() -> None:
+    assert raised_alarms(HEALTHY, SERVERS, after_s=1000.0) == {}
 
 
-def test_daemon_that_starts_raises_nothing_while_it_has_still_to_hear() -> None:
-    """Each start of a daemon woke somebody: it has no rules for its first moments."""
-    state = replace(WELL, rules_revision=None, store_heard_ago_s=None, ready=False)
-    assert raised(state, SERVERS, after_s=4.0) == {}
+def test_starting_daemon_raises_no_alarm_at_once() -> None:
+    """Guards against a page to the operator at each start, before the rules arrive."""
+    state = replace(HEALTHY, rules_revision=None, store_heard_ago_s=None, ready=False)
+    assert raised_alarms(state, SERVERS, after_s=4.0) == {}
 
 
-def test_stop_raises_no_alarm_of_readiness() -> None:
-    state = replace(WELL, ready=False, stopping=True)
-    assert raised(state, SERVERS, after_s=1000.0) == {}
+def test_stopping_daemon_raises_no_not_ready_alarm() -> None:
+    state = replace(HEALTHY, ready=False, stopping=True)
+    assert raised_alarms(state, SERVERS, after_s=1000.0) == {}
 
 
-def test_interrupted_state_starts_anew() -> None:
-    watch = AlarmEvaluator()
-    unready = replace(WELL, ready=False)
-    for now_s, state in [(0.0, unready), (9.0, WELL), (10.0, unready), (19.0, unready)]:
-        assert watch.update(state, SERVERS, now_s=now_s).alarms == ()
-    (alarm,) = watch.update(unready, SERVERS, now_s=20.0).alarms
+def test_interrupted_condition_restarts_its_delay() -> None:
+    evaluator = AlarmEvaluator()
+    unready = replace(HEALTHY, ready=False)
+    for now_s, state in [
+        (0.0, unready),
+        (9.0, HEALTHY),
+        (10.0, unready),
+        (19.0, unready),
+    ]:
+        assert evaluator.update(state, SERVERS, now_s=now_s).alarms == ()
+    (alarm,) = evaluator.update(unready, SERVERS, now_s=20.0).alarms
     assert (alarm.name, alarm.since_s) == ("not-ready", 10.0)
--- a/tests/test_admin_site.py
+++ b/tests/test_admin_site.py
@@ -1,4 +1,4 @@
-"""The admin port's site on raw bytes: bounded bodies, and hosts by number."""
+"""The admin port's site on raw bytes: size limit of bodies, hosts as IP addresses."""
 
 import pytest
 from twisted.internet.testing import StringTransport
@@ -13,7 +13,7 @@
 )
 
 
-def answer(
+def raw_response(
     daemon: FakeDaemon,
     head: str,
     chunks: list[bytes],
@@ -24,19 +24,19 @@
     protocol = admin_app(daemon).site().buildProtocol(None)
     transport = StringTransport()
     protocol.makeConnection(transport)
-    first = f"{line} HTTP/1.1\r\nHost: {host}\r\n"
-    protocol.dataReceived(f"{first}{HEADERS}{head}\r\n".encode())
+    start = f"{line} HTTP/1.1\r\nHost: {host}\r\n"
+    protocol.dataReceived(f"{start}{HEADERS}{head}\r\n".encode())
     for chunk in chunks:
         protocol.dataReceived(chunk)
     return transport.value()
 
 
 def chunked(parts: list[bytes]) -> list[bytes]:
-    return [b"%x\r\n%s\r\n" % (len(one), one) for one in parts] + [b"0\r\n\r\n"]
+    return [b"%x\r\n%s\r\n" % (len(part), part) for part in parts] + [b"0\r\n\r\n"]
 
 
 BODY = encode_json(rule_version().document)
-PIECE = b" " * 65_536
+CHUNK = b" " * 65_536
 
 
 @pytest.mark.parametrize(
@@ -48,30 +48,29 @@
         ),
     ],
 )
-def test_document_is_taken(head: str, chunks: list[bytes]) -> None:
+def test_document_is_accepted(head: str, chunks: list[bytes]) -> None:
     daemon = FakeDaemon()
-    assert answer(daemon, head, chunks).startswith(b"HTTP/1.1 200")
+    assert raw_response(daemon, head, chunks).startswith(b"HTTP/1.1 200")
     assert len(daemon.calls) == 1
 
 
 @pytest.mark.parametrize(
     ("head", "chunks"),
     [
-        pytest.param(f"Content-Length: {64 * 65_536}\r\n", [PIECE] * 64, id="length"),
+        pytest.param(f"Content-Length: {64 * 65_536}\r\n", [CHUNK] * 64, id="length"),
         pytest.param(
-            "Transfer-Encoding: chunked\r\n", chunked([PIECE] * 64), id="chunks"
+            "Transfer-Encoding: chunked\r\n", chunked([CHUNK] * 64), id="chunks"
         ),
     ],
 )
 def test_body_that_is_too_large_is_refused(head: str, chunks: list[bytes]) -> None:
-    """Somebody uploads a file without end to the admin port.
+    """Guards against an endless upload that uses up the daemon's memory.
 
-    The library would keep all of it, in memory or in a file on a host without disks,
-    until the daemon that serves the callers is ended.
+    Twisted would store all of it in memory, or in a file on a host without disks.
     """
     daemon = FakeDaemon()
-    got = answer(daemon, head, chunks)
-    assert got.startswith(b"HTTP/1.1 413")
+    response = raw_response(daemon, head, chunks)
+    assert response.startswith(b"HTTP/1.1 413")
     assert daemon.calls == []
 
 
@@ -83,13 +82,11 @@
         pytest.param("page.example:8081", 401, id="name"),
     ],
 )
-def test_page_whose_name_leads_to_the_daemon_reads_nothing(
-    host: str, status: int
-) -> None:
-    """A page makes its own host name lead to 127.0.0.1 after it has been loaded.
+def test_dns_rebinding_page_is_refused(host: str, status: int) -> None:
+    """A web page makes its own host name resolve to 127.0.0.1 after it has loaded.
 
-    The browser then takes the admin port for the page's own site, and the page reads
-    the state and sends commands, JSON among them, with the operator's rights.
+    The browser then treats the admin port as the page's own origin, so the page could
+    read the state and send commands, JSON included, with the operator's rights.
     """
-    got = answer(FakeDaemon(), "", [], line="GET /state", host=host)
-    assert got.startswith(f"HTTP/1.1 {status}".encode())
+    response = raw_response(FakeDaemon(), "", [], line="GET /state", host=host)
+    assert response.startswith(f"HTTP/1.1 {status}".encode())
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the tool against a daemon: output, exit codes, lost answers."""
+"""Commands of the tool against a fake daemon: output, exit codes, lost answers."""
 
 import json
 from functools import partial
@@ -36,7 +36,7 @@
     diff_documents,
 )
 from tests.builders_admin import FakeDaemon, rule_version
-from tests.builders_cli import ran
+from tests.builders_cli import run
 from tests.builders_rules import document, keyed_rule, migration
 
 REQUEST = {"path": "/desk/sciences"}
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("as_json", [False, True], ids=["table", "json"])
 @pytest.mark.parametrize(("command", "part"), READS)
 def test_read(command: Command, part: str, as_json: bool) -> None:
-    result = ran(command, as_json=as_json)
+    result = run(command, as_json=as_json)
     assert result.code is ExitCode.DONE, result.problems
     if as_json:
         assert json.loads(result.out) is not None
@@ -79,7 +79,7 @@
 
 
 def test_status_shows_measures_and_alarms() -> None:
-    out = ran(_status.status).out
+    out = run(_status.status).out
     assert "store-silent" in out
     assert all(part in out for part in ("imbalance", "churn", "unavailable time"))
 
@@ -109,23 +109,23 @@
         ),
     ],
 )
-def test_change_is_asked_for_in_the_operators_name(
+def test_change_is_requested_in_the_operators_name(
     command: Command, call: tuple[Any, ...]
 ) -> None:
     daemon = FakeDaemon()
-    assert ran(command, daemon).code is ExitCode.DONE
+    assert run(command, daemon).code is ExitCode.DONE
     assert daemon.calls == [call]
 
 
 @pytest.mark.parametrize(
     ("answer", "done"), [("lac", True), ("yes", False), ("", False)]
 )
-def test_declaring_a_domain_lost_says_the_risk_and_asks(
+def test_declaring_a_domain_lost_prints_the_risks_and_asks(
     answer: str, done: bool
 ) -> None:
     daemon = FakeDaemon()
     command = partial(_fleet.declare_lost, domain="lac", assume_yes=False)
-    result = ran(command, daemon, ask=lambda question: answer)
+    result = run(command, daemon, prompt=lambda question: answer)
     assert "would own keys twice" in result.out
     assert "340 shards" in result.out
     assert bool(daemon.calls) is done
@@ -150,36 +150,36 @@
         ),
     ],
 )
-def test_daemons_error_is_told_with_its_step_and_peer(
+def test_daemons_error_is_printed_with_its_step_and_peer(
     error: GentianwharfError, code: ExitCode
 ) -> None:
     command = partial(_rules.show, in_force=False)
-    result = ran(command, FakeDaemon(error=error))
+    result = run(command, FakeDaemon(error=error))
     assert result.code is code
     assert "step s, peer p" in result.problems
 
 
 @pytest.mark.parametrize("error", [Refused(), ConnectTimeout()])
-def test_daemon_out_of_reach(error: Exception) -> None:
-    result = ran(_status.status, lost=[error], reached=False)
+def test_unreachable_daemon(error: Exception) -> None:
+    result = run(_status.status, errors=[error], delivered=False)
     assert result.code is ExitCode.UNREACHABLE
     assert "check --admin" in result.problems
 
 
 def test_wrong_token_is_refused() -> None:
-    result = ran(_status.status, token="something-else-entirely")
+    result = run(_status.status, token="something-else-entirely")
     assert result.code is ExitCode.REFUSED
     assert "Authorization" in result.problems
 
 
 def test_report_is_written_as_a_page(tmp_path: Path) -> None:
     page = tmp_path / "burn.html"
-    assert ran(partial(_status.burn, html=page, host=None)).code is ExitCode.DONE
+    assert run(partial(_status.burn, html=page, host=None)).code is ExitCode.DONE
     text = page.read_text()
     assert text.startswith("<!DOCTYPE html>")
     assert ">0.40</td>" in text
-    nowhere = partial(_status.burn, html=tmp_path / "no" / "burn.html", host=None)
-    assert ran(nowhere).code is ExitCode.REFUSED
+    no_directory = partial(_status.burn, html=tmp_path / "no" / "burn.html", host=None)
+    assert run(no_directory).code is ExitCode.REFUSED
 
 
 @pytest.fixture
@@ -206,11 +206,11 @@
     )
 
 
-def test_file_that_was_shown_says_what_it_was_edited_from(tmp_path: Path) -> None:
+def test_output_of_rules_show_names_its_revision(tmp_path: Path) -> None:
     daemon = FakeDaemon()
     file = tmp_path / "rules.jsonc"
-    file.write_text(ran(partial(_rules.show, in_force=False), daemon).out)
-    result = ran(apply(file), daemon)
+    file.write_text(run(partial(_rules.show, in_force=False), daemon).out)
+    result = run(apply(file), daemon)
     assert (result.code, result.out) == (ExitCode.DONE, "applied as revision 20\n")
     assert daemon.calls == [("apply", rule_version().document, 10, "amira")]
 
@@ -219,14 +219,14 @@
     ("answer", "yes", "applied"),
     [("yes", False, True), ("no", False, False), ("", True, True)],
 )
-def test_file_that_does_not_say_so_is_shown_and_asked_for(
+def test_file_without_a_revision_needs_confirmation(
     tmp_path: Path, answer: str, yes: bool, applied: bool
 ) -> None:
-    """A file from version control may undo what another operator has changed."""
+    """A file from version control may undo another operator's change."""
     daemon = FakeDaemon()
     file = tmp_path / "rules.jsonc"
     file.write_text(migration(0.1).model_dump_json())
-    result = ran(apply(file, assume_yes=yes), daemon, ask=lambda question: answer)
+    result = run(apply(file, assume_yes=yes), daemon, prompt=lambda question: answer)
     assert "added    desk-new" in result.out
     assert "removed  all" in result.out
     assert bool(daemon.calls) is applied
@@ -243,7 +243,7 @@
         theirs=diff_documents(base, theirs),
         mine=diff_documents(base, migration(0.1)),
     )
-    result = ran(apply(rule_file), FakeDaemon(result=conflict))
+    result = run(apply(rule_file), FakeDaemon(result=conflict))
     assert result.code is ExitCode.CONFLICT
     assert "karim was faster" in result.problems
     theirs_part, mine_part = result.out.split("--- what this file would have changed")
@@ -261,18 +261,18 @@
         expected="one of ledger",
     )
     refused = RulesRefused(findings=(finding,))
-    result = ran(apply(rule_file), FakeDaemon(result=refused))
+    result = run(apply(rule_file), FakeDaemon(result=refused))
     assert result.code is ExitCode.REFUSED
     assert "rules.0.then.service: found 'desk'; expected one of ledger" in (
         result.problems
     )
 
 
-def test_lost_answer_is_asked_for_again_under_the_same_id(rule_file: Path) -> None:
+def test_lost_answer_is_retried_with_the_same_change_id(rule_file: Path) -> None:
     """A connection that breaks before the answer must not apply the change twice."""
     daemon = FakeDaemon()
     broken = ResponseFailed([])
-    result = ran(apply(rule_file), daemon, lost=[broken, None])
+    result = run(apply(rule_file), daemon, errors=[broken, None])
     assert result.code is ExitCode.DONE
     assert len(daemon.calls) == 2
     assert len(set(daemon.change_ids)) == 1
@@ -280,7 +280,7 @@
 
 def test_change_found_by_reading_back_says_so(rule_file: Path) -> None:
     found = RulesApplied(version=rule_version(2), read_back=True, superseded=True)
-    result = ran(apply(rule_file), FakeDaemon(result=found))
+    result = run(apply(rule_file), FakeDaemon(result=found))
     assert result.code is ExitCode.DONE
     assert "found by reading back" in result.out
     assert "others have changed" in result.out
@@ -288,14 +288,14 @@
 
 def test_document_in_force_already_says_so(rule_file: Path) -> None:
     same = RulesApplied(version=rule_version(2), read_back=False, already=True)
-    result = ran(apply(rule_file), FakeDaemon(result=same))
+    result = run(apply(rule_file), FakeDaemon(result=same))
     assert (result.code, "in force already" in result.out) == (ExitCode.DONE, True)
 
 
 def test_outcome_that_stays_unknown_names_the_change(rule_file: Path) -> None:
-    lost: list[Exception | None] = [ResponseFailed([]) for _ in range(3)]
+    errors: list[Exception | None] = [ResponseFailed([]) for _ in range(3)]
     daemon = FakeDaemon()
-    result = ran(apply(rule_file), daemon, lost=lost)
+    result = run(apply(rule_file), daemon, errors=errors)
     assert result.code is ExitCode.UNREACHABLE
     assert "rules history" in result.problems
     assert str(daemon.change_ids[0]) in result.problems
@@ -303,7 +303,7 @@
 
 def test_diff_changes_nothing(rule_file: Path) -> None:
     daemon = FakeDaemon()
-    result = ran(partial(_rules.diff, file=rule_file), daemon)
+    result = run(partial(_rules.diff, file=rule_file), daemon)
     assert result.code is ExitCode.DONE
     assert "added    desk-new" in result.out
     assert daemon.calls == []
@@ -313,10 +313,10 @@
     rule_file: Path,
 ) -> None:
     daemon = FakeDaemon()
-    result = ran(apply(rule_file, wait_s=20), daemon)
+    result = run(apply(rule_file, wait_s=20), daemon)
     assert result.code is ExitCode.DONE
     assert result.out == ("applied as revision 20\nin force on 2 of 2 listed hosts\n")
-    assert daemon.waits == [(20, 20.0)]
+    assert daemon.rollout_waits == [(20, 20.0)]
 
 
 @pytest.mark.parametrize("as_json", [False, True], ids=["table", "json"])
@@ -324,8 +324,8 @@
     rule_file: Path, as_json: bool
 ) -> None:
     """Guards against a next migration step while a cut-off host has the old rules."""
-    daemon = FakeDaemon(late=HostRulesStatus.SILENT)
-    result = ran(apply(rule_file, wait_s=20), daemon, as_json=as_json)
+    daemon = FakeDaemon(other_status=HostRulesStatus.SILENT)
+    result = run(apply(rule_file, wait_s=20), daemon, as_json=as_json)
     assert result.code is ExitCode.INCOMPLETE
     assert "ariana-1 (ariana): silent, no answer within 0.5 s" in result.problems
     assert "lac-1" not in result.problems
@@ -333,66 +333,66 @@
         assert json.loads(result.out)["in_force"]["everywhere"] is False
 
 
-def test_wait_that_is_lost_does_not_look_like_a_failed_change(rule_file: Path) -> None:
+def test_lost_rollout_answer_is_no_failed_change(rule_file: Path) -> None:
     """Exit code 3 would say that the applied rules may not have taken effect."""
-    result = ran(apply(rule_file, wait_s=20), lost=[None, ResponseFailed([])])
+    result = run(apply(rule_file, wait_s=20), errors=[None, ResponseFailed([])])
     assert result.code is ExitCode.INCOMPLETE
     assert "applied as revision 20" in result.out
     assert "not known" in result.problems
 
 
 @pytest.mark.parametrize(
-    ("late", "part"),
+    ("status", "part"),
     [
         (HostRulesStatus.SILENT, "no answer within 0.5 s"),
         (HostRulesStatus.OLDER, "older"),
         (HostRulesStatus.UNREADABLE, "unreadable"),
     ],
 )
-def test_rules_status_shows_every_host(late: HostRulesStatus, part: str) -> None:
-    result = ran(_rollout.status, FakeDaemon(late=late))
+def test_rules_status_shows_every_host(status: HostRulesStatus, part: str) -> None:
+    result = run(_rollout.status, FakeDaemon(other_status=status))
     assert result.code is ExitCode.INCOMPLETE
-    (line,) = [one for one in result.out.splitlines() if "ariana-1" in one]
+    (line,) = [text for text in result.out.splitlines() if "ariana-1" in text]
     assert part in line
 
 
 def test_report_that_lacks_a_host_says_so_and_exits_5() -> None:
-    daemon = FakeDaemon(silent=[SilentHost(host="ariana-1", reason="no answer")])
-    result = ran(partial(_status.burn, html=None, host=None), daemon)
+    daemon = FakeDaemon(silent_hosts=[SilentHost(host="ariana-1", reason="no answer")])
+    result = run(partial(_status.burn, html=None, host=None), daemon)
     assert result.code is ExitCode.INCOMPLETE
     assert "Answers of 1 of 2 hosts" in result.out
     assert "MISSING ariana-1: no answer" in result.out
 
 
-def test_report_of_one_host_alone_asks_for_it() -> None:
+def test_report_of_one_host_requests_only_that_host() -> None:
     daemon = FakeDaemon()
     assert (
-        ran(partial(_status.burn, html=None, host="lac-1"), daemon).code
+        run(partial(_status.burn, html=None, host="lac-1"), daemon).code
         is ExitCode.DONE
     )
-    assert daemon.burns == ["lac-1"]
+    assert daemon.burn_hosts == ["lac-1"]
 
 
 @pytest.mark.parametrize(
     ("silent", "code", "part"),
     [
-        pytest.param((), ExitCode.REFUSED, "not sampled", id="kept-by-nobody"),
+        pytest.param((), ExitCode.REFUSED, "not sampled", id="not-retained"),
         pytest.param(
             (SilentHost(host="ariana-1", reason="no answer"),),
             ExitCode.INCOMPLETE,
             "ariana-1 could not be asked: no answer",
-            id="a-host-is-silent",
+            id="silent-host",
         ),
     ],
 )
-def test_request_that_is_not_kept_is_told(
+def test_request_without_a_retained_decision_is_reported(
     silent: tuple[SilentHost, ...], code: ExitCode, part: str
 ) -> None:
-    daemon = FakeDaemon(silent=silent)
+    daemon = FakeDaemon(silent_hosts=silent)
     command = partial(
         _decisions.decisions, request_id="nowhere", refused=False, limit=20
     )
-    result = ran(command, daemon)
+    result = run(command, daemon)
     assert result.code is code
     assert part in result.problems
     assert "no such decision" in result.out
--- a/tests/test_cli_main.py
+++ b/tests/test_cli_main.py
@@ -1,4 +1,4 @@
-"""The command line as a process: exit codes, files, and a daemon on a socket."""
+"""The command-line tool as a process: exit codes, files, a daemon on a socket."""
 
 import json
 import os
@@ -17,11 +17,11 @@
 RULES = str(EXAMPLES / "tunis" / "rules.jsonc")
 
 
-def code_of(*arguments: str) -> int:
-    with pytest.raises(SystemExit) as ended:
+def exit_code_of_main(*arguments: str) -> int:
+    with pytest.raises(SystemExit) as raised:
         main(arguments)
-    assert isinstance(ended.value.code, int)
-    return ended.value.code
+    assert isinstance(raised.value.code, int)
+    return raised.value.code
 
 
 @pytest.mark.parametrize(
@@ -55,31 +55,34 @@
     ],
 )
 def test_exit_code_without_a_daemon(arguments: list[str], code: ExitCode) -> None:
-    assert code_of(*arguments) == code
+    assert exit_code_of_main(*arguments) == code
 
 
-def test_fault_of_the_tool_has_a_code_of_its_own(
+def test_fault_of_the_tool_has_its_own_exit_code(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A script must not take a crash in the middle of a change for a refusal."""
+    """A script must not mistake a crash in the middle of a change for a refusal."""
 
     def crash(*arguments: object) -> None:
         raise KeyError("inner")
 
     monkeypatch.setattr("gentianwharf.cli._files.check_settings", crash)
-    assert code_of("settings", "check", SETTINGS) == ExitCode.FAULT
+    assert exit_code_of_main("settings", "check", SETTINGS) == ExitCode.FAULT
 
 
-def test_settings_are_checked_together_with_their_first_rules(
+def test_settings_are_checked_with_their_initial_rules(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     settings = tmp_path / "settings.jsonc"
     settings.write_text(Path(SETTINGS).read_text())
     rules = Path(RULES).read_text()
     (tmp_path / "rules.jsonc").write_text(rules.replace('"nouveau"', '"nord"'))
-    assert code_of("settings", "check", str(settings)) == ExitCode.REFUSED
+    assert exit_code_of_main("settings", "check", str(settings)) == ExitCode.REFUSED
     assert "rules.0.then.site: found 'nord'" in capsys.readouterr().err
-    assert code_of("settings", "check", str(settings), "--json") == ExitCode.REFUSED
+    assert (
+        exit_code_of_main("settings", "check", str(settings), "--json")
+        == ExitCode.REFUSED
+    )
     assert "nord" in json.loads(capsys.readouterr().out)["mistakes"][1]
 
 
@@ -92,9 +95,9 @@
     file = tmp_path / "rules.jsonc"
     file.write_text(text)
     arguments = ["rules", "check", str(file), "--settings", SETTINGS]
-    assert code_of(*arguments) == ExitCode.REFUSED
+    assert exit_code_of_main(*arguments) == ExitCode.REFUSED
     assert f"line {line}: error: rule 3 (inscription)" in capsys.readouterr().out
-    assert code_of(*arguments, "--json") == ExitCode.REFUSED
+    assert exit_code_of_main(*arguments, "--json") == ExitCode.REFUSED
     assert json.loads(capsys.readouterr().out)[0]["line"] == line
 
 
@@ -103,11 +106,11 @@
     command = [sys.executable, "-m", "tests.serve_admin"]
     with subprocess.Popen(
         command, stdin=subprocess.PIPE, stderr=subprocess.PIPE, text=True
-    ) as serving:
-        assert serving.stdin is not None
-        assert serving.stderr is not None
-        yield int(serving.stderr.readline())
-        serving.stdin.close()
+    ) as process:
+        assert process.stdin is not None
+        assert process.stderr is not None
+        yield int(process.stderr.readline())
+        process.stdin.close()
 
 
 def run_tool(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -115,35 +118,34 @@
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def test_tool_talks_to_a_daemon_with_its_token(admin_port: int, tmp_path: Path) -> None:
+def test_tool_authenticates_with_its_token(admin_port: int, tmp_path: Path) -> None:
     token_file = tmp_path / "token"
     token_file.write_text(f"{TOKEN}\n")
     admin = ["--admin", f"http://127.0.0.1:{admin_port}"]
-    done = run_tool("status", *admin, "--token-file", str(token_file), "--json")
-    assert done.returncode == ExitCode.DONE, done.stderr
-    assert json.loads(done.stdout)["host"] == "lac-1"
+    accepted = run_tool("status", *admin, "--token-file", str(token_file), "--json")
+    assert accepted.returncode == ExitCode.DONE, accepted.stderr
+    assert json.loads(accepted.stdout)["host"] == "lac-1"
     refused = run_tool("status", *admin)
     assert refused.returncode == ExitCode.REFUSED
     assert "Authorization" in refused.stderr
 
 
-def test_no_daemon_there() -> None:
+def test_no_daemon_at_the_address() -> None:
     result = run_tool("status", "--admin", "http://127.0.0.1:1")
     assert result.returncode == ExitCode.UNREACHABLE
     assert "can't be reached" in result.stderr
 
 
-def test_reader_that_goes_away_costs_neither_a_trace_nor_the_exit_code() -> None:
-    """An operator pipes a command into ``head``, which closes the pipe.
+def test_closed_pipe_gives_no_traceback_and_keeps_the_exit_code() -> None:
+    """Guards against a traceback and exit code 70 when ``head`` closes the pipe.
 
-    The tool ended with a trace and exit code 70, which says that whether a change took
-    effect is not known.
+    That exit code means that it is not known whether a change took effect.
     """
-    reading, writing = os.pipe()
-    os.close(reading)
+    read_end, write_end = os.pipe()
+    os.close(read_end)
     command = [sys.executable, "-m", "gentianwharf.cli", "settings", "check", SETTINGS]
-    with os.fdopen(writing, "wb") as closed:
-        done = subprocess.run(
-            command, stdout=closed, stderr=subprocess.PIPE, text=True, check=False
+    with os.fdopen(write_end, "wb") as closed_pipe:
+        result = subprocess.run(
+            command, stdout=closed_pipe, stderr=subprocess.PIPE, text=True, check=False
         )
-    assert (done.returncode, done.stderr) == (ExitCode.DONE, "")
+    assert (result.returncode, result.stderr) == (ExitCode.DONE, "")
--- a/tests/test_cli_migration.py
+++ b/tests/test_cli_migration.py
@@ -1,4 +1,4 @@
-"""The migration by an operator's hands, with every program as a process."""
+"""A migration run with the command-line tool, with every program as a process."""
 
 import json
 import signal
@@ -25,13 +25,16 @@
 
 @pytest.fixture
 def running() -> Iterator[Deployment]:
-    with deployment() as one:
+    with deployment() as started:
         for host in THREE_DOMAINS:
-            wait_until(lambda host=host: served(one, host), what=f"{host} to serve")
-        yield one
+            wait_until(
+                lambda host=host: serves_all_keys(started, host),
+                what=f"{host} to serve",
+            )
+        yield started
 
 
-def served(running: Deployment, host: str) -> bool:
+def serves_all_keys(running: Deployment, host: str) -> bool:
     return all(running.serves(host, f"/calendrier/{key}") for key in KEYS)
 
 
@@ -43,16 +46,16 @@
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def read(running: Deployment, host: str, *arguments: str) -> Any:
-    done = run_tool(running, host, *arguments, "--json")
-    assert done.returncode == ExitCode.DONE, done.stderr
-    return json.loads(done.stdout)
+def read_json(running: Deployment, host: str, *arguments: str) -> Any:
+    result = run_tool(running, host, *arguments, "--json")
+    assert result.returncode == ExitCode.DONE, result.stderr
+    return json.loads(result.stdout)
 
 
 def rule_file(path: Path, *, share: float) -> Path:
-    """Write the rules with the share of the keys that stands on the new site."""
+    """Write rules that send ``share`` of the keys to the new site."""
     keyed, *rest = RULES["rules"]
-    sites = [
+    keyed_rules = [
         {
             "name": "calendrier-new",
             "when": {**keyed["when"], "shard_share": share},  # type: ignore[dict-item]
@@ -60,16 +63,16 @@
         },
         {**keyed, "then": {**keyed["then"], "site": OLD}},  # type: ignore[dict-item]
     ]
-    path.write_text(json.dumps({"rules": [*sites, *rest]}))
+    path.write_text(json.dumps({"rules": [*keyed_rules, *rest]}))
     return path
 
 
 def apply(running: Deployment, host: str, file: Path, revision: int) -> int:
-    done = run_tool(
+    result = run_tool(
         running, host, "rules", "apply", str(file), "--edited-from", str(revision)
     )
-    assert done.returncode in (ExitCode.DONE, ExitCode.CONFLICT), done.stderr
-    return done.returncode
+    assert result.returncode in (ExitCode.DONE, ExitCode.CONFLICT), result.stderr
+    return result.returncode
 
 
 def owner(running: Deployment, host: str, key: str) -> str | None:
@@ -80,25 +83,25 @@
 def test_operators_move_every_key_to_the_new_site(
     running: Deployment, tmp_path: Path
 ) -> None:
-    """One operator sends all keys to the new site; another acts on an old list.
+    """One operator sends all keys to the new site; another applies an outdated file.
 
-    The rules are in force on every host, the second is told of the conflict, and
-    every key is served by one owner of the new site, whichever host is asked.
+    The rules must be in force on every host, the second operator must get a conflict,
+    and each key must have the same owner on the new site from every host's view.
     """
     file = rule_file(tmp_path / "rules.jsonc", share=1.0)
-    first = read(running, "lac-1", "rules", "show")["revision"]
+    first = read_json(running, "lac-1", "rules", "show")["revision"]
     assert apply(running, "lac-1", file, first) == ExitCode.DONE
-    late = rule_file(tmp_path / "late.jsonc", share=0.1)
-    assert apply(running, "charguia-1", late, first) == ExitCode.CONFLICT
-    newest = read(running, "lac-1", "rules", "show")["revision"]
-    # ``apply`` has waited for them: no host may still be behind.
+    outdated_file = rule_file(tmp_path / "outdated.jsonc", share=0.1)
+    assert apply(running, "charguia-1", outdated_file, first) == ExitCode.CONFLICT
+    newest = read_json(running, "lac-1", "rules", "show")["revision"]
+    # ``apply`` has waited for the rollout: every host must have the revision.
     for host in THREE_DOMAINS:
-        in_force = read(running, host, "rules", "show", "--in-force")
+        in_force = read_json(running, host, "rules", "show", "--in-force")
         assert in_force["revision"] == newest
-    everywhere = read(running, "ariana-1", "rules", "status")
-    assert {one["host"] for one in everywhere["hosts"]} == set(THREE_DOMAINS)
-    servers = read(running, "lac-1", "servers", "list")
-    new = {one["id"] for one in servers if one["site"] == NEW}
+    rollout = read_json(running, "ariana-1", "rules", "status")
+    assert {host["host"] for host in rollout["hosts"]} == set(THREE_DOMAINS)
+    servers = read_json(running, "lac-1", "servers", "list")
+    new = {server["id"] for server in servers if server["site"] == NEW}
     for key in KEYS:
         owners = {
             wait_until(
@@ -109,7 +112,7 @@
         }
         assert len(owners) == 1
         assert (
-            read(running, "ariana-1", "keys", "owner", "calendrier", key)["server"]
+            read_json(running, "ariana-1", "keys", "owner", "calendrier", key)["server"]
             in owners
         )
 
@@ -117,13 +120,13 @@
 def test_frozen_host_is_named_and_has_the_rules_when_it_returns(
     running: Deployment, tmp_path: Path
 ) -> None:
-    """A host freezes; an operator applies a step of the migration and asks for burn.
+    """Guards against a report of success while a host is frozen.
 
-    Told that all is well, the operator would go on while that host's callers are
-    still sent by the old list once it returns.
+    The operator would start the next migration step while that host, once it resumes,
+    still routes its callers by the old rules.
     """
     file = rule_file(tmp_path / "rules.jsonc", share=0.5)
-    first = read(running, "lac-1", "rules", "show")["revision"]
+    first = read_json(running, "lac-1", "rules", "show")["revision"]
     running.send("ariana-1", signal.SIGSTOP)
     applied = run_tool(
         running,
@@ -141,5 +144,5 @@
         lambda: (
             run_tool(running, "lac-1", "rules", "status").returncode == ExitCode.DONE
         ),
-        what="the rules to be in force on the host that returned",
+        what="the rules to be in force on the resumed host",
     )
--- a/tests/test_cli_operations_page.py
+++ b/tests/test_cli_operations_page.py
@@ -1,4 +1,4 @@
-"""docs/OPERATIONS.md names every command, exit code, alarm and path that there is."""
+"""docs/OPERATIONS.md describes every command, exit code, alarm and path."""
 
 from pathlib import Path
 
@@ -12,17 +12,17 @@
 
 
 def commands() -> list[str]:
-    """Return every command with its group, as one types it."""
-    found: list[str] = []
+    """Return every command with its group, as typed on the command line."""
+    names: list[str] = []
     for name in app:
         group = app[name]
         if name.startswith("-"):
             continue
-        parts = [one for one in group if not one.startswith("-")]
-        found.extend(f"{name} {one}" for one in parts)
-        if not parts:
-            found.append(name)
-    return found
+        subcommands = [part for part in group if not part.startswith("-")]
+        names.extend(f"{name} {subcommand}" for subcommand in subcommands)
+        if not subcommands:
+            names.append(name)
+    return names
 
 
 def test_commands_are_found() -> None:
@@ -39,7 +39,7 @@
     assert f"| {int(code)} | {code.name.lower()}" in PAGE
 
 
-@pytest.mark.parametrize("name", [one.name for one in ALARMS])
+@pytest.mark.parametrize("name", [rule.name for rule in ALARMS])
 def test_alarm_has_a_section(name: str) -> None:
     assert f"\n### {name}\n" in PAGE
 
--- a/tests/test_inputs_fuzz.py
+++ b/tests/test_inputs_fuzz.py
@@ -40,7 +40,7 @@
     encode_hosts,
 )
 from gentianwharf.topology import Host
-from tests.builders_admin import FakeDaemon, call, in_memory
+from tests.builders_admin import FakeDaemon, send_request, stub_client
 from tests.builders_rules import SHARDS, migration, stored_rules
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -211,7 +211,7 @@
 )
 def test_bodies_of_operators(method_and_path: tuple[str, str], body: bytes) -> None:
     daemon = FakeDaemon()
-    answer = call(in_memory(daemon), *method_and_path, body=body)
+    answer = send_request(stub_client(daemon), *method_and_path, body=body)
     assert answer.status < 500, answer.body
     if answer.status >= 400:
         problem = answer.json()
