--- a/src/gentianwharf/cli/_logs.py
+++ b/src/gentianwharf/cli/_logs.py
@@ -5,7 +5,13 @@
 from pathlib import Path
 from typing import Any
 
-from gentianwharf.logs import Belief, LogLine, Story, read_log, story_of
+from gentianwharf.logs import (
+    ContextEntry,
+    LogLine,
+    RequestHistory,
+    read_log,
+    request_history,
+)
 
 from ._exit_codes import ExitCode
 from ._terminal import Terminal
@@ -14,12 +20,12 @@
 def explain(request_id: str, files: Sequence[Path], terminal: Terminal) -> ExitCode:
     """Print a request's log lines in order and the last logged state at its end."""
     lines = [line for file in files for line in read_log(file)]
-    story = story_of(request_id, lines)
+    history = request_history(request_id, lines)
     if terminal.as_json:
-        terminal.json(_document(story))
-    elif story.lines:
-        _print(story, terminal)
-    if story.lines:
+        terminal.json(_document(history))
+    elif history.lines:
+        _print(history, terminal)
+    if history.lines:
         return ExitCode.DONE
     terminal.problem(
         f"none of {len(lines)} log lines names {request_id}: of successful requests"
@@ -29,17 +35,17 @@
     return ExitCode.REFUSED
 
 
-def _print(story: Story, terminal: Terminal) -> None:
-    first_s = story.lines[0].at_s
-    terminal.line(f"request {story.request_id}, first line at {_time(first_s)}")
-    for line in story.lines:
+def _print(history: RequestHistory, terminal: Terminal) -> None:
+    first_s = history.lines[0].at_s
+    terminal.line(f"request {history.request_id}, first line at {_time(first_s)}")
+    for line in history.lines:
         elapsed_ms = (line.at_s - first_s) * 1000
         terminal.line(f"  +{elapsed_ms:.0f} ms  {line.host}  {_text(line)}")
     terminal.line("last logged state at its end")
-    for belief in story.beliefs:
+    for entry in history.context:
         terminal.line(
-            f"  {belief.about}: {_text(belief.line)}"
-            f"  ({belief.age_s:.2f} s old, {belief.line.host})"
+            f"  {entry.topic}: {_text(entry.line)}"
+            f"  ({entry.age_s:.2f} s old, {entry.line.host})"
         )
 
 
@@ -56,11 +62,11 @@
     return datetime.fromtimestamp(at_s, UTC).isoformat(timespec="milliseconds")
 
 
-def _document(story: Story) -> Mapping[str, Any]:
+def _document(history: RequestHistory) -> Mapping[str, Any]:
     return {
-        "request_id": story.request_id,
-        "lines": [_line(line) for line in story.lines],
-        "beliefs": [_belief(belief) for belief in story.beliefs],
+        "request_id": history.request_id,
+        "lines": [_line(line) for line in history.lines],
+        "beliefs": [_context_entry(entry) for entry in history.context],
     }
 
 
@@ -73,9 +79,9 @@
     }
 
 
-def _belief(belief: Belief) -> Mapping[str, Any]:
+def _context_entry(entry: ContextEntry) -> Mapping[str, Any]:
     return {
-        "about": belief.about,
-        "age_s": round(belief.age_s, 3),
-        "line": _line(belief.line),
+        "about": entry.topic,
+        "age_s": round(entry.age_s, 3),
+        "line": _line(entry.line),
     }
--- a/src/gentianwharf/daemon/_decisions.py
+++ b/src/gentianwharf/daemon/_decisions.py
@@ -45,7 +45,7 @@
     def latest(self, *, refused_only: bool, limit: int) -> RetainedDecisions:
         """Return this host's newest kept decisions."""
         kept = self._recorder.decisions.latest(
-            most=limit, always_kept_only=refused_only
+            limit=limit, always_kept_only=refused_only
         )
         return RetainedDecisions(decisions=[self._told(one) for one in kept], silent={})
 
--- a/src/gentianwharf/keyspace/__init__.py
+++ b/src/gentianwharf/keyspace/__init__.py
@@ -1,10 +1,10 @@
-"""Who holds which shards where backend servers enforce grants themselves."""
+"""Assignment of shards to backend servers that enforce grants themselves."""
 
-from ._demand import Demand, LoadSeen
+from ._demand import Demand, ObservedLoad
 from ._grant_manager import GrantManager
 from ._leadership import Leadership
 from ._orders import Grant, HolderEndedError, Orders, Release
-from ._plan import Candidate, Losses, Plan, plan
+from ._plan import Candidate, LostHolders, Plan, plan
 from ._planner import Planner
 from ._previous_leader import PreviousLeader, RemainingGrants
 from ._shard_load import ShardLoad
@@ -14,21 +14,21 @@
 __all__ = [
     "Candidate",
     "Demand",
+    "PreviousLeader",
     "Grant",
-    "GrantManager",
     "GrantTiming",
     "Holder",
     "HolderEndedError",
+    "RemainingGrants",
+    "GrantManager",
     "KeyTable",
     "Leadership",
-    "LoadSeen",
-    "Losses",
+    "ObservedLoad",
+    "LostHolders",
     "Orders",
     "Plan",
     "Planner",
-    "PreviousLeader",
     "Release",
-    "RemainingGrants",
     "ShardLoad",
     "Span",
     "decode_table",
--- a/src/gentianwharf/spread/__init__.py
+++ b/src/gentianwharf/spread/__init__.py
@@ -8,8 +8,8 @@
 from ._system import Peers, SpreadSystem
 
 __all__ = [
-    "MOST_ANSWER_BYTES",
     "Channel",
+    "MOST_ANSWER_BYTES",
     "Link",
     "LinkStats",
     "MeshStats",
--- a/tests/builders_admin.py
+++ b/tests/builders_admin.py
@@ -25,8 +25,8 @@
 from gentianwharf.errors import RefusedError
 from gentianwharf.infra import ListedHost
 from gentianwharf.metrics import (
+    MissingHost,
     Objective,
-    SilentHost,
     WindowCount,
     burn_report,
 )
@@ -100,7 +100,7 @@
     change_ids: list[str | None] = field(default_factory=list)
     other_status: HostRulesStatus = HostRulesStatus.IN_FORCE
     rollout_waits: list[tuple[int | None, float]] = field(default_factory=list)
-    silent_hosts: Sequence[SilentHost] = ()
+    silent_hosts: Sequence[MissingHost] = ()
     burn_hosts: list[str | None] = field(default_factory=list)
     decision_calls: list[tuple[str | None, bool, int]] = field(default_factory=list)
 
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -26,7 +26,7 @@
     OutcomeUnknownError,
     PeerUnavailableError,
 )
-from gentianwharf.metrics import SilentHost
+from gentianwharf.metrics import MissingHost
 from gentianwharf.rules import (
     Finding,
     RulesApplied,
@@ -357,7 +357,7 @@
 
 
 def test_report_that_lacks_a_host_says_so_and_exits_5() -> None:
-    daemon = FakeDaemon(silent_hosts=[SilentHost(host="ariana-1", reason="no answer")])
+    daemon = FakeDaemon(silent_hosts=[MissingHost(host="ariana-1", reason="no answer")])
     result = run(partial(_status.burn, html=None, host=None), daemon)
     assert result.code is ExitCode.INCOMPLETE
     assert "Answers of 1 of 2 hosts" in result.out
@@ -378,7 +378,7 @@
     [
         pytest.param((), ExitCode.REFUSED, "not sampled", id="not-retained"),
         pytest.param(
-            (SilentHost(host="ariana-1", reason="no answer"),),
+            (MissingHost(host="ariana-1", reason="no answer"),),
             ExitCode.INCOMPLETE,
             "ariana-1 could not be asked: no answer",
             id="silent-host",
@@ -386,7 +386,7 @@
     ],
 )
 def test_request_without_a_retained_decision_is_reported(
-    silent: tuple[SilentHost, ...], code: ExitCode, part: str
+    silent: tuple[MissingHost, ...], code: ExitCode, part: str
 ) -> None:
     daemon = FakeDaemon(silent_hosts=silent)
     command = partial(
