--- a/src/gentianwharf/admin/_protocols.py
+++ b/src/gentianwharf/admin/_protocols.py
@@ -112,7 +112,7 @@
         author: str,
         change_id: str | None = None,
     ) -> ApplyResult:
-        """Put ``document`` in force unless the rules have changed since the revision.
+        """Put ``document`` in force unless the rules have changed since its revision.
 
         A call may be repeated safely with the same ``change_id``.
         """
--- a/src/gentianwharf/cli/_client.py
+++ b/src/gentianwharf/cli/_client.py
@@ -33,7 +33,7 @@
 
 
 def treq_client(reactor: Any) -> HttpClient:
-    """Return a client on ``reactor``; it looks up no host names."""
+    """Return a client on ``reactor``, which connects to IP addresses only."""
     agent = ip_agent(
         reactor=reactor,
         pool=HTTPConnectionPool(reactor, persistent=False),
@@ -91,7 +91,7 @@
         timeout_s: float = READ_TIMEOUT_S,
         **query: str | int | None,
     ) -> Any:
-        """Read JSON; raises ``PeerUnavailableError`` when nothing can be read."""
+        """Read JSON; raises ``PeerUnavailableError`` when there is no valid answer."""
         response, body = await self._send_request(
             "GET", path, query, timeout_s=timeout_s
         )
--- a/src/gentianwharf/cli/_decisions.py
+++ b/src/gentianwharf/cli/_decisions.py
@@ -16,24 +16,24 @@
     limit: int,
 ) -> ExitCode:
     """Print the decisions retained by the daemon, or by any host on one request."""
-    found = await client.get(
+    answer = await client.get(
         "decisions",
         request_id=request_id,
         refused_only="true" if refused else None,
         most=limit,
     )
-    retained = found["decisions"]
+    retained = answer["decisions"]
     if terminal.as_json:
-        terminal.json(found)
+        terminal.json(answer)
     elif retained:
         _print(retained, terminal)
     else:
         terminal.note("no such decision is kept")
     if retained or request_id is None:
         return ExitCode.DONE
-    for host, reason in found["silent"].items():
+    for host, reason in answer["silent"].items():
         terminal.problem(f"{host} could not be asked: {reason}")
-    if found["silent"]:
+    if answer["silent"]:
         return ExitCode.INCOMPLETE
     terminal.problem(
         f"no listed host keeps a decision on {request_id}: it was served and not"
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -279,8 +279,8 @@
 
 
 def test_change_found_by_reading_back_says_so(rule_file: Path) -> None:
-    found = RulesApplied(version=rule_version(2), read_back=True, superseded=True)
-    result = run(apply(rule_file), FakeDaemon(result=found))
+    applied = RulesApplied(version=rule_version(2), read_back=True, superseded=True)
+    result = run(apply(rule_file), FakeDaemon(result=applied))
     assert result.code is ExitCode.DONE
     assert "found by reading back" in result.out
     assert "others have changed" in result.out
