--- a/src/gentianwharf/admin/__init__.py
+++ b/src/gentianwharf/admin/__init__.py
@@ -1,7 +1,7 @@
-"""The daemon's admin port: health, state and the operator's commands over HTTP."""
+"""The daemon's admin port: health, state and operators' commands over HTTP."""
 
-from ._access import TokenAccess, read_token, token_of
-from ._alarms import ALARMS, AlarmRule, AlarmWatch
+from ._access import TokenAuthenticator, configured_token, read_token
+from ._alarms import ALARMS, AlarmEvaluator, AlarmRule
 from ._app import AdminApp
 from ._protocols import (
     Alarm,
@@ -12,27 +12,27 @@
     DomainsControl,
     FleetRules,
     HostRules,
+    HostRulesStatus,
     HostsView,
     JsonValue,
-    KeptDecisions,
     KeyOwner,
     KeysControl,
     Measures,
-    RulesAtHost,
+    RetainedDecisions,
+    RolloutStatus,
     RulesControl,
-    RulesEverywhere,
     ServersControl,
     ServerStatus,
     StateView,
 )
-from ._replies import Problem, encode_json
+from ._replies import ProblemType, encode_json
 
 __all__ = [
     "ALARMS",
     "AdminApp",
     "Alarm",
+    "AlarmEvaluator",
     "AlarmRule",
-    "AlarmWatch",
     "BurnView",
     "DaemonState",
     "DecisionsView",
@@ -40,21 +40,21 @@
     "DomainsControl",
     "FleetRules",
     "HostRules",
+    "HostRulesStatus",
     "HostsView",
     "JsonValue",
-    "KeptDecisions",
     "KeyOwner",
     "KeysControl",
     "Measures",
-    "Problem",
-    "RulesAtHost",
+    "ProblemType",
+    "RetainedDecisions",
+    "RolloutStatus",
     "RulesControl",
-    "RulesEverywhere",
     "ServerStatus",
     "ServersControl",
     "StateView",
-    "TokenAccess",
+    "TokenAuthenticator",
+    "configured_token",
     "encode_json",
     "read_token",
-    "token_of",
 ]
