--- a/bench/placement.py
+++ b/bench/placement.py
@@ -13,7 +13,7 @@
 
 from gentianwharf.keys import shard_of
 from gentianwharf.placement import (
-    EVEN,
+    UNIFORM_DEMAND,
     Candidate,
     PlacementWeights,
     place,
@@ -108,7 +108,7 @@
         busy[owner] += 1
     placed = place(
         [shard for shard in owners if shard not in kept],
-        demand=EVEN,
+        demand=UNIFORM_DEMAND,
         busy=busy,
         candidates=candidates(left),
         site_of=lambda shard: None,
@@ -125,7 +125,7 @@
     servers = names(count)
     first = place(
         range(SHARDS),
-        demand=EVEN,
+        demand=UNIFORM_DEMAND,
         busy={},
         candidates=candidates(servers),
         site_of=lambda shard: None,
--- a/src/gentianwharf/ownership/_pinner.py
+++ b/src/gentianwharf/ownership/_pinner.py
@@ -4,7 +4,7 @@
 from typing import final
 
 from gentianwharf.keys import shard_of
-from gentianwharf.placement import EVEN, Demand, place
+from gentianwharf.placement import UNIFORM_DEMAND, Demand, place
 from gentianwharf.topology import Service
 
 from ._context import Context
@@ -126,7 +126,7 @@
         shard = shard_of(key, self._service.shards)
         targets = place(
             [shard],
-            demand=EVEN,
+            demand=UNIFORM_DEMAND,
             busy={},
             candidates=states.usable(),
             site_of=lambda shard: site,
--- a/src/gentianwharf/ownership/_plans.py
+++ b/src/gentianwharf/ownership/_plans.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Sequence
 from typing import final
 
-from gentianwharf.placement import EVEN, Candidate, Demand, place
+from gentianwharf.placement import UNIFORM_DEMAND, Candidate, Demand, place
 from gentianwharf.topology import Service
 
 from ._context import Context
@@ -120,7 +120,7 @@
         """Return the owners of a service that has no table yet."""
         return place(
             range(self._service.shards),
-            demand=EVEN,
+            demand=UNIFORM_DEMAND,
             busy={},
             candidates=self._states().usable(),
             site_of=self._site_of,
--- a/src/gentianwharf/placement/__init__.py
+++ b/src/gentianwharf/placement/__init__.py
@@ -1,11 +1,11 @@
 """Which server each shard should stand on."""
 
-from ._demand import EVEN, IDLE_SHARE, Demand
+from ._demand import IDLE_SHARE, UNIFORM_DEMAND, Demand
 from ._place import Candidate, SiteOfShard, place, rendezvous_rank
 from ._rebalance import PlacementWeights, PlannedMove, rebalance
 
 __all__ = [
-    "EVEN",
+    "UNIFORM_DEMAND",
     "IDLE_SHARE",
     "Candidate",
     "Demand",
--- a/src/gentianwharf/placement/_demand.py
+++ b/src/gentianwharf/placement/_demand.py
@@ -47,5 +47,5 @@
         return self.idle_slots * len(shards) + sum(measured[one] for one in asked)
 
 
-EVEN = Demand()
+UNIFORM_DEMAND = Demand()
 """Every shard alike, as before anything was measured."""
--- a/tests/builders_placement.py
+++ b/tests/builders_placement.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Mapping
 
-from gentianwharf.placement import EVEN, Demand
+from gentianwharf.placement import UNIFORM_DEMAND, Demand
 
 
 def demand_of(loads: Mapping[int, float]) -> Demand:
     """Return the loads as slots in use, every shard alike when there are none."""
-    return Demand(measured_slots=loads, idle_slots=0.0) if loads else EVEN
+    return Demand(measured_slots=loads, idle_slots=0.0) if loads else UNIFORM_DEMAND
 
 
 def shards_of(owners: Mapping[int, str]) -> dict[str, set[int]]:
--- a/tests/test_placement_rebalance.py
+++ b/tests/test_placement_rebalance.py
@@ -6,8 +6,8 @@
 import pytest
 
 from gentianwharf.placement import (
-    EVEN,
     IDLE_SHARE,
+    UNIFORM_DEMAND,
     Candidate,
     Demand,
     PlacementWeights,
@@ -34,7 +34,11 @@
 
 def spread(candidates: list[Candidate], shards: int = SHARDS) -> Owners:
     return place(
-        range(shards), demand=EVEN, busy={}, candidates=candidates, site_of=anywhere
+        range(shards),
+        demand=UNIFORM_DEMAND,
+        busy={},
+        candidates=candidates,
+        site_of=anywhere,
     )
 
 
@@ -96,7 +100,7 @@
     left = Counter(owner for owner in owners.values() if owner != "x-0")
     placed = place(
         gone,
-        demand=EVEN,
+        demand=UNIFORM_DEMAND,
         busy={one: float(count) for one, count in left.items()},
         candidates=servers(count)[1:],
         site_of=anywhere,
@@ -144,7 +148,7 @@
     candidates = [*servers(2, site="old")]
     targets = place(
         [1, 2],
-        demand=EVEN,
+        demand=UNIFORM_DEMAND,
         busy={},
         candidates=candidates,
         site_of=lambda shard: "new" if shard == 1 else None,
@@ -157,7 +161,7 @@
     owners = dict.fromkeys(range(40), "old-0") | dict.fromkeys(range(40, 80), "new-0")
     moves = rebalance(
         shards_of(owners),
-        demand=EVEN,
+        demand=UNIFORM_DEMAND,
         candidates=candidates,
         is_bound=True,
         weights=TUNIS,
@@ -229,7 +233,7 @@
     owners = spread(servers(16), shards)
     planned = rebalance(
         shards_of(owners),
-        demand=EVEN,
+        demand=UNIFORM_DEMAND,
         candidates=servers(17),
         is_bound=False,
         weights=TUNIS,
@@ -244,7 +248,7 @@
     owned = {"x-0": {0, 1, 2, 3}, "x-1": {4, 5}}
     moves = rebalance(
         owned,
-        demand=EVEN,
+        demand=UNIFORM_DEMAND,
         candidates=candidates,
         is_bound=False,
         weights=TUNIS,
