--- a/bench/capacity_placement.py
+++ b/bench/capacity_placement.py
@@ -54,9 +54,9 @@
             owned,
             demand=demand,
             candidates=candidates,
-            is_bound=False,
+            within_sites=False,
             weights=PlacementWeights(),
-            room=MOVES,
+            max_moves=MOVES,
         ),
         times=1,
     )
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -88,9 +88,9 @@
             shards_of(owners),
             demand=demand_of(loads),
             candidates=candidates(servers),
-            is_bound=False,
+            within_sites=False,
             weights=PlacementWeights(),
-            room=ROOM,
+            max_moves=ROOM,
         )
         owners.update({move.shard: move.target for move in moves})
         count += len(moves)
--- a/src/gentianwharf/ownership/_planner.py
+++ b/src/gentianwharf/ownership/_planner.py
@@ -75,9 +75,9 @@
         owned,
         demand=demand,
         candidates=states.usable(),
-        is_bound=is_bound,
+        within_sites=is_bound,
         weights=weights,
-        room=room,
+        max_moves=room,
         is_movable=is_movable,
     )
     return {move.shard: (move.target, EntryState.RELEASING) for move in moves}
--- a/src/gentianwharf/placement/_rebalance.py
+++ b/src/gentianwharf/placement/_rebalance.py
@@ -124,28 +124,28 @@
     *,
     demand: Demand,
     candidates: Sequence[Candidate],
-    is_bound: bool,
+    within_sites: bool,
     weights: PlacementWeights,
-    room: int,
+    max_moves: int,
     is_movable: Callable[[int], bool] = _any_shard,
 ) -> list[PlannedMove]:
-    """Return at most ``room`` moves, the most worthwhile first.
+    """Return at most ``max_moves`` moves, the most worthwhile first.
 
     ``owned`` are each server's shards. Where the rules bind shards to sites
-    (``is_bound``) they stay on theirs. Nothing moves while every server is near the
+    (``within_sites``) they stay on theirs. Nothing moves while every server is near the
     mean of its site (``START_BELOW``, ``START_ABOVE``, ``LEAST_SPREAD``); that look
     costs nothing for a shard that nobody asks for.
 
     >>> two = [Candidate(id=name, site="x", slots=1) for name in ("a", "b")]
     >>> moves = rebalance({"a": {1, 2, 3}}, demand=Demand(), candidates=two,
-    ...     is_bound=False, weights=PlacementWeights(), room=8)
+    ...     within_sites=False, weights=PlacementWeights(), max_moves=8)
     >>> [(move.source, move.target) for move in moves]
     [('a', 'b')]
     """
     moves: list[PlannedMove] = []
     groups: dict[str | None, list[_Server]] = {}
     for candidate in candidates:
-        site = candidate.site if is_bound else None
+        site = candidate.site if within_sites else None
         server = _Server(candidate, owned.get(candidate.id, frozenset()), demand)
         groups.setdefault(site, []).append(server)
     shards = sum(len(one) for one in owned.values())
@@ -158,7 +158,7 @@
             weights=weights,
             is_movable=is_movable,
         )
-        moves += evening.moves(room - len(moves))
+        moves += evening.moves(max_moves - len(moves))
     return moves
 
 
@@ -186,12 +186,12 @@
         # In order of how busy they are: of thousands of servers only both ends count.
         self._order = sorted((one.share(), one.id) for one in servers)
 
-    def moves(self, room: int) -> list[PlannedMove]:
-        """Return at most ``room`` moves."""
+    def moves(self, max_moves: int) -> list[PlannedMove]:
+        """Return at most ``max_moves`` moves."""
         moves: list[PlannedMove] = []
         if self._is_even():
             return moves
-        while len(moves) < room:
+        while len(moves) < max_moves:
             move = self._best_move()
             if move is None:
                 break
--- a/tests/test_placement_rebalance.py
+++ b/tests/test_placement_rebalance.py
@@ -54,9 +54,9 @@
             shards_of(owners),
             demand=demand_of(loads),
             candidates=candidates,
-            is_bound=False,
+            within_sites=False,
             weights=weights,
-            room=64,
+            max_moves=64,
         )
         if not moves:
             return owners, count
@@ -163,9 +163,9 @@
         shards_of(owners),
         demand=UNIFORM_DEMAND,
         candidates=candidates,
-        is_bound=True,
+        within_sites=True,
         weights=TUNIS,
-        room=100,
+        max_moves=100,
     )
     assert moves
     assert all(move.source[:3] == move.target[:3] for move in moves)
@@ -191,9 +191,9 @@
         shards_of(spread(servers(3), shards=64)),
         demand=demand,
         candidates=servers(3),
-        is_bound=False,
+        within_sites=False,
         weights=PlacementWeights(),
-        room=64,
+        max_moves=64,
     )
 
 
@@ -235,9 +235,9 @@
         shards_of(owners),
         demand=UNIFORM_DEMAND,
         candidates=servers(17),
-        is_bound=False,
+        within_sites=False,
         weights=TUNIS,
-        room=shards,
+        max_moves=shards,
     )
     assert len(planned) <= 1.05 * shards / 17
     assert len(planned) >= 0.8 * shards / 17
@@ -250,9 +250,9 @@
         owned,
         demand=UNIFORM_DEMAND,
         candidates=candidates,
-        is_bound=False,
+        within_sites=False,
         weights=TUNIS,
-        room=8,
+        max_moves=8,
         is_movable=lambda shard: shard == 3,
     )
     assert [move.shard for move in moves] == [3]
