--- a/bench/capacity_placement.py
+++ b/bench/capacity_placement.py
@@ -29,7 +29,7 @@
         lambda: place(
             range(shards),
             demand=demand,
-            busy={},
+            current_load={},
             candidates=candidates,
             site_of=lambda shard: None,
         ),
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -109,7 +109,7 @@
     placed = place(
         [shard for shard in owners if shard not in kept],
         demand=UNIFORM_DEMAND,
-        busy=busy,
+        current_load=busy,
         candidates=candidates(left),
         site_of=lambda shard: None,
     )
@@ -126,7 +126,7 @@
     first = place(
         range(SHARDS),
         demand=UNIFORM_DEMAND,
-        busy={},
+        current_load={},
         candidates=candidates(servers),
         site_of=lambda shard: None,
     )
--- a/src/gentianwharf/ownership/_pinner.py
+++ b/src/gentianwharf/ownership/_pinner.py
@@ -127,7 +127,7 @@
         targets = place(
             [shard],
             demand=UNIFORM_DEMAND,
-            busy={},
+            current_load={},
             candidates=states.usable(),
             site_of=lambda shard: site,
         )
--- a/src/gentianwharf/ownership/_plans.py
+++ b/src/gentianwharf/ownership/_plans.py
@@ -121,7 +121,7 @@
         return place(
             range(self._service.shards),
             demand=UNIFORM_DEMAND,
-            busy={},
+            current_load={},
             candidates=self._states().usable(),
             site_of=self._site_of,
         )
@@ -155,7 +155,7 @@
         return place(
             shards,
             demand=demand,
-            busy=self._busy_slots(demand),
+            current_load=self._busy_slots(demand),
             candidates=states.usable(),
             site_of=self._site_of,
         )
--- a/src/gentianwharf/placement/_place.py
+++ b/src/gentianwharf/placement/_place.py
@@ -42,25 +42,25 @@
     shards: Iterable[int],
     *,
     demand: Demand,
-    busy: Mapping[str, float],
+    current_load: Mapping[str, float],
     candidates: Sequence[Candidate],
     site_of: SiteOfShard,
 ) -> dict[int, str]:
     """Return a target for each of ``shards``, heaviest first to the least busy.
 
-    ``busy`` is the demand that each candidate meets already. A shard whose site
+    ``current_load`` is the demand that each candidate meets already. A shard whose site
     has no candidate is left out: it stays without an owner rather than standing
     where the operators' rules do not want it.
 
     >>> two = [Candidate(id=name, site="x", slots=1) for name in ("a", "b")]
     >>> demand = Demand(measured_slots={1: 5.0, 2: 2.0, 3: 2.0})
-    >>> place([1, 2, 3], demand=demand, busy={}, candidates=two,
+    >>> place([1, 2, 3], demand=demand, current_load={}, candidates=two,
     ...       site_of=lambda shard: None) == {1: "a", 2: "b", 3: "b"}
     True
     """
     heaps: dict[str | None, list[tuple[float, int]]] = {}
     order = sorted(range(len(candidates)), key=lambda index: candidates[index].id)
-    carried = [busy.get(one.id, 0.0) for one in candidates]
+    carried = [current_load.get(one.id, 0.0) for one in candidates]
 
     def share(index: int) -> float:
         return carried[index] / candidates[index].slots
--- a/tests/test_placement_rebalance.py
+++ b/tests/test_placement_rebalance.py
@@ -36,7 +36,7 @@
     return place(
         range(shards),
         demand=UNIFORM_DEMAND,
-        busy={},
+        current_load={},
         candidates=candidates,
         site_of=anywhere,
     )
@@ -101,7 +101,7 @@
     placed = place(
         gone,
         demand=UNIFORM_DEMAND,
-        busy={one: float(count) for one, count in left.items()},
+        current_load={one: float(count) for one, count in left.items()},
         candidates=servers(count)[1:],
         site_of=anywhere,
     )
@@ -149,7 +149,7 @@
     targets = place(
         [1, 2],
         demand=UNIFORM_DEMAND,
-        busy={},
+        current_load={},
         candidates=candidates,
         site_of=lambda shard: "new" if shard == 1 else None,
     )
