--- a/src/gentianwharf/infra/_http.py
+++ b/src/gentianwharf/infra/_http.py
@@ -28,7 +28,7 @@
 Reactor = Any
 """An ``IReactorTCP`` and ``IReactorTime``: zope interfaces can't be intersected."""
 
-MOST_ANSWER_BYTES = 32_000_000
+MAX_ANSWER_BYTES = 32_000_000
 """More than every value of a deployment in one answer; an endless one stops here."""
 
 IDLE_CONNECTION_S = 5
@@ -58,7 +58,7 @@
 
 
 @final
-class JsonCaller:
+class JsonClient:
     """Posts JSON and reads JSON, each call within its timeout.
 
     Raises ``PeerUnavailableError`` only when no byte of the call can have been acted
@@ -132,12 +132,12 @@
     """
 
     def __init__(self, *, reactor: Reactor, call_timeout_s: float) -> None:
-        self._caller = JsonCaller(reactor=reactor, connect_timeout_s=call_timeout_s)
+        self._client = JsonClient(reactor=reactor, connect_timeout_s=call_timeout_s)
         self._call_timeout_s = call_timeout_s
 
     async def close(self) -> None:
         """Close the kept connections."""
-        await self._caller.close()
+        await self._client.close()
 
     async def _ask(
         self,
@@ -157,7 +157,7 @@
             body=body if isinstance(body, bytes) else encode(body),
             timeout_s=self._call_timeout_s if timeout_s is None else timeout_s,
         )
-        return await self._caller.post(call, answer)
+        return await self._client.post(call, answer)
 
 
 async def _collect(response: IResponse) -> bytes:
@@ -167,8 +167,8 @@
     def take(piece: bytes) -> None:
         nonlocal size
         size += len(piece)
-        if size > MOST_ANSWER_BYTES:
-            raise ValueError(f"answer is larger than {MOST_ANSWER_BYTES} bytes")
+        if size > MAX_ANSWER_BYTES:
+            raise ValueError(f"answer is larger than {MAX_ANSWER_BYTES} bytes")
         pieces.append(piece)
 
     await treq.collect(response, take)
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -25,7 +25,7 @@
     MemoryStore,
     ServerReport,
 )
-from gentianwharf.infra._http import Call, JsonCaller
+from gentianwharf.infra._http import Call, JsonClient
 from gentianwharf.infra.wire import Nothing
 from gentianwharf.standin import StoreApp
 from gentianwharf.topology import BackendServer
@@ -150,7 +150,7 @@
 
 
 def test_endless_answer_is_cut_off(loop: Loop, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gentianwharf.infra._http.MOST_ANSWER_BYTES", 1_000)
+    monkeypatch.setattr("gentianwharf.infra._http.MAX_ANSWER_BYTES", 1_000)
     site = Site(ScriptedServer(200, b" " * 1_001), reactor=loop.reactor)
     with pytest.raises(OutcomeUnknownError):
         loop.run(_control(loop).grant(_server(loop.listen(site)), GRANT))
@@ -197,6 +197,6 @@
         body=body,
         timeout_s=1,
     )
-    caller = JsonCaller(reactor=loop.reactor, connect_timeout_s=1)
+    caller = JsonClient(reactor=loop.reactor, connect_timeout_s=1)
     with pytest.raises(RefusedError, match=expected):
         loop.run(caller.post(call, TypeAdapter(Nothing)))
