--- a/src/gentianwharf/infra/_http_store.py
+++ b/src/gentianwharf/infra/_http_store.py
@@ -56,13 +56,13 @@
     async def get(self, key: str) -> VersionedValue | None:
         """Return the value of ``key``, or None when there is none."""
         answer = await self._call("get", KeyRequest(key=key), _VALUES)
-        values = answer.versioned()
+        values = answer.to_values()
         return values[0] if values else None
 
     async def get_many(self, prefix: str) -> list[VersionedValue]:
         """Return every value whose key begins with ``prefix``."""
         answer = await self._call("get-many", PrefixRequest(prefix=prefix), _VALUES)
-        return answer.versioned()
+        return answer.to_values()
 
     async def compare_and_swap(
         self,
@@ -79,7 +79,7 @@
             expected_revision=expected_revision,
             lease_id=lease_id,
         )
-        return (await self._call("compare-and-swap", body, _VALUE)).versioned()
+        return (await self._call("compare-and-swap", body, _VALUE)).to_value()
 
     async def watch(
         self, prefix: str, *, after_revision: int, wait_s: float
@@ -93,7 +93,7 @@
         answer = await self._call(
             "watch", body, _VALUES, timeout_s=wait_s + WATCH_MARGIN_S
         )
-        return answer.versioned()
+        return answer.to_values()
 
     async def lease_grant(self, *, ttl_s: float) -> StoreLease:
         """Make a lease that lapses ``ttl_s`` after its last renewal."""
--- a/src/gentianwharf/infra/wire.py
+++ b/src/gentianwharf/infra/wire.py
@@ -78,11 +78,11 @@
     revision: int = Field(gt=0)
 
     @classmethod
-    def of(cls, value: VersionedValue) -> Self:
+    def from_value(cls, value: VersionedValue) -> Self:
         """Make the message of a value."""
         return cls(key=value.key, value=value.value, revision=value.revision)
 
-    def versioned(self) -> VersionedValue:
+    def to_value(self) -> VersionedValue:
         """Return the value in the message."""
         return VersionedValue(key=self.key, value=self.value, revision=self.revision)
 
@@ -93,13 +93,13 @@
     values: tuple[WireValue, ...]
 
     @classmethod
-    def of(cls, values: list[VersionedValue]) -> Self:
+    def from_values(cls, values: list[VersionedValue]) -> Self:
         """Make the message of values."""
-        return cls(values=tuple(WireValue.of(value) for value in values))
+        return cls(values=tuple(WireValue.from_value(value) for value in values))
 
-    def versioned(self) -> list[VersionedValue]:
+    def to_values(self) -> list[VersionedValue]:
         """Return the values in the message."""
-        return [value.versioned() for value in self.values]
+        return [value.to_value() for value in self.values]
 
 
 class LeaseAnswer(WireModel):
--- a/src/gentianwharf/standin/_store.py
+++ b/src/gentianwharf/standin/_store.py
@@ -101,7 +101,7 @@
             expected_revision=body.expected_revision,
             lease_id=body.lease_id,
         )
-        return wire.WireValue.of(written)
+        return wire.WireValue.from_value(written)
 
     async def _watch(self, body: wire.WatchRequest) -> BaseModel:
         found = await self._store.watch(
@@ -130,7 +130,7 @@
 
 
 def _values(values: list[VersionedValue]) -> BaseModel:
-    return wire.ValuesAnswer.of(values)
+    return wire.ValuesAnswer.from_values(values)
 
 
 def _refuse(request: Request, error: ErrorName, message: str) -> bytes:
