--- a/src/gentianwharf/ownership/_plans.py
+++ b/src/gentianwharf/ownership/_plans.py
@@ -140,7 +140,7 @@
         for shard, move in self._mover.moves.items():
             # A key's own entry that is taken away has no target.
             if move.entry.target:
-                busy[move.entry.target] += demand.of(shard)
+                busy[move.entry.target] += demand.shard_slots(shard)
         return busy
 
     def _placed(self, shards: Sequence[int], states: ServerStates) -> dict[int, str]:
--- a/src/gentianwharf/placement/_demand.py
+++ b/src/gentianwharf/placement/_demand.py
@@ -26,14 +26,14 @@
     shards nobody asks for are spread over the servers too.
 
     >>> demand = Demand(measured_slots={7: 2.0}, idle_slots=0.5)
-    >>> demand.of(7), demand.of(8), demand.total({7, 8})
+    >>> demand.shard_slots(7), demand.shard_slots(8), demand.total({7, 8})
     (2.5, 0.5, 3.0)
     """
 
     measured_slots: Mapping[int, float] = field(default_factory=dict)
     idle_slots: float = 1.0
 
-    def of(self, shard: int) -> float:
+    def shard_slots(self, shard: int) -> float:
         """Return the demand of one shard."""
         return self.measured_slots.get(shard, 0.0) + self.idle_slots
 
--- a/src/gentianwharf/placement/_place.py
+++ b/src/gentianwharf/placement/_place.py
@@ -78,7 +78,9 @@
         return heap
 
     targets: dict[int, str] = {}
-    heaviest_first = sorted(shards, key=lambda shard: (-demand.of(shard), shard))
+    heaviest_first = sorted(
+        shards, key=lambda shard: (-demand.shard_slots(shard), shard)
+    )
     for shard in heaviest_first:
         heap = heap_of(site_of(shard))
         while heap and heap[0][0] != share(heap[0][1]):
@@ -86,7 +88,7 @@
         if not heap:
             continue
         index = heap[0][1]
-        carried[index] += demand.of(shard)
+        carried[index] += demand.shard_slots(shard)
         heapq.heapreplace(heap, (share(index), index))
         targets[shard] = candidates[index].id
     return targets
--- a/src/gentianwharf/placement/_rebalance.py
+++ b/src/gentianwharf/placement/_rebalance.py
@@ -100,7 +100,7 @@
     def by_load(self, is_movable: Callable[[int], bool]) -> list[tuple[float, int]]:
         if self._by_load is None:
             self._by_load = sorted(
-                (self._demand.of(shard), shard)
+                (self._demand.shard_slots(shard), shard)
                 for shard in self._owned
                 if is_movable(shard)
             )
--- a/tests/test_ownership_hot_keys.py
+++ b/tests/test_ownership_hot_keys.py
@@ -144,5 +144,5 @@
     after = loads.demand(slots=36)
     moved = 0.8 * before.measured_slots[shard]
     assert after.measured_slots[SHARDS] == pytest.approx(moved)
-    assert after.of(shard) == pytest.approx(before.of(shard) - moved)
+    assert after.shard_slots(shard) == pytest.approx(before.shard_slots(shard) - moved)
     assert loads.key_slots() == {}
--- a/tests/test_ownership_loads.py
+++ b/tests/test_ownership_loads.py
@@ -34,8 +34,8 @@
         one_by_one.hear(REPORT, 0.0)
     chosen = Loads(service="ledger", rates={3: 10.0}, answers=20, busy_s=1.0, hosts=3.0)
     at_once.hear(chosen, 0.0)
-    assert at_once.demand(slots=6).of(3) == pytest.approx(
-        one_by_one.demand(slots=6).of(3)
+    assert at_once.demand(slots=6).shard_slots(3) == pytest.approx(
+        one_by_one.demand(slots=6).shard_slots(3)
     )
 
 
