--- a/src/gentianwharf/keys/__init__.py
+++ b/src/gentianwharf/keys/__init__.py
@@ -1,4 +1,4 @@
-"""From a key to its shard."""
+"""Mapping of keys to shards."""
 
 from ._shard import shard_of
 
--- a/src/gentianwharf/keys/_shard.py
+++ b/src/gentianwharf/keys/_shard.py
@@ -1,14 +1,14 @@
-"""The hash that cuts a keyed service's key space into shards."""
+"""The hash that divides the key space of a keyed service into shards."""
 
 import xxhash
 
 
 def shard_of(key: str, shards: int) -> int:
-    """Return the shard of ``key`` among ``shards``.
+    """Return the shard of ``key``, from 0 to ``shards - 1``.
 
-    The same on every host and in every release: it must never change for a
-    service that has acknowledged assignments. Python's own ``hash`` differs from
-    process to process, so it can't be used.
+    The result is the same on every host and in every release: it must never change
+    for a service that has acknowledged assignments. Python's ``hash`` can't be used,
+    since it differs from process to process.
 
     >>> shard_of("faculte-des-sciences", 1024)
     72
--- a/src/gentianwharf/placement/__init__.py
+++ b/src/gentianwharf/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which server each shard should stand on."""
+"""Assignment of shards to backend servers."""
 
 from ._demand import IDLE_SHARE, UNIFORM_DEMAND, Demand
 from ._place import Candidate, SiteOfShard, place, rendezvous_rank
--- a/src/gentianwharf/placement/_place.py
+++ b/src/gentianwharf/placement/_place.py
@@ -1,4 +1,4 @@
-"""Where shards should stand: targets for shards without a live owner."""
+"""Selection of target servers for shards without a live owner."""
 
 import heapq
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -10,13 +10,13 @@
 from ._demand import Demand
 
 SiteOfShard = Callable[[int], str | None]
-"""The site that the rules want for a shard; None when any will do."""
+"""Returns the site that the rules require for a shard, or None for any site."""
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Candidate:
-    """A backend server that may take shards; ``slots`` is its share of the load."""
+    """A backend server that may own shards, in proportion to its ``slots``."""
 
     id: str
     site: str
@@ -24,9 +24,9 @@
 
 
 def rendezvous_rank(name: str, choices: Iterable[str]) -> list[str]:
-    """Return ``choices`` in an order that depends on ``name`` and nothing else.
+    """Return ``choices`` in the order of their rendezvous hashes with ``name``.
 
-    Taking one choice away leaves the order of the others as it was.
+    Removing one choice doesn't change the order of the others.
 
     >>> rendezvous_rank("ledger", ["h1", "h2", "h3"])
     ['h1', 'h3', 'h2']
@@ -46,30 +46,31 @@
     candidates: Sequence[Candidate],
     site_of: SiteOfShard,
 ) -> dict[int, str]:
-    """Return a target for each of ``shards``, heaviest first to the least busy.
+    """Return a target server for each of ``shards``.
 
-    ``current_load`` is the demand that each candidate meets already. A shard whose site
-    has no candidate is left out: it stays without an owner rather than standing
-    where the operators' rules do not want it.
+    Shards are placed in order of falling demand, each on the candidate with the lowest
+    load per slot. ``current_load`` is the demand on each candidate beforehand, in
+    slots. A shard whose site has no candidate is left out: it stays without an owner
+    rather than being placed where the operators' rules don't allow it.
 
-    >>> two = [Candidate(id=name, site="x", slots=1) for name in ("a", "b")]
+    >>> servers = [Candidate(id=name, site="x", slots=1) for name in ("a", "b")]
     >>> demand = Demand(measured_slots={1: 5.0, 2: 2.0, 3: 2.0})
-    >>> place([1, 2, 3], demand=demand, current_load={}, candidates=two,
+    >>> place([1, 2, 3], demand=demand, current_load={}, candidates=servers,
     ...       site_of=lambda shard: None) == {1: "a", 2: "b", 3: "b"}
     True
     """
     heaps: dict[str | None, list[tuple[float, int]]] = {}
     order = sorted(range(len(candidates)), key=lambda index: candidates[index].id)
-    carried = [current_load.get(one.id, 0.0) for one in candidates]
+    loads = [current_load.get(candidate.id, 0.0) for candidate in candidates]
 
-    def share(index: int) -> float:
-        return carried[index] / candidates[index].slots
+    def load_per_slot(index: int) -> float:
+        return loads[index] / candidates[index].slots
 
     def heap_of(site: str | None) -> list[tuple[float, int]]:
         heap = heaps.get(site)
         if heap is None:
             heap = [
-                (share(index), index)
+                (load_per_slot(index), index)
                 for index in order
                 if site is None or candidates[index].site == site
             ]
@@ -83,12 +84,12 @@
     )
     for shard in heaviest_first:
         heap = heap_of(site_of(shard))
-        while heap and heap[0][0] != share(heap[0][1]):
-            heapq.heapreplace(heap, (share(heap[0][1]), heap[0][1]))
+        while heap and heap[0][0] != load_per_slot(heap[0][1]):
+            heapq.heapreplace(heap, (load_per_slot(heap[0][1]), heap[0][1]))
         if not heap:
             continue
         index = heap[0][1]
-        carried[index] += demand.shard_slots(shard)
-        heapq.heapreplace(heap, (share(index), index))
+        loads[index] += demand.shard_slots(shard)
+        heapq.heapreplace(heap, (load_per_slot(index), index))
         targets[shard] = candidates[index].id
     return targets
--- a/src/gentianwharf/placement/_rebalance.py
+++ b/src/gentianwharf/placement/_rebalance.py
@@ -1,10 +1,10 @@
-"""Moving shards of live servers so that load is even, where it is worth the move.
+"""Rebalancing of shards between live servers, where a move is worth its cost.
 
-Three things are weighed, in seconds of an average shard's work: the overload that
-a move relieves over ``HORIZON_S``, a price for each change of owner, and the
-requests that wait while the shard moves. Tunis sets a high price on waiting,
-Brazos Bend on changes of owner. An average shard is the measure, since a server's
-load says nothing of a move's worth where a service has many small shards.
+The gain of a move has three terms, in seconds of an average shard's work: the overload
+that the move relieves over ``HORIZON_S``, less a cost for the change of owner, less a
+cost for the requests that wait while the shard moves. Tunis puts a high weight on
+waiting, Brazos Bend on changes of owner. The unit is an average shard: relative to a
+server's load, no move would be worth its cost in a service with many small shards.
 """
 
 from bisect import bisect_right, insort
@@ -17,45 +17,50 @@
 from ._place import Candidate
 
 HORIZON_S = 600.0
-"""How long a gain is expected to last; hot keys change within minutes."""
+"""How long the gain of a move is expected to last; hot keys change within minutes."""
 
 START_ABOVE = 1.08
-"""Share of the mean load above which a server's shards start to move."""
+"""Share of the mean load above which shards are moved off a server."""
 
 START_BELOW = 0.85
-"""Share of the mean load below which a server is sent shards, as after a join."""
+"""Share of the mean load below which shards are moved to a server, as after a join."""
 
-LEAST_SPREAD = 0.02
-"""Share of a server's slots by which it must differ from the mean as well.
+MIN_DEVIATION = 0.02
+"""Share of a server's slots by which its load must also differ from the mean.
 
-One caller that asks for a key as fast as it is answered fills a slot or less of a
-server that is otherwise idle: far above the mean, and no reason to move anything.
-Above a quarter of the slots in use the shares of the mean decide alone.
+A single caller that sends its next request for a key upon each answer uses one slot or
+less of an otherwise idle server: this load is far above the mean, but no reason for a
+move. With more than a quarter of the slots in use, only ``START_ABOVE`` and
+``START_BELOW`` decide.
 """
 
 STOP_ABOVE = 1.02
-"""Share of the mean load at which moving stops: well below ``START_ABOVE``, so that
-noise around one of them does not move shards back and forth."""
+"""Share of the mean load at which moves stop.
 
-LEAST_PARTING_GAIN = 0.05
-"""Share of the mean by which a move must lower the busier of two servers."""
+It is well below ``START_ABOVE``, so that noise around either limit doesn't move shards
+back and forth.
+"""
+
+MIN_SEPARATION_GAIN = 0.05
+"""Share of the mean load by which separating hot shards must reduce the load of the
+busier of the two servers."""
 
-CHURN_PRICE_S = 60.0
-"""Price of one change of owner at weight 1, in seconds of an average shard's work.
+OWNER_CHANGE_COST_S = 60.0
+"""Cost of a change of owner at weight 1, in seconds of an average shard's work.
 
-At weight 1 a shard with less than a tenth of the average load stays where it is, at
-weight 4 one with less than four tenths. At 10 a server that joins gets no shards of
-average load any more.
+At weight 1, shards with less than a tenth of the average load aren't moved; at weight
+4, shards with less than four tenths. From weight 10, a joining server no longer
+receives shards of average load.
 """
 
-MOVE_UNSERVED_S = 0.05
-"""How long a moving shard's requests wait at most."""
+MAX_MOVE_WAIT_S = 0.05
+"""Upper bound of the time that requests wait while their shard moves."""
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlacementWeights:
-    """How much the operators mind each of the brief's three measures."""
+    """The operators' weights of the three terms in the gain of a move."""
 
     imbalance: float = 1.0
     churn: float = 1.0
@@ -65,7 +70,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlannedMove:
-    """A shard that should move, and what it is worth."""
+    """A move of a shard to another server, and its gain.
+
+    ``gain_s`` is in seconds of an average shard's work.
+    """
 
     shard: int
     source: str
@@ -79,7 +87,7 @@
 
 @final
 class _Server:
-    """A candidate's load and, once one of them is looked for, its shards by load."""
+    """A candidate's load and shards; these are sorted by load on first use."""
 
     def __init__(
         self, candidate: Candidate, owned: AbstractSet[int], demand: Demand
@@ -91,7 +99,7 @@
         self._demand = demand
         self._by_load: list[tuple[float, int]] | None = None
 
-    def share(self) -> float:
+    def load_per_slot(self) -> float:
         return self.load / self.slots
 
     def count(self) -> int:
@@ -129,15 +137,16 @@
     max_moves: int,
     is_movable: Callable[[int], bool] = _any_shard,
 ) -> list[PlannedMove]:
-    """Return at most ``max_moves`` moves, the most worthwhile first.
+    """Return at most ``max_moves`` moves, off the most loaded servers first.
 
-    ``owned`` are each server's shards. Where the rules bind shards to sites
-    (``within_sites``) they stay on theirs. Nothing moves while every server is near the
-    mean of its site (``START_BELOW``, ``START_ABOVE``, ``LEAST_SPREAD``); that look
-    costs nothing for a shard that nobody asks for.
+    ``owned`` holds the shards of each server. With ``within_sites``, as when the rules
+    bind shards to sites, shards move only between servers of the same site. No moves
+    are returned while the load of every server is near the mean (``START_BELOW``,
+    ``START_ABOVE``, ``MIN_DEVIATION``); this check costs nothing for shards
+    without measured demand.
 
-    >>> two = [Candidate(id=name, site="x", slots=1) for name in ("a", "b")]
-    >>> moves = rebalance({"a": {1, 2, 3}}, demand=Demand(), candidates=two,
+    >>> servers = [Candidate(id=name, site="x", slots=1) for name in ("a", "b")]
+    >>> moves = rebalance({"a": {1, 2, 3}}, demand=Demand(), candidates=servers,
     ...     within_sites=False, weights=PlacementWeights(), max_moves=8)
     >>> [(move.source, move.target) for move in moves]
     [('a', 'b')]
@@ -148,23 +157,23 @@
         site = candidate.site if within_sites else None
         server = _Server(candidate, owned.get(candidate.id, frozenset()), demand)
         groups.setdefault(site, []).append(server)
-    shards = sum(len(one) for one in owned.values())
-    mean_shard = sum(s.load for group in groups.values() for s in group) / (shards or 1)
+    count = sum(len(shards) for shards in owned.values())
+    mean_shard = sum(s.load for group in groups.values() for s in group) / (count or 1)
     for group in groups.values():
-        evening = _Evening(
+        balancer = _GroupBalancer(
             servers=group,
             mean_shard=mean_shard,
             demand=demand,
             weights=weights,
             is_movable=is_movable,
         )
-        moves += evening.moves(max_moves - len(moves))
+        moves += balancer.moves(max_moves - len(moves))
     return moves
 
 
 @final
-class _Evening:
-    """Evens out the servers of one site."""
+class _GroupBalancer:
+    """Balances the load of a group of servers: those of one site, or all."""
 
     def __init__(
         self,
@@ -182,14 +191,15 @@
         slots = sum(s.slots for s in servers)
         self._mean = sum(s.load for s in servers) / slots
         self._mean_count = sum(s.count() for s in servers) / slots
-        self._by_id = {one.id: one for one in servers}
-        # In order of how busy they are: of thousands of servers only both ends count.
-        self._order = sorted((one.share(), one.id) for one in servers)
+        self._by_id = {server.id: server for server in servers}
+        # Sorted by load per slot, since only the servers at both ends are examined,
+        # and there may be thousands.
+        self._order = sorted((server.load_per_slot(), server.id) for server in servers)
 
     def moves(self, max_moves: int) -> list[PlannedMove]:
         """Return at most ``max_moves`` moves."""
         moves: list[PlannedMove] = []
-        if self._is_even():
+        if self._is_balanced():
             return moves
         while len(moves) < max_moves:
             move = self._best_move()
@@ -198,32 +208,32 @@
             moves.append(move)
         return moves
 
-    def _is_even(self) -> bool:
+    def _is_balanced(self) -> bool:
         mean, least, most = self._mean, self._order[0][0], self._order[-1][0]
-        above = max(mean * (START_ABOVE - 1), LEAST_SPREAD)
-        below = max(mean * (1 - START_BELOW), LEAST_SPREAD)
+        above = max(mean * (START_ABOVE - 1), MIN_DEVIATION)
+        below = max(mean * (1 - START_BELOW), MIN_DEVIATION)
         return most <= mean + above and least >= mean - below
 
     def _best_move(self) -> PlannedMove | None:
         target = self._by_id[self._order[0][1]]
-        for share, name in reversed(self._order):
-            is_filling = target.share() < self._mean * START_BELOW
-            if share <= self._mean * STOP_ABOVE and not is_filling:
+        for load_per_slot, server_id in reversed(self._order):
+            is_underloaded = target.load_per_slot() < self._mean * START_BELOW
+            if load_per_slot <= self._mean * STOP_ABOVE and not is_underloaded:
                 return None
-            found = self._worthwhile(self._by_id[name], target)
-            if found is not None:
-                return found
+            move = self._try_move(self._by_id[server_id], target)
+            if move is not None:
+                return move
         return None
 
-    def _worthwhile(self, source: _Server, target: _Server) -> PlannedMove | None:
+    def _try_move(self, source: _Server, target: _Server) -> PlannedMove | None:
         shards = source.by_load(self._is_movable)
-        index = _fitting(source, shards, target, self._mean)
+        index = _find_fitting(source, shards, target, self._mean)
         if index is None:
-            index = _parting(source, shards, target, self._mean)
+            index = _find_separating(source, shards, target, self._mean)
         if index is None:
             return None
         load, shard = shards[index]
-        gain_s = _gain_s(self._in_mean_shards(load, target), self._weights)
+        gain_s = _gain_s(self._load_in_mean_shards(load, target), self._weights)
         if gain_s <= 0:
             return None
         self._move(shard, load, source, target)
@@ -231,14 +241,15 @@
             shard=shard, source=source.id, target=target.id, gain_s=gain_s
         )
 
-    def _in_mean_shards(self, load: float, target: _Server) -> float:
-        """Return the demand that is a reason to move a shard, in average shards.
+    def _load_in_mean_shards(self, load: float, target: _Server) -> float:
+        """Return the part of a shard's load that justifies a move, in average shards.
 
-        What an idle shard counts for spreads shards over the servers. Beside one hot
-        key it would send the other shards of its server away, which relieves nobody.
+        The demand that is assumed for every shard counts only if the target has too
+        few shards. Otherwise one hot key would cause the idle shards of its server to
+        be moved away, which reduces no real load.
         """
-        is_short = target.count() / target.slots < self._mean_count * START_BELOW
-        if is_short:
+        has_few_shards = target.count() / target.slots < self._mean_count * START_BELOW
+        if has_few_shards:
             return load / self._mean_shard
         measured = load - self._demand.idle_slots
         mean_measured = self._mean_shard - self._demand.idle_slots
@@ -246,52 +257,53 @@
 
     def _move(self, shard: int, load: float, source: _Server, target: _Server) -> None:
         for server in (source, target):
-            self._order.remove((server.share(), server.id))
+            self._order.remove((server.load_per_slot(), server.id))
         source.remove(shard, load)
         target.add(shard, load)
         for server in (source, target):
-            insort(self._order, (server.share(), server.id))
+            insort(self._order, (server.load_per_slot(), server.id))
 
 
-def _fitting(
+def _find_fitting(
     source: _Server, shards: list[tuple[float, int]], target: _Server, mean: float
 ) -> int | None:
-    """Return the heaviest shard that leaves the target no busier than the mean.
+    """Return the index of the heaviest shard that keeps the target near the mean.
 
-    The heaviest that fits, since that takes the fewest moves.
+    Taking the heaviest shard that fits needs the fewest moves.
     """
-    over = source.load - mean * source.slots * START_BELOW
-    under = mean * target.slots * STOP_ABOVE - target.load
-    index = bisect_right(shards, (min(over, under), 1 << 62)) - 1
+    excess = source.load - mean * source.slots * START_BELOW
+    spare = mean * target.slots * STOP_ABOVE - target.load
+    index = bisect_right(shards, (min(excess, spare), 1 << 62)) - 1
     if index < 0 or shards[index][0] <= 0:
         return None
     after = (target.load + shards[index][0]) / target.slots
-    return index if after < source.share() else None
+    return index if after < source.load_per_slot() else None
 
 
-def _parting(
+def _find_separating(
     source: _Server, shards: list[tuple[float, int]], target: _Server, mean: float
 ) -> int | None:
-    """Return the shard that best parts two hot ones, when none fits below the mean.
+    """Return the index of the shard whose move best separates hot shards.
 
-    Without a least gain two hot shards of a server would change places for ever.
+    Used when no shard fits within the mean. Without ``MIN_SEPARATION_GAIN``, hot shards
+    would be moved back and forth between two servers without end.
     """
 
-    def busier(index: int) -> float:
+    def higher_load(index: int) -> float:
         load = shards[index][0]
-        left = (source.load - load) / source.slots
-        return max(left, (target.load + load) / target.slots)
+        remaining = (source.load - load) / source.slots
+        return max(remaining, (target.load + load) / target.slots)
 
     if not shards:
         return None
-    index = min(range(len(shards)), key=busier)
-    gain = source.share() - busier(index)
-    return index if gain >= mean * LEAST_PARTING_GAIN else None
+    index = min(range(len(shards)), key=higher_load)
+    gain = source.load_per_slot() - higher_load(index)
+    return index if gain >= mean * MIN_SEPARATION_GAIN else None
 
 
 def _gain_s(load: float, weights: PlacementWeights) -> float:
-    """Return what moving a shard is worth, its ``load`` in average shards."""
+    """Return the gain of moving a shard with ``load``, in average shards."""
     relieved_s = HORIZON_S * load
-    unserved_s = MOVE_UNSERVED_S * load
-    cost_s = weights.churn * CHURN_PRICE_S + weights.unavailable_time * unserved_s
+    waiting_s = MAX_MOVE_WAIT_S * load
+    cost_s = weights.churn * OWNER_CHANGE_COST_S + weights.unavailable_time * waiting_s
     return weights.imbalance * relieved_s - cost_s
