--- a/src/gentianwharf/infra/__init__.py
+++ b/src/gentianwharf/infra/__init__.py
@@ -1,4 +1,4 @@
-"""What the platform gives, a ``Protocol`` a file; the adapters implement these."""
+"""The platform's interfaces, one ``Protocol`` per file, and their adapters."""
 
 from ._faults import Fault, FaultKind, FaultyStore
 from ._hosts import HostList, ListedHost
--- a/src/gentianwharf/infra/_hosts.py
+++ b/src/gentianwharf/infra/_hosts.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving hosts, which lags behind the truth."""
+"""The platform's list of live and leaving hosts, which may be out of date."""
 
 from dataclasses import dataclass
 from typing import Protocol, final
@@ -7,7 +7,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ListedHost:
-    """One line of the list: an entry host or a backend server's host."""
+    """An entry of the list: an entry host or the host of a backend server."""
 
     id: str
     domain: str
@@ -16,7 +16,7 @@
 
 
 class HostList(Protocol):
-    """The list as this project uses it."""
+    """The interface to the list that this project uses."""
 
     async def read(self) -> list[ListedHost]:
-        """Return the hosts that the platform believes to be live."""
+        """Return the hosts that the platform lists as live or leaving."""
--- a/src/gentianwharf/infra/_http.py
+++ b/src/gentianwharf/infra/_http.py
@@ -1,4 +1,7 @@
-"""JSON over HTTP to the platform, with errors that say whether it took effect."""
+"""JSON calls over HTTP to the platform.
+
+Errors distinguish calls that had no effect from calls whose outcome is unknown.
+"""
 
 from dataclasses import dataclass
 from typing import Any, TypeVar, final
@@ -26,19 +29,20 @@
 Answer = TypeVar("Answer")
 
 Reactor = Any
-"""An ``IReactorTCP`` and ``IReactorTime``: zope interfaces can't be intersected."""
+"""An ``IReactorTCP`` and ``IReactorTime``; zope interfaces can't be intersected."""
 
 MAX_ANSWER_BYTES = 32_000_000
-"""More than every value of a deployment in one answer; an endless one stops here."""
+"""Limit on the size of an answer, so that an endless one is cut off. All values of a
+deployment together are smaller."""
 
 IDLE_CONNECTION_S = 5
-"""Below the idle limit of usual servers (15 s and more): a connection that the other
-side closed just before a call would cost that call its certainty."""
+"""Below the idle limit of common servers (15 s and more): if the peer closed the
+connection just before a call, the outcome of the call would be unknown."""
 
-CONNECTIONS_PER_ADDRESS = 8
-"""Kept idle. Calls at once are few: a watch, a lease renewal, a write, a read."""
+MAX_IDLE_CONNECTIONS_PER_ADDRESS = 8
+"""Few calls run at a time: a watch, a lease renewal, a write, a read."""
 
-ERRORS: dict[ErrorName, type[GentianwharfError]] = {
+ERROR_TYPES: dict[ErrorName, type[GentianwharfError]] = {
     ErrorName.CONFLICT: ConflictError,
     ErrorName.REFUSED: RefusedError,
     ErrorName.UNAVAILABLE: PeerUnavailableError,
@@ -48,7 +52,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Call:
-    """One call: ``step`` names it in errors, ``peer`` is the other side's ip:port."""
+    """A call; ``step`` is its name in errors, ``peer`` the ip:port it is sent to."""
 
     step: str
     peer: str
@@ -59,32 +63,37 @@
 
 @final
 class JsonClient:
-    """Posts JSON and reads JSON, each call within its timeout.
-
-    Raises ``PeerUnavailableError`` only when no byte of the call can have been acted
-    on: the connection was refused or never made, or the peer says so itself. Every
-    other failure is ``OutcomeUnknownError``.
+    """Sends JSON by POST and reads JSON answers, each call within its timeout.
+
+    Raises ``PeerUnavailableError`` only if the call can't have had an effect: the
+    connection was refused or not established, or the peer's answer states it. The
+    peer's answer may also be a ``ConflictError`` or ``RefusedError``; an answer that
+    doesn't match the expected type raises ``PeerMismatchError``, and an address that
+    isn't an IP number ``InputError``. Any other failure raises
+    ``OutcomeUnknownError``.
     """
 
     def __init__(self, *, reactor: Reactor, connect_timeout_s: float) -> None:
         self._reactor = reactor
         self._pool = HTTPConnectionPool(reactor, persistent=True)
-        self._pool.maxPersistentPerHost = CONNECTIONS_PER_ADDRESS
+        self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS_PER_ADDRESS
         self._pool.cachedConnectionTimeout = IDLE_CONNECTION_S
-        # A repeated call may take effect twice; the callers know which may repeat.
+        # A repeated call may take effect twice, and only the callers can decide which
+        # calls are safe to repeat.
         self._pool.retryAutomatically = False
         self._agent = ip_agent(
             reactor=reactor, pool=self._pool, connect_timeout_s=connect_timeout_s
         )
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         await self._pool.closeCachedConnections()
 
     async def post(self, call: Call, answer: TypeAdapter[Answer]) -> Answer:
-        """Make a call and return its checked answer."""
+        """Send a call and return its validated answer."""
         posted = Deferred.fromCoroutine(self._post(call))
-        # Cancelling closes the connection, so a late answer meets nobody's call.
+        # Cancelling closes the connection, so that a late answer can't be taken for
+        # the answer to a later call.
         posted.addTimeout(call.timeout_s, self._reactor)
         try:
             status, body = await posted
@@ -105,27 +114,27 @@
                 peer=call.peer,
             ) from error
         if status != 200:
-            raise _problem(call, status, body)
+            raise _problem_error(call, status, body)
         try:
             return answer.validate_json(body)
         except ValidationError as error:
-            raise _malformed(call, error) from error
+            raise _mismatch_error(call, error) from error
 
     async def _post(self, call: Call) -> tuple[int, bytes]:
-        # treq's own request would take the address apart with a library for
-        # international names, set cookies and decode: 0.3 ms a call, and grants are
-        # renewed many times a second.
+        # treq.request would parse the URL with support for internationalized names,
+        # handle cookies and decode the body. This takes 0.3 ms per call, and grants
+        # are renewed many times a second.
         response = await self._agent.request(
             b"POST",
             f"http://{call.peer}{call.path}".encode(),
             Headers({b"Content-Type": [b"application/json"]}),
             BytesBody(body=call.body),
         )
-        return response.code, await _collect(response)
+        return response.code, await _read_body(response)
 
 
 class HttpAdapter:
-    """What the adapters over HTTP share: kept connections and a limit for each call.
+    """Base of the adapters over HTTP: persistent connections and a timeout per call.
 
     An adapter adds a method for each call of its ``Protocol``; see
     docs/design/platform.md, "Writing an adapter".
@@ -136,10 +145,10 @@
         self._call_timeout_s = call_timeout_s
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         await self._client.close()
 
-    async def _ask(
+    async def _send(
         self,
         step: str,
         peer: str,
@@ -149,7 +158,7 @@
         *,
         timeout_s: float | None = None,
     ) -> Answer:
-        """Make a call and return its checked answer; ``step`` names it in errors."""
+        """Send a call and return its validated answer; errors contain ``step``."""
         call = Call(
             step=step,
             peer=peer,
@@ -160,36 +169,37 @@
         return await self._client.post(call, answer)
 
 
-async def _collect(response: IResponse) -> bytes:
-    pieces: list[bytes] = []
+async def _read_body(response: IResponse) -> bytes:
+    chunks: list[bytes] = []
     size = 0
 
-    def take(piece: bytes) -> None:
+    def add_chunk(chunk: bytes) -> None:
         nonlocal size
-        size += len(piece)
+        size += len(chunk)
         if size > MAX_ANSWER_BYTES:
             raise ValueError(f"answer is larger than {MAX_ANSWER_BYTES} bytes")
-        pieces.append(piece)
+        chunks.append(chunk)
 
-    await treq.collect(response, take)
-    return b"".join(pieces)
+    await treq.collect(response, add_chunk)
+    return b"".join(chunks)
 
 
-def _problem(call: Call, status: int, body: bytes) -> GentianwharfError:
+def _problem_error(call: Call, status: int, body: bytes) -> GentianwharfError:
     try:
         problem = Problem.model_validate_json(body)
     except ValidationError:
-        # Something between us and the platform answered; the call may have passed it.
+        # An intermediary answered instead of the platform; it may have forwarded the
+        # call.
         return OutcomeUnknownError(
             f"expected an answer of the platform, got status {status} without one",
             step=call.step,
             peer=call.peer,
         )
-    error = ERRORS[problem.error]
+    error = ERROR_TYPES[problem.error]
     return error(problem.message, step=call.step, peer=call.peer)
 
 
-def _malformed(call: Call, error: ValidationError) -> PeerMismatchError:
+def _mismatch_error(call: Call, error: ValidationError) -> PeerMismatchError:
     detail = error.errors()[0]
     field = ".".join(str(part) for part in detail["loc"]) or "body"
     return PeerMismatchError(
--- a/src/gentianwharf/infra/_http_servers.py
+++ b/src/gentianwharf/infra/_http_servers.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers as JSON over HTTP to their own addresses."""
+"""Orders to backend servers as JSON over HTTP, sent to each server's address."""
 
 from typing import final
 
@@ -13,11 +13,12 @@
 ORDERS_PATH = "/_gentianwharf/"
 
 ORDER_TIMEOUT_S = 0.5
-"""A server that takes longer for an order is slow or frozen; its grants are renewed
-several times a second, so that the next try is near."""
+"""A server that takes longer is slow or frozen. Grants are renewed several times a
+second, so the next attempt follows soon."""
 
 RELEASE_TIMEOUT_S = 30.0
-"""A release answers when what ran for the shards is done, at most one deadline."""
+"""A release is answered when the requests in progress for the shards are done, which
+takes at most one request deadline."""
 
 _GRANT = TypeAdapter(Grant)
 _OUTCOME = TypeAdapter(OutcomeAnswer)
@@ -40,14 +41,14 @@
         self._release_timeout_s = release_timeout_s
 
     async def grant(self, server: BackendServer, grant: Grant) -> GrantOutcome:
-        """Give or renew shards."""
+        """Grant shards or renew their grants."""
         body = _GRANT.dump_json(grant)
         return (await self._order(server, "grant", body, _OUTCOME)).outcome
 
     async def release(
         self, server: BackendServer, service: str, tokens: dict[int, int]
     ) -> GrantOutcome:
-        """Take shards back; answers once what ran for them is done."""
+        """Take shards back; returns once the requests in progress for them are done."""
         body = ReleaseRequest(service=service, tokens=tokens)
         answer = await self._order(
             server, "release", body, _OUTCOME, timeout_s=self._release_timeout_s
@@ -59,7 +60,7 @@
         return await self._order(server, "report", Nothing(), _REPORT)
 
     async def drain(self, server: BackendServer) -> None:
-        """Tell the server that it is leaving."""
+        """Notify the server that it is leaving."""
         await self._order(server, "drain", Nothing(), _NOTHING)
 
     async def _order(
@@ -71,7 +72,7 @@
         *,
         timeout_s: float | None = None,
     ) -> Answer:
-        return await self._ask(
+        return await self._send(
             f"server {name}",
             server.address,
             ORDERS_PATH + name,
--- a/src/gentianwharf/infra/_http_store.py
+++ b/src/gentianwharf/infra/_http_store.py
@@ -26,11 +26,11 @@
 HOSTS_PATH = "/v1/hosts"
 
 CALL_TIMEOUT_S = 2.0
-"""The store answers in milliseconds; one slower than this is as good as out of reach,
-and a caller that waits longer holds its own work up."""
+"""The store normally answers within milliseconds. One that takes longer than this is
+treated as unreachable, since a longer wait would delay the caller's other work."""
 
-WATCH_MARGIN_S = 1.0
-"""How much longer than its own wait a watch may take before it counts as silent."""
+WATCH_TIMEOUT_MARGIN_S = 1.0
+"""How long after the end of its wait a watch without an answer times out."""
 
 _VALUES = TypeAdapter(ValuesAnswer)
 _VALUE = TypeAdapter(WireValue)
@@ -54,7 +54,7 @@
         self._peer = _peer(url)
 
     async def get(self, key: str) -> VersionedValue | None:
-        """Return the value of ``key``, or None when there is none."""
+        """Return the value of ``key``, or None if the key is absent."""
         answer = await self._call("get", KeyRequest(key=key), _VALUES)
         values = answer.to_values()
         return values[0] if values else None
@@ -86,27 +86,27 @@
     ) -> list[VersionedValue]:
         """Wait up to ``wait_s`` for values under ``prefix`` newer than a revision.
 
-        A connection gone silent ends in ``OutcomeUnknownError`` one second after
-        ``wait_s``, and the next watch opens a new one.
+        If the connection no longer delivers data, ``OutcomeUnknownError`` is raised one
+        second after ``wait_s``, and the next watch opens a new connection.
         """
         body = WatchRequest(prefix=prefix, after_revision=after_revision, wait_s=wait_s)
         answer = await self._call(
-            "watch", body, _VALUES, timeout_s=wait_s + WATCH_MARGIN_S
+            "watch", body, _VALUES, timeout_s=wait_s + WATCH_TIMEOUT_MARGIN_S
         )
         return answer.to_values()
 
     async def lease_grant(self, *, ttl_s: float) -> StoreLease:
-        """Make a lease that lapses ``ttl_s`` after its last renewal."""
+        """Create a lease that expires ``ttl_s`` after its last renewal."""
         body = LeaseGrantRequest(ttl_s=ttl_s)
         answer = await self._call("lease-grant", body, _LEASE)
         return StoreLease(id=answer.id, ttl_s=answer.ttl_s)
 
     async def lease_renew(self, lease_id: str) -> None:
-        """Renew; raises ``RefusedError`` when the lease has lapsed already."""
+        """Renew a lease; raises ``RefusedError`` if it has already expired."""
         await self._call("lease-renew", LeaseRequest(lease_id=lease_id), _NOTHING)
 
     async def lease_revoke(self, lease_id: str) -> None:
-        """End a lease at once, with the keys written under it."""
+        """End a lease and delete the keys written under it."""
         await self._call("lease-revoke", LeaseRequest(lease_id=lease_id), _NOTHING)
 
     async def _call(
@@ -117,7 +117,7 @@
         *,
         timeout_s: float | None = None,
     ) -> Answer:
-        return await self._ask(
+        return await self._send(
             f"store {name}",
             self._peer,
             STORE_PATH + name,
@@ -138,8 +138,8 @@
         self._peer = _peer(url)
 
     async def read(self) -> list[ListedHost]:
-        """Return the hosts that the platform believes to be live."""
-        answer = await self._ask(
+        """Return the hosts that the platform lists as live or leaving."""
+        answer = await self._send(
             "host list read", self._peer, HOSTS_PATH, Nothing(), _HOSTS
         )
         return list(answer.hosts)
--- a/src/gentianwharf/infra/_servers.py
+++ b/src/gentianwharf/infra/_servers.py
@@ -1,8 +1,8 @@
-"""What backend servers accept from the router: grants, drain, health and load.
+"""Control interface of backend servers: grants, releases, reports and drain.
 
 A server refuses a request for a shard unless it holds the shard under exactly the
-request's token, and refuses a grant or a release whose token is below the highest
-that it has seen for that shard. Both refusals prove that nothing was run.
+request's token. It refuses a grant or a release whose token is below the highest token
+that it has received for that shard. Either refusal proves that nothing was executed.
 """
 
 from dataclasses import dataclass
@@ -15,11 +15,11 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Grant:
-    """An order to own ``shards`` of a service, each under its fencing token.
+    """An order to own shards of a service; ``tokens`` maps each to its fencing token.
 
-    ``validity_s`` counts from ``server_stamp_s``, a reading of the server's own
-    clock that it gave earlier; a server that gives no stamp ignores both. An order
-    older than ``void_after_stamp_s`` on the same clock is void.
+    ``validity_s`` counts from ``server_stamp_s``, a reading of the server's own clock
+    from an earlier report; servers that report no stamp ignore both. The order is void
+    if it arrives after ``void_after_stamp_s`` on the same clock.
     """
 
     service: str
@@ -32,7 +32,7 @@
 
 
 class GrantOutcome(StrEnum):
-    """What a server said to a grant or a release."""
+    """A server's answer to a grant or a release."""
 
     ACCEPTED = "accepted"
     FENCED = "fenced"
@@ -43,7 +43,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerReport:
-    """A server's own word on itself; health and load lag or mislead."""
+    """A server's report on itself; its health and load may be late or wrong."""
 
     server: str
     stamp_s: float
@@ -55,21 +55,21 @@
 
 
 class BackendControl(Protocol):
-    """Orders to one backend server."""
+    """The interface for orders to a backend server."""
 
     async def grant(self, server: BackendServer, grant: Grant) -> GrantOutcome:
-        """Give or renew shards."""
+        """Grant shards or renew their grants."""
 
     async def release(
         self, server: BackendServer, service: str, tokens: dict[int, int]
     ) -> GrantOutcome:
-        """Take shards back; answers once what ran for them is done.
+        """Take shards back; returns once the requests in progress for them are done.
 
-        ``tokens`` fence each shard: the server takes no lower token again.
+        ``tokens`` fences each shard: the server then accepts no lower token for it.
         """
 
     async def report(self, server: BackendServer) -> ServerReport:
         """Return the server's health, load, stamp and held shards."""
 
     async def drain(self, server: BackendServer) -> None:
-        """Tell the server that it is leaving."""
+        """Notify the server that it is leaving."""
--- a/src/gentianwharf/infra/_store.py
+++ b/src/gentianwharf/infra/_store.py
@@ -1,8 +1,8 @@
-"""The platform's key-value service: compare-and-swap, leases, watches.
+"""The platform's key-value store: compare-and-swap, leases, watches.
 
-Every call counts against the platform's rate, a waiting watch as one. A call that
-raises ``PeerUnavailableError`` had no effect; ``OutcomeUnknownError`` means that a
-write may have taken effect and must be read back.
+Every call counts against the platform's rate limit; a watch counts as one call while
+it waits. A call that raises ``PeerUnavailableError`` had no effect. After
+``OutcomeUnknownError`` a write may have taken effect, and the key must be read back.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class VersionedValue:
-    """A value and the store's revision of it, which only grows."""
+    """A value with the store's revision of it; revisions only increase."""
 
     key: str
     value: bytes
@@ -25,17 +25,17 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoreLease:
-    """A lease of the store; keys written under it vanish when it lapses."""
+    """A lease of the store; keys written under it are deleted when it expires."""
 
     id: str
     ttl_s: float
 
 
 class KeyValueStore(Protocol):
-    """The store as this project uses it."""
+    """The interface to the store that this project uses."""
 
     async def get(self, key: str) -> VersionedValue | None:
-        """Return the value of ``key``, or None when there is none."""
+        """Return the value of ``key``, or None if the key is absent."""
 
     async def get_many(self, prefix: str) -> list[VersionedValue]:
         """Return every value whose key begins with ``prefix``, in one call."""
@@ -50,7 +50,7 @@
     ) -> VersionedValue:
         """Write ``value`` if the key still has ``expected_revision`` (0: absent).
 
-        Raises ``ConflictError`` when it has another one.
+        Raises ``ConflictError`` if the key has another revision.
         """
 
     async def watch(
@@ -58,14 +58,14 @@
     ) -> list[VersionedValue]:
         """Wait up to ``wait_s`` for values under ``prefix`` newer than a revision.
 
-        Returns an empty list when nothing changed.
+        Returns an empty list if nothing changed.
         """
 
     async def lease_grant(self, *, ttl_s: float) -> StoreLease:
-        """Make a lease that lapses ``ttl_s`` after its last renewal."""
+        """Create a lease that expires ``ttl_s`` after its last renewal."""
 
     async def lease_renew(self, lease_id: str) -> None:
-        """Renew; raises ``RefusedError`` when the lease has lapsed already."""
+        """Renew a lease; raises ``RefusedError`` if it has already expired."""
 
     async def lease_revoke(self, lease_id: str) -> None:
-        """End a lease at once, with the keys written under it."""
+        """End a lease and delete the keys written under it."""
--- a/src/gentianwharf/infra/wire.py
+++ b/src/gentianwharf/infra/wire.py
@@ -1,7 +1,7 @@
-"""The store's and the host list's messages as they stand in HTTP bodies.
+"""Messages of the store, the host list and the backend servers in HTTP bodies.
 
-Values are URL-safe base64 in JSON. docs/design/platform.md describes the format;
-the stand-in and the adapters both read it through these models.
+Values are URL-safe base64 in JSON. docs/design/platform.md describes the format; the
+stand-in and the adapters both encode and decode it with these models.
 """
 
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class WireModel(BaseModel):
-    """Base of the messages; a newer side may add fields."""
+    """Base of the messages; unknown fields are ignored, so newer peers may add some."""
 
     model_config = ConfigDict(
         frozen=True,
@@ -26,7 +26,7 @@
 
 
 class Nothing(WireModel):
-    """A message that says nothing."""
+    """A message without fields."""
 
 
 class KeyRequest(WireModel):
@@ -71,7 +71,7 @@
 
 
 class WireValue(WireModel):
-    """One value with its revision."""
+    """A value with its revision."""
 
     key: str
     value: bytes
@@ -79,7 +79,7 @@
 
     @classmethod
     def from_value(cls, value: VersionedValue) -> Self:
-        """Make the message of a value."""
+        """Create the message that contains ``value``."""
         return cls(key=value.key, value=value.value, revision=value.revision)
 
     def to_value(self) -> VersionedValue:
@@ -94,7 +94,7 @@
 
     @classmethod
     def from_values(cls, values: list[VersionedValue]) -> Self:
-        """Make the message of values."""
+        """Create the message that contains ``values``."""
         return cls(values=tuple(WireValue.from_value(value) for value in values))
 
     def to_values(self) -> list[VersionedValue]:
@@ -129,7 +129,7 @@
 
 
 class ErrorName(StrEnum):
-    """What kind of error an answer is; in each of them nothing took effect."""
+    """Kinds of errors in answers; in each case the call had no effect."""
 
     CONFLICT = "conflict"
     REFUSED = "refused"
@@ -137,12 +137,12 @@
 
 
 class Problem(WireModel):
-    """Body of every answer that is an error."""
+    """Body of an error answer."""
 
     error: ErrorName
     message: str
 
 
 def encode(body: BaseModel) -> bytes:
-    """Return a message as it stands in a body."""
+    """Return the JSON encoding of a message."""
     return body.model_dump_json().encode()
