--- a/src/gentianwharf/infra/_faults.py
+++ b/src/gentianwharf/infra/_faults.py
@@ -1,7 +1,7 @@
-"""Faults of the store as a table, put around any implementation of it.
+"""Injection of faults into the calls of any store, according to a table.
 
-Give each host a ``FaultyStore`` of its own around one shared store: a cut that only
-one host or one failure domain sees is then a fault in those hosts' tables.
+To simulate a partition that affects only one host or one failure domain, wrap a shared
+store in one ``FaultyStore`` per host and add the fault to the tables of those hosts.
 """
 
 from collections.abc import Callable, Coroutine, Iterable
@@ -21,48 +21,49 @@
 
 Result = TypeVar("Result")
 PEER = "faulty store"
-FOREVER_S = float("inf")
+NO_END_S = float("inf")
 
 
 class FaultKind(StrEnum):
-    """What goes wrong with a call."""
+    """The effect of a fault on a call."""
 
     DOWN = "down"
-    """Refused at once: ``PeerUnavailableError``, no effect."""
+    """Raises ``PeerUnavailableError`` at once; no effect."""
     SLOW = "slow"
-    """Takes effect, and is answered, ``delay_s`` later."""
+    """Takes effect and is answered ``delay_s`` later."""
     ANSWER_LOST = "answer-lost"
-    """Takes effect at once; ``OutcomeUnknownError`` after ``delay_s``."""
+    """Takes effect at once; raises ``OutcomeUnknownError`` after ``delay_s``."""
     ANSWER_LATE = "answer-late"
-    """Takes effect at once; the answer, by then old, comes ``delay_s`` later."""
+    """Takes effect at once; the answer is delivered ``delay_s`` later, out of date."""
     EFFECT_LATE = "effect-late"
-    """``OutcomeUnknownError`` at once; takes effect ``delay_s`` later."""
+    """Raises ``OutcomeUnknownError`` at once; takes effect ``delay_s`` later."""
     SILENT_WATCH = "silent-watch"
-    """A watch that waits its time and reports nothing, whatever changed."""
+    """A watch waits for ``wait_s`` and returns no changes, even if there are some."""
     HANGS = "hangs"
-    """No effect and no answer ever: what a connection gone silent looks like."""
+    """No effect and never an answer, as on a connection that delivers no data."""
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Fault:
-    """One line of a fault table: applies to calls made from ``from_s`` to ``until_s``.
+    """An entry of a fault table; applies to calls made from ``from_s`` to ``until_s``.
 
-    ``operations`` empty means all (for ``SILENT_WATCH``, watches). ``key_prefix`` is
-    compared with the call's key or prefix; calls on leases have none. ``share`` of
-    the calls, drawn from the seeded generator, are hit.
+    An empty ``operations`` stands for all operations (with ``SILENT_WATCH``, for
+    watches). ``key_prefix`` is compared with the key or prefix of the call, which is
+    empty for calls on leases. ``share`` is the probability that such a call is
+    affected, drawn from the seeded generator rng of the store.
     """
 
     kind: FaultKind
     from_s: float = 0.0
-    until_s: float = FOREVER_S
+    until_s: float = NO_END_S
     operations: frozenset[StoreOperation] = frozenset()
     key_prefix: str = ""
     delay_s: float = 0.0
     share: float = 1.0
 
     def applies(self, operation: StoreOperation, key: str, now_s: float) -> bool:
-        """Say whether a call made now is in this line's reach."""
+        """Return whether this entry applies to a call made at ``now_s``."""
         if not self.from_s <= now_s < self.until_s:
             return False
         if self.kind is FaultKind.SILENT_WATCH and operation != StoreOperation.WATCH:
@@ -74,10 +75,10 @@
 
 @final
 class FaultyStore:
-    """A ``KeyValueStore`` that does to its calls what a table of faults says.
+    """A ``KeyValueStore`` whose calls are subject to a table of faults.
 
-    The first line that applies decides. ``faults`` is the table itself: a test may
-    change it while it runs.
+    The first entry that applies to a call and is drawn by its ``share`` takes effect.
+    ``faults`` is the table itself; tests may change it at any time.
     """
 
     def __init__(
@@ -94,11 +95,11 @@
         self.faults = list(faults)
 
     async def get(self, key: str) -> VersionedValue | None:
-        """Read one value."""
+        """Return the value of ``key``, or None if the key is absent."""
         return await self._call(StoreOperation.GET, key, lambda: self._store.get(key))
 
     async def get_many(self, prefix: str) -> list[VersionedValue]:
-        """Read a prefix."""
+        """Return every value whose key begins with ``prefix``."""
         return await self._call(
             StoreOperation.GET_MANY, prefix, lambda: self._store.get_many(prefix)
         )
@@ -111,7 +112,7 @@
         expected_revision: int,
         lease_id: str | None = None,
     ) -> VersionedValue:
-        """Write one value."""
+        """Write ``value`` if the key still has ``expected_revision`` (0: absent)."""
         return await self._call(
             StoreOperation.COMPARE_AND_SWAP,
             key,
@@ -123,8 +124,8 @@
     async def watch(
         self, prefix: str, *, after_revision: int, wait_s: float
     ) -> list[VersionedValue]:
-        """Wait for changes under a prefix."""
-        fault = self._fault(StoreOperation.WATCH, prefix)
+        """Wait up to ``wait_s`` for values under ``prefix`` newer than a revision."""
+        fault = self._find_fault(StoreOperation.WATCH, prefix)
         if fault is not None and fault.kind is FaultKind.SILENT_WATCH:
             await deferLater(self._clock, wait_s, lambda: None)
             return []
@@ -137,7 +138,7 @@
         )
 
     async def lease_grant(self, *, ttl_s: float) -> StoreLease:
-        """Make a lease."""
+        """Create a lease."""
         return await self._call(
             StoreOperation.LEASE_GRANT,
             "",
@@ -162,9 +163,9 @@
         key: str,
         call: Callable[[], Coroutine[Any, Any, Result]],
     ) -> Result:
-        return await self._with_fault(self._fault(operation, key), operation, call)
+        return await self._with_fault(self._find_fault(operation, key), operation, call)
 
-    def _fault(self, operation: StoreOperation, key: str) -> Fault | None:
+    def _find_fault(self, operation: StoreOperation, key: str) -> Fault | None:
         now_s = self._clock.seconds()
         for fault in self.faults:
             if fault.applies(operation, key, now_s) and (
@@ -191,30 +192,30 @@
             case FaultKind.HANGS | FaultKind.SILENT_WATCH:
                 await Deferred[None]()
             case FaultKind.SLOW:
-                await self._wait(fault.delay_s)
+                await self._delay(fault.delay_s)
             case FaultKind.ANSWER_LATE:
                 answer = await call()
-                await self._wait(fault.delay_s)
+                await self._delay(fault.delay_s)
                 return answer
             case FaultKind.ANSWER_LOST:
                 await call()
-                await self._wait(fault.delay_s)
-                raise _answer_lost(operation)
+                await self._delay(fault.delay_s)
+                raise _answer_lost_error(operation)
             case FaultKind.EFFECT_LATE:
-                self._clock.callLater(fault.delay_s, _run_unheard, call)
-                raise _answer_lost(operation)
+                self._clock.callLater(fault.delay_s, _run_detached, call)
+                raise _answer_lost_error(operation)
         return await call()
 
-    async def _wait(self, delay_s: float) -> None:
+    async def _delay(self, delay_s: float) -> None:
         await deferLater(self._clock, delay_s, lambda: None)
 
 
-def _run_unheard(call: Callable[[], Coroutine[Any, Any, Any]]) -> None:
-    # The caller has long given up, so a conflict has nobody left to hear of it.
+def _run_detached(call: Callable[[], Coroutine[Any, Any, Any]]) -> None:
+    # The caller already got an error, so the result and any error are discarded.
     Deferred.fromCoroutine(call()).addErrback(lambda _: None)
 
 
-def _answer_lost(operation: StoreOperation) -> OutcomeUnknownError:
+def _answer_lost_error(operation: StoreOperation) -> OutcomeUnknownError:
     effect = "may have taken effect: read it back" if operation in WRITES else "is lost"
     return OutcomeUnknownError(
         f"no answer came; the call {effect}", step=operation.value, peer=PEER
--- a/src/gentianwharf/infra/_http_store.py
+++ b/src/gentianwharf/infra/_http_store.py
@@ -106,7 +106,7 @@
         await self._call("lease-renew", LeaseRequest(lease_id=lease_id), _NOTHING)
 
     async def lease_revoke(self, lease_id: str) -> None:
-        """End a lease and delete the keys written under it."""
+        """End a lease at once and delete the keys written under it."""
         await self._call("lease-revoke", LeaseRequest(lease_id=lease_id), _NOTHING)
 
     async def _call(
--- a/src/gentianwharf/infra/_memory.py
+++ b/src/gentianwharf/infra/_memory.py
@@ -1,7 +1,7 @@
-"""A store and a host list in memory, on the clock that they are given.
+"""A store and a host list in memory, which use the clock that is passed to them.
 
-They keep the contract of ``KeyValueStore`` and ``HostList`` exactly: the stand-in
-serves them over HTTP, and tests use them as they are.
+They fulfil the contracts of ``KeyValueStore`` and ``HostList`` exactly: the stand-in
+serves them over HTTP, and tests use them directly.
 """
 
 from collections import Counter
@@ -22,7 +22,7 @@
 
 
 class StoreOperation(StrEnum):
-    """The calls that the platform counts, each against its rate."""
+    """The calls that count against the platform's rate limits."""
 
     GET = "get"
     GET_MANY = "get_many"
@@ -46,23 +46,23 @@
 @dataclass(kw_only=True, slots=True)
 class _Lease:
     ttl_s: float
-    lapses_at_s: float
+    expires_at_s: float
 
 
 @dataclass(kw_only=True, slots=True)
 class _Waiter:
     prefix: str
     after_revision: int
-    wakes: Deferred[None]
+    wakeup: Deferred[None]
 
 
 @final
 class MemoryStore:
     """A ``KeyValueStore`` in memory.
 
-    Revisions grow over the whole store, so a key that was deleted and written again
-    never gets an earlier one. ``calls`` counts by operation; a watch counts once,
-    however long it waits.
+    Revisions increase over the whole store, so that a key that is deleted and written
+    again never gets an earlier revision. ``calls`` counts the calls by operation; a
+    watch counts once, however long it waits.
 
     >>> from twisted.internet.task import Clock
     >>> from twisted.internet.defer import Deferred
@@ -80,24 +80,24 @@
         self._leases: dict[str, _Lease] = {}
         self._waiters: list[_Waiter] = []
         self._revision = ABSENT_REVISION
-        self._leases_made = 0
+        self._lease_count = 0
         self.calls: Counter[StoreOperation] = Counter()
 
     def reads(self) -> int:
-        """Return how many reads were counted, watches among them."""
+        """Return the number of reads, including watches."""
         return sum(self.calls[operation] for operation in READS)
 
     def writes(self) -> int:
-        """Return how many writes were counted, calls on leases among them."""
+        """Return the number of writes, including calls on leases."""
         return sum(self.calls[operation] for operation in WRITES)
 
     @property
     def waiting_watches(self) -> int:
-        """How many watches wait at this moment."""
+        """The number of watches that are waiting."""
         return len(self._waiters)
 
     async def get(self, key: str) -> VersionedValue | None:
-        """Return the value of ``key``, or None when there is none."""
+        """Return the value of ``key``, or None if the key is absent."""
         self._count(StoreOperation.GET)
         entry = self._entries.get(key)
         return None if entry is None else entry.value
@@ -105,7 +105,7 @@
     async def get_many(self, prefix: str) -> list[VersionedValue]:
         """Return every value whose key begins with ``prefix``, sorted by key."""
         self._count(StoreOperation.GET_MANY)
-        return self._newer(prefix, ABSENT_REVISION)
+        return self._newer_values(prefix, ABSENT_REVISION)
 
     async def compare_and_swap(
         self,
@@ -125,7 +125,7 @@
                 peer=PEER,
             )
         if lease_id is not None:
-            self._lease(lease_id, step="compare_and_swap")
+            self._find_lease(lease_id, step="compare_and_swap")
         entry = self._entries.get(key)
         revision = ABSENT_REVISION if entry is None else entry.value.revision
         if revision != expected_revision:
@@ -146,24 +146,26 @@
     ) -> list[VersionedValue]:
         """Wait up to ``wait_s`` for values under ``prefix`` newer than a revision."""
         self._count(StoreOperation.WATCH)
-        found = self._newer(prefix, after_revision)
+        found = self._newer_values(prefix, after_revision)
         if found or wait_s <= 0:
             return found
-        waiter = _Waiter(prefix=prefix, after_revision=after_revision, wakes=Deferred())
+        waiter = _Waiter(
+            prefix=prefix, after_revision=after_revision, wakeup=Deferred()
+        )
         self._waiters.append(waiter)
-        timer = self._clock.callLater(wait_s, waiter.wakes.callback, None)
+        timer = self._clock.callLater(wait_s, waiter.wakeup.callback, None)
         try:
-            await waiter.wakes
+            await waiter.wakeup
         finally:
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
             if timer.active():
                 timer.cancel()
-        self._drop_lapsed()
-        return self._newer(prefix, after_revision)
+        self._remove_expired()
+        return self._newer_values(prefix, after_revision)
 
     async def lease_grant(self, *, ttl_s: float) -> StoreLease:
-        """Make a lease that lapses ``ttl_s`` after its last renewal."""
+        """Create a lease that expires ``ttl_s`` after its last renewal."""
         self._count(StoreOperation.LEASE_GRANT)
         if ttl_s <= 0:
             raise RefusedError(
@@ -171,32 +173,32 @@
                 step="lease_grant",
                 peer=PEER,
             )
-        self._leases_made += 1
-        lease_id = f"lease-{self._leases_made}"
+        self._lease_count += 1
+        lease_id = f"lease-{self._lease_count}"
         self._leases[lease_id] = _Lease(
-            ttl_s=ttl_s, lapses_at_s=self._clock.seconds() + ttl_s
+            ttl_s=ttl_s, expires_at_s=self._clock.seconds() + ttl_s
         )
         return StoreLease(id=lease_id, ttl_s=ttl_s)
 
     async def lease_renew(self, lease_id: str) -> None:
-        """Renew; raises ``RefusedError`` when the lease has lapsed already."""
+        """Renew a lease; raises ``RefusedError`` if it has already expired."""
         self._count(StoreOperation.LEASE_RENEW)
-        lease = self._lease(lease_id, step="lease_renew")
-        lease.lapses_at_s = self._clock.seconds() + lease.ttl_s
+        lease = self._find_lease(lease_id, step="lease_renew")
+        lease.expires_at_s = self._clock.seconds() + lease.ttl_s
 
     async def lease_revoke(self, lease_id: str) -> None:
-        """End a lease at once, with the keys written under it.
+        """End a lease at once and delete the keys written under it.
 
-        One that has lapsed already is gone, so that revoking is idempotent.
+        Revoking a lease that has expired has no effect, so the call is idempotent.
         """
         self._count(StoreOperation.LEASE_REVOKE)
         self._end_lease(lease_id)
 
     def _count(self, operation: StoreOperation) -> None:
         self.calls[operation] += 1
-        self._drop_lapsed()
+        self._remove_expired()
 
-    def _newer(self, prefix: str, after_revision: int) -> list[VersionedValue]:
+    def _newer_values(self, prefix: str, after_revision: int) -> list[VersionedValue]:
         return [
             entry.value
             for key, entry in sorted(self._entries.items())
@@ -204,15 +206,16 @@
         ]
 
     def _wake(self, key: str) -> None:
-        woken = [one for one in self._waiters if key.startswith(one.prefix)]
-        for waiter in woken:
-            # Taken out first: a woken caller may write and wake others at once.
+        matching = [waiter for waiter in self._waiters if key.startswith(waiter.prefix)]
+        for waiter in matching:
+            # All are removed first, since a caller may write from its callback and so
+            # wake other waiters.
             self._waiters.remove(waiter)
-        for waiter in woken:
-            if not waiter.wakes.called:
-                waiter.wakes.callback(None)
+        for waiter in matching:
+            if not waiter.wakeup.called:
+                waiter.wakeup.callback(None)
 
-    def _lease(self, lease_id: str, *, step: str) -> _Lease:
+    def _find_lease(self, lease_id: str, *, step: str) -> _Lease:
         lease = self._leases.get(lease_id)
         if lease is None:
             raise RefusedError(
@@ -222,28 +225,28 @@
             )
         return lease
 
-    def _drop_lapsed(self) -> None:
+    def _remove_expired(self) -> None:
         now_s = self._clock.seconds()
-        lapsed = [
+        expired = [
             lease_id
             for lease_id, lease in self._leases.items()
-            if lease.lapses_at_s <= now_s
+            if lease.expires_at_s <= now_s
         ]
-        for lease_id in lapsed:
+        for lease_id in expired:
             self._end_lease(lease_id)
 
     def _end_lease(self, lease_id: str) -> None:
         self._leases.pop(lease_id, None)
-        gone = [
+        deleted = [
             key for key, entry in self._entries.items() if entry.lease_id == lease_id
         ]
-        for key in gone:
+        for key in deleted:
             del self._entries[key]
 
 
 @final
 class MemoryHostList:
-    """A ``HostList`` in memory that shows the hosts as they were ``lag_s`` ago."""
+    """A ``HostList`` in memory that returns the hosts as they were ``lag_s`` ago."""
 
     def __init__(
         self,
@@ -255,28 +258,28 @@
         self._clock = clock
         self._lag_s = lag_s
         self._current = {host.id: host for host in hosts}
-        self._shown: list[tuple[float, list[ListedHost]]] = [
+        self._versions: list[tuple[float, list[ListedHost]]] = [
             (float("-inf"), list(self._current.values()))
         ]
         self.calls = 0
 
     def put(self, host: ListedHost) -> None:
-        """Add a host or change its line."""
+        """Add a host or replace its entry."""
         self._current[host.id] = host
         self._record()
 
     def remove(self, host_id: str) -> None:
-        """Take a host off the list; one that isn't on it stays off."""
+        """Remove a host from the list; does nothing if it isn't listed."""
         self._current.pop(host_id, None)
         self._record()
 
     async def read(self) -> list[ListedHost]:
-        """Return the hosts that the platform believed to be live ``lag_s`` ago."""
+        """Return the hosts that were listed ``lag_s`` ago."""
         self.calls += 1
-        horizon_s = self._clock.seconds() - self._lag_s
-        while len(self._shown) > 1 and self._shown[1][0] <= horizon_s:
-            del self._shown[0]
-        return list(self._shown[0][1])
+        shown_at_s = self._clock.seconds() - self._lag_s
+        while len(self._versions) > 1 and self._versions[1][0] <= shown_at_s:
+            del self._versions[0]
+        return list(self._versions[0][1])
 
     def _record(self) -> None:
-        self._shown.append((self._clock.seconds(), list(self._current.values())))
+        self._versions.append((self._clock.seconds(), list(self._current.values())))
--- a/src/gentianwharf/infra/_store.py
+++ b/src/gentianwharf/infra/_store.py
@@ -68,4 +68,4 @@
         """Renew a lease; raises ``RefusedError`` if it has already expired."""
 
     async def lease_revoke(self, lease_id: str) -> None:
-        """End a lease and delete the keys written under it."""
+        """End a lease at once and delete the keys written under it."""
