--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Options that let another platform's adapters run the contract tests."""
+"""Options to run the contract tests with the adapters of another platform."""
 
 from importlib import import_module
 from typing import Any
@@ -23,18 +23,18 @@
 
 
 def pytest_generate_tests(metafunc: pytest.Metafunc) -> None:
-    """Hand a contract test the class of its bench: each of ours, or the named one."""
+    """Parametrize contract tests with the bench named by the option, or all of ours."""
     for name in BENCHES:
         if f"{name}_class" not in metafunc.fixturenames:
             continue
-        named = metafunc.config.getoption(name)
-        # A contract's module lists the benches of our own implementations.
-        ours: list[type] = getattr(metafunc.module, f"{name.upper()}ES")
-        classes = [_load(named)] if named else ours
-        metafunc.parametrize(f"{name}_class", classes, ids=lambda one: one.__name__)
+        option = metafunc.config.getoption(name)
+        # The module of a contract lists the benches of our own implementations.
+        own_classes: list[type] = getattr(metafunc.module, f"{name.upper()}ES")
+        classes = [_load_class(option)] if option else own_classes
+        metafunc.parametrize(f"{name}_class", classes, ids=lambda cls: cls.__name__)
 
 
-def _load(name: str) -> Any:
+def _load_class(name: str) -> Any:
     module, colon, class_name = name.partition(":")
     if not colon:
         raise pytest.UsageError(f"expected MODULE:CLASS, got {name!r}")
