--- a/src/gentianwharf/placement/_rebalance.py
+++ b/src/gentianwharf/placement/_rebalance.py
@@ -209,10 +209,10 @@
         return moves
 
     def _is_balanced(self) -> bool:
-        mean, least, most = self._mean, self._order[0][0], self._order[-1][0]
+        mean, lowest, highest = self._mean, self._order[0][0], self._order[-1][0]
         above = max(mean * (START_ABOVE - 1), MIN_DEVIATION)
         below = max(mean * (1 - START_BELOW), MIN_DEVIATION)
-        return most <= mean + above and least >= mean - below
+        return highest <= mean + above and lowest >= mean - below
 
     def _best_move(self) -> PlannedMove | None:
         target = self._by_id[self._order[0][1]]
