--- a/src/gentianwharf/entryhost/_seen_load.py
+++ b/src/gentianwharf/entryhost/_load_accumulator.py
@@ -1,32 +1,32 @@
-"""What a host sees of keys and servers, added up until its next report."""
+"""Requests for keys and load of servers that a host observes between two reports."""
 
 from typing import final
 
 from gentianwharf.relay import ServerLoad
 from gentianwharf.topology import BackendServer
 
-from ._messages import LoadReport
+from ._peer_messages import LoadReport
 
 Requests = dict[str, dict[int, int]]
-"""Counts by service and shard."""
+"""Number of requests by service and shard."""
 
 Loads = dict[str, dict[str, LoadReport]]
-"""What answers told, by service and server."""
+"""Load reported in answers, by service and server."""
 
 
 @final
-class SeenLoad:
-    """Counts requests of shards, and adds up what servers say of their load."""
+class LoadAccumulator:
+    """Counts requests by shard, and adds up the load that servers report."""
 
     def __init__(self) -> None:
         self._requests: Requests = {}
         self._loads: Loads = {}
 
-    def take(self) -> tuple[Requests, Loads]:
-        """Return what was seen since the last time."""
-        seen = self._requests, self._loads
+    def collect(self) -> tuple[Requests, Loads]:
+        """Return the observations since the last call."""
+        observed = self._requests, self._loads
         self._requests, self._loads = {}, {}
-        return seen
+        return observed
 
     def note_request(self, service: str, shard: int) -> None:
         """Count a request for the next report."""
@@ -36,26 +36,26 @@
     def note_load(
         self, server: BackendServer, load: ServerLoad, elapsed_s: float | None
     ) -> None:
-        """Add what a server said of its load to the next report.
+        """Add the load that a server reported to the next report.
 
         ``elapsed_s`` is how long the answer took, None for a refusal.
         """
-        row = self._row(server)
-        row.running += load.running
-        row.waiting += load.waiting
-        row.answers += 1
+        report = self._load_report(server)
+        report.running += load.running
+        report.waiting += load.waiting
+        report.answers += 1
         if elapsed_s is None:
             return
-        row.ran += 1
+        report.executed += 1
         if not load.waiting:
-            row.quick += 1
-            row.quick_s += elapsed_s
+            report.unqueued += 1
+            report.unqueued_s += elapsed_s
 
     def note_unanswered(self, server: BackendServer) -> None:
-        """Add to the next report that a request was given up after its whole time."""
-        self._row(server).unanswered += 1
+        """Add a request that timed out without an answer to the next report."""
+        self._load_report(server).unanswered += 1
 
-    def _row(self, server: BackendServer) -> LoadReport:
+    def _load_report(self, server: BackendServer) -> LoadReport:
         loads = self._loads.setdefault(server.service, {})
         return loads.setdefault(
             server.id, LoadReport(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
--- /dev/null
+++ b/src/gentianwharf/entryhost/_peer_messages.py
@@ -0,0 +1,149 @@
+"""Messages between hosts."""
+
+import msgspec
+
+NO_REVISION = 0
+"""The revision of a host that has no copy of the store, or an incomplete one."""
+
+
+class LoadReport(msgspec.Struct, array_like=True):
+    """Sums of the load that one server reported in its answers."""
+
+    running: float
+    waiting: float
+    answers: float
+    executed: float
+    unqueued: float
+    unqueued_s: float
+    unanswered: float
+
+
+class Report(msgspec.Struct, array_like=True, tag="report"):
+    """The observations of one host since its last report.
+
+    ``requests`` counts by service and shard, ``loads`` is by service and server.
+    ``missing_after`` is set on a host that cannot fetch changes: the revision after
+    which they are missing.
+    """
+
+    host: str
+    address: str
+    requests: dict[str, dict[int, int]]
+    loads: dict[str, dict[str, LoadReport]]
+    missing_after: int | None = None
+
+
+class GrantNotice(msgspec.Struct, array_like=True):
+    """A span that has just been granted to its holder."""
+
+    service: str
+    first: int
+    last: int
+    token: int
+
+
+class EncodedChange(msgspec.Struct, array_like=True):
+    """An item as it was written, or without a value if it was removed.
+
+    A large value is compressed against the item's value at ``base_revision``, or
+    without a base if that is 0. Most changes of a table affect few of its spans, and a
+    table of 15 kB for each of 86 hosts takes two seconds on a link of 5 Mbit/s.
+    """
+
+    key: str
+    revision: int
+    value: bytes | None
+    lease_id: int
+    base_revision: int | None
+
+
+class HostIdentity(msgspec.Struct, array_like=True):
+    """A process of a host and the address on which it receives reports.
+
+    It is stored as the leader's item. ``incarnation`` is a random number drawn at each
+    start: a restarted host has lost all state.
+    """
+
+    host: str
+    address: str
+    incarnation: int = 0
+
+
+UPDATE_FORMAT = "news-3"
+"""Changes whenever the encoding of ``LeaderUpdate`` changes. Hosts of another release
+then fail to decode it and watch the store, instead of misreading it."""
+
+
+class LeaderUpdate(msgspec.Struct, array_like=True, tag=UPDATE_FORMAT):
+    """An update from the leader: number of hosts, finished moves, changes of the store.
+
+    ``changes`` are all changes between two revisions, and there were no others until
+    ``age_s`` ago, when the store last answered the leader; None if that is uncertain.
+    ``term`` is the revision at which the leader's item was written: a host that cannot
+    read the store follows the leader with the highest term.
+    """
+
+    leader: HostIdentity
+    term: int
+    host_count: int
+    granted: list[GrantNotice]
+    age_s: float | None
+    after_revision: int
+    revision: int
+    changes: list[EncodedChange]
+
+
+class StoreSnapshot(msgspec.Struct, array_like=True, tag="everything"):
+    """All items of the store at a revision, sent by the leader of a term.
+
+    It is sent to a host without a copy of the store, or if the changes that the host
+    lacks are unknown.
+    """
+
+    leader: HostIdentity
+    term: int
+    revision: int
+    items: list[EncodedChange]
+
+
+class HostAddress(msgspec.Struct, array_like=True, frozen=True):
+    """A host and its address for other hosts; a list of them is kept in the store."""
+
+    host: str
+    address: str
+
+
+class RemainingGrantsRequest(msgspec.Struct, array_like=True, tag="asked-holds"):
+    """Request from a new leader to the previous one for its remaining grants.
+
+    ``revision`` is the new leader's term; ``address`` is where it receives the
+    response.
+    """
+
+    address: str
+    incarnation: int
+    revision: int
+
+
+class RemainingGrant(msgspec.Struct, array_like=True):
+    """How long a server process may still hold a grant."""
+
+    server_id: str
+    born_ms: int
+    address: str
+    held_s: float
+
+
+class RemainingGrantsResponse(msgspec.Struct, array_like=True, tag="told-holds"):
+    """The remaining grants of an incarnation, which makes no more grants.
+
+    ``ended_s`` is the minimum time since the end of that process if another one has
+    replaced it; None if the process itself responds. ``revision`` is copied from the
+    request.
+    """
+
+    incarnation: int
+    revision: int
+    ended_s: float | None
+    others_s: float = 0.0
+    held: list[RemainingGrant] = []
--- a/src/gentianwharf/http_agent.py
+++ b/src/gentianwharf/http_agent.py
@@ -1,4 +1,4 @@
-"""An HTTP client that connects to IP numbers only and starts no thread."""
+"""HTTP client that connects to IP addresses only and starts no thread."""
 
 from collections.abc import Callable
 from ipaddress import IPv6Address, ip_address
@@ -16,26 +16,31 @@
 __all__ = ["BytesBody", "ip_agent"]
 
 Reactor = Any
-"""An ``IReactorTCP`` and ``IReactorTime``: zope interfaces can't be intersected."""
+"""An ``IReactorTCP`` and ``IReactorTime``; zope interfaces have no intersection
+type."""
 
-Wrap = Callable[[IStreamClientEndpoint], Any]
+EndpointWrapper = Callable[[IStreamClientEndpoint], Any]
 
 
 @final
 @implementer(IAgentEndpointFactory)
 class _IpEndpoints:
-    """Connects to IP numbers only.
+    """Creates endpoints for IP addresses only.
 
-    Twisted looks names up in a thread pool, and IP numbers too; this project runs one
-    thread, and its settings name addresses by number.
+    Twisted resolves host names in a thread pool, and passes IP addresses through it
+    too. This project is single-threaded, and its settings contain IP addresses only.
     """
 
     def __init__(
-        self, *, reactor: Reactor, connect_timeout_s: float, wrap: Wrap
+        self,
+        *,
+        reactor: Reactor,
+        connect_timeout_s: float,
+        wrap_endpoint: EndpointWrapper,
     ) -> None:
         self._reactor = reactor
         self._connect_timeout_s = connect_timeout_s
-        self._wrap = wrap
+        self._wrap_endpoint = wrap_endpoint
 
     def endpointForURI(self, uri: URI) -> IStreamClientEndpoint:  # noqa: N802
         """Return the endpoint for an address."""
@@ -51,7 +56,7 @@
         version_6 = isinstance(address, IPv6Address)
         kind = TCP6ClientEndpoint if version_6 else TCP4ClientEndpoint
         endpoint = kind(self._reactor, host, uri.port, timeout=self._connect_timeout_s)
-        return self._wrap(endpoint)
+        return self._wrap_endpoint(endpoint)
 
 
 def ip_agent(
@@ -59,14 +64,16 @@
     reactor: Reactor,
     pool: HTTPConnectionPool,
     connect_timeout_s: float,
-    wrap: Wrap = lambda endpoint: endpoint,
+    wrap_endpoint: EndpointWrapper = lambda endpoint: endpoint,
 ) -> IAgent:
-    """Return an HTTP agent that connects to IP numbers only and starts no thread.
+    """Return an HTTP agent that connects to IP addresses only and starts no thread.
 
-    ``wrap`` may change how an endpoint connects.
+    ``wrap_endpoint`` may replace each endpoint by one that connects differently.
     """
     endpoints = _IpEndpoints(
-        reactor=reactor, connect_timeout_s=connect_timeout_s, wrap=wrap
+        reactor=reactor,
+        connect_timeout_s=connect_timeout_s,
+        wrap_endpoint=wrap_endpoint,
     )
     return cast(IAgent, Agent.usingEndpointFactory(reactor, endpoints, pool))
 
@@ -74,9 +81,9 @@
 @final
 @implementer(IBodyProducer)
 class BytesBody:
-    """Writes a small body in one go.
+    """Writes a small request body at once.
 
-    treq's own producer takes turns on the global reactor, not on the one given here.
+    treq's own producer is scheduled on the global reactor instead of the given one.
     """
 
     def __init__(self, *, body: bytes) -> None:
@@ -89,10 +96,10 @@
         return succeed(None)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Nothing is left to pause."""
+        """Do nothing: the body has already been written."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Nothing is left to resume."""
+        """Do nothing: the body has already been written."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Nothing is left to stop."""
+        """Do nothing: the body has already been written."""
--- a/src/gentianwharf/platform/__init__.py
+++ b/src/gentianwharf/platform/__init__.py
@@ -1,4 +1,7 @@
-"""The users' platform: its names, formats and calls, decoded once into ours."""
+"""Adapters for the users' platform: formats, headers and clients.
+
+Data of the platform is decoded here into the router's own types.
+"""
 
 from ._config import (
     CONFIG_KEY,
@@ -7,10 +10,10 @@
     Configuration,
     ConfiguredService,
     RequestKind,
-    Unread,
+    UnreadablePart,
     decode_configuration,
 )
-from ._dialect import PlatformDialect
+from ._header_codec import PlatformHeaderCodec
 from ._orders import ServerOrders
 from ._servers import (
     SERVERS_PREFIX,
@@ -38,14 +41,14 @@
     "Configuration",
     "ConfiguredService",
     "HostSettings",
-    "PlatformDialect",
+    "PlatformHeaderCodec",
     "PlatformStore",
     "RequestKind",
     "ServerEntry",
     "ServerOrders",
     "ServerState",
     "StoreLimits",
-    "Unread",
+    "UnreadablePart",
     "decode_configuration",
     "decode_host_settings",
     "decode_server_entry",
--- a/tests/test_entryhost_rules.py
+++ b/tests/test_entryhost_rules.py
@@ -1,4 +1,4 @@
-"""The operators' rules on one host: what is in force, what is refused, what shows."""
+"""The operators' rules on one host: which are in force, refused or reported."""
 
 import json
 from typing import Any
@@ -8,8 +8,8 @@
 from twisted.internet.task import Clock
 
 from gentianwharf.entryhost import EntryHost
+from gentianwharf.entryhost._answer_log import AnswerLog
 from gentianwharf.entryhost._metrics import HostMetrics
-from gentianwharf.entryhost._observer import AnswerLog
 from gentianwharf.entryhost._rules import RulesInForce
 from gentianwharf.platform import CONFIG_KEY, Configuration, decode_host_settings
 from gentianwharf.relay import Problem, RunStatus
@@ -22,8 +22,8 @@
     return Item(key=CONFIG_KEY, value=value, revision=revision, lease_id=0)
 
 
-MOST_VALUE_BYTES = 1_048_576
-"""What the users' store takes for one value: the only bound on a configuration."""
+MAX_VALUE_BYTES = 1_048_576
+"""Maximum size of a value in the users' store, the only limit on a configuration."""
 
 
 def many_routes(count: int) -> bytes:
@@ -35,17 +35,17 @@
 
 
 @pytest.mark.parametrize("count", [500, 501, 819, 4_800])
-def test_as_many_rules_as_the_store_takes_are_in_force(count: int) -> None:
-    """Callers on rules that operators have just added get 404, and go away for good.
-
-    Operators add 400 rules, and the store acknowledges the change. Every host refuses
-    it: "Tuple should have at most 500 items after validation, not 819", on twelve hosts
-    at once, and each later version too. They serve by older rules until they restart;
-    after that they have no rules at all, and refuse everything. The bound was meant for
-    the check of a change that an operator asks for, where it can still be refused.
+def test_as_many_rules_as_the_store_accepts_are_in_force(count: int) -> None:
+    """Guards against a limit on the number of rules that the store does not have.
+
+    Operators added 400 rules, and the store acknowledged the change. All twelve hosts
+    refused it and all later versions: "Tuple should have at most 500 items after
+    validation, not 819". Callers of the new rules received 404, and restarted hosts had
+    no rules at all. The limit was meant for the check of a change, where it can be
+    refused.
     """
     value = many_routes(count)
-    assert len(value) <= MOST_VALUE_BYTES
+    assert len(value) <= MAX_VALUE_BYTES
     rules = RulesInForce(now_s=Clock().seconds)
     rules.note_item(item(configuration(version="r8")))
     rules.note_item(item(value, revision=2))
@@ -55,11 +55,11 @@
     assert match.rule.name == f"r-{count - 1}"
 
 
-def test_refused_configuration_shows_until_another_one_is_taken() -> None:
-    """A host refuses the newest rules and goes on with older ones.
+def test_refused_configuration_is_reported_until_another_is_applied() -> None:
+    """Guards against a host that serves by old rules without reporting it.
 
-    Its metrics were those of a host that has not heard of any change: nothing told the
-    operators, for a minute, that their rules were not in force.
+    Its metrics were those of a host that has not received a change, and for a minute
+    operators could not see that their rules were not in force.
     """
     clock = Clock()
     rules = RulesInForce(now_s=clock.seconds)
@@ -76,27 +76,28 @@
     assert (rules.version, rules.refused_s()) == (8, 0.0)
 
 
-def test_fault_in_putting_rules_in_force_shows(
+def test_error_while_applying_rules_is_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A host stumbles over rules that it could read, and looks as if it had them."""
+    """Guards against a host that reports rules as in force after an error."""
     clock = Clock()
     rules = RulesInForce(now_s=clock.seconds)
 
-    def stumble(configuration: Configuration) -> None:
+    def fail_to_apply(configuration: Configuration) -> None:
         raise KeyError("seats")
 
-    monkeypatch.setattr(rules, "on_change", stumble)
+    monkeypatch.setattr(rules, "on_change", fail_to_apply)
     with pytest.raises(KeyError):
         rules.note_item(item(configuration()))
     clock.advance(2.0)
     assert rules.refused_s() == 2.0
 
 
-def test_request_that_no_rule_matches_names_what_was_asked_and_by_which_rules() -> None:
-    """A caller complains of a 404, and its line says neither path nor version.
+def test_refusal_without_a_matching_rule_logs_request_and_version() -> None:
+    """Guards against a 404 whose log line has neither the path nor the version.
 
-    A wrong rule, a rule that is not in force yet and a wrong address look the same.
+    A wrong rule, a rule that is not in force yet and a wrong address look the same
+    then.
     """
     observer = AnswerLog(
         metrics=HostMetrics(), rules_version=lambda: 8, view_age_s=lambda: 1.5
@@ -115,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ("odd", "services", "unread"),
+    ("unreadable", "services", "unread"),
     [
         pytest.param(route(timeout="soon"), {}, 1, id="time"),
         pytest.param(route(timeout="9" * 400 + "s"), {}, 1, id="time-without-end"),
@@ -127,15 +128,15 @@
         pytest.param(route(service="odd"), {"odd": {"sharded": 7}}, 2, id="service"),
     ],
 )
-def test_rule_that_can_t_be_read_holds_back_no_other(
-    odd: dict[str, Any], services: dict[str, Any], unread: int
+def test_unreadable_rule_does_not_block_other_rules(
+    unreadable: dict[str, Any], services: dict[str, Any], unread: int
 ) -> None:
-    """Callers of every new rule get 404 because one other rule can't be read.
+    """Guards against one unreadable rule that keeps all other rules from being used.
 
-    A host of an older release meets a rule with something that it doesn't know. It
-    refuses the whole version, serves by the one before, and by none after a restart.
-    Requests of the one rule must not fall through to a wider one, to a service that
-    they aren't meant for, nor be told for good that they are wrong.
+    A host of an older release receives a rule with an unknown field. It refused the
+    whole version and kept the former one, and had no rules after a restart. Requests
+    that match the rule must neither fall through to a wider rule, and so to another
+    service, nor be refused permanently.
     """
     usual = json.loads(configuration())["services"]
     value = configuration(
@@ -143,7 +144,7 @@
         routes={
             "wide": route(prefix="/", service="seats"),
             "new": route(prefix="/new/", service="seats"),
-            "odd": odd | {"prefix": "/odd/"},
+            "odd": unreadable | {"prefix": "/odd/"},
         },
         services=usual | services,
     )
@@ -152,7 +153,7 @@
     with logbook.TestHandler() as handler:
         rules.note_item(item(value, revision=2))
     assert (rules.version, rules.unread()) == (8, unread)
-    assert any("routes.odd" in (one.message or "") for one in handler.records)
+    assert any("routes.odd" in (record.message or "") for record in handler.records)
     match = rules.match(facts("/new/1"))
     assert match is not None
     assert match.rule.name == "new"
@@ -161,16 +162,16 @@
     problem = caught.value
     assert (problem.status, problem.run) == (503, RunStatus.NOT_RUN)
     assert problem.retry_after_s is not None
-    mended = configuration(version="r9", routes={"odd": route(prefix="/odd/")})
-    rules.note_item(item(mended, revision=3))
+    corrected = configuration(version="r9", routes={"odd": route(prefix="/odd/")})
+    rules.note_item(item(corrected, revision=3))
     assert rules.unread() == 0
     match = rules.match(facts("/odd/1"))
     assert match is not None
     assert match.rule.name == "odd"
 
 
-def test_limits_that_can_t_be_read_hold_back_no_rule() -> None:
-    """A limit on callers' heads, in a form that is new, keeps new rules from a host."""
+def test_unreadable_limits_do_not_block_rules() -> None:
+    """Guards against limits in an unknown form that keep new rules from being used."""
     rules = RulesInForce(now_s=Clock().seconds)
     rules.note_item(item(configuration(version="r7", limits={})))
     assert (rules.version, rules.unread()) == (7, 1)
@@ -178,24 +179,24 @@
     assert rules.configuration.limits is None
 
 
-def test_limits_that_can_t_be_read_leave_those_in_force() -> None:
-    """Callers of a busy host are cut off while its operators look for a spelling."""
+def test_unreadable_limits_leave_the_current_ones_in_force() -> None:
+    """Guards against cutting off callers while operators correct a misspelled limit."""
     clock: Any = Clock()
     host = EntryHost(
         settings=decode_host_settings(SETTINGS, peer="test"), reactor=clock
     )
-    host._control.rules.note_item(item(configuration(version="r7")))
+    host._coordinator.rules.note_item(item(configuration(version="r7")))
     limits = host._site.limits
     assert limits.idle_timeout_s == 15.0
     unread = item(configuration(version="r8", limits={}), revision=2)
-    host._control.rules.note_item(unread)
-    assert host._control.rules.version == 8
+    host._coordinator.rules.note_item(unread)
+    assert host._coordinator.rules.version == 8
     assert host._site.limits is limits
 
 
 @pytest.mark.parametrize("warm_up", ["1m", 3, None])
-def test_warm_up_that_can_t_be_read_leaves_its_service_in_force(warm_up: Any) -> None:
-    """All requests to a service are refused for a time that only tunes its moves."""
+def test_unreadable_warm_up_leaves_its_service_in_force(warm_up: Any) -> None:
+    """Guards against refusing a service for an invalid time that is only for moves."""
     services = json.loads(configuration())["services"]
     services["calendar"]["warm-up"] = warm_up
     rules = RulesInForce(now_s=Clock().seconds)
@@ -204,8 +205,11 @@
     assert rules.match(facts("/visits/1")) is not None
 
 
-def test_rule_without_a_place_is_refused_with_its_version() -> None:
-    """Which requests it is for can't be told: any could be sent to a wrong service."""
+def test_rule_without_a_prefix_is_refused_with_its_version() -> None:
+    """Guards against requests sent to a wrong service.
+
+    Without a prefix it is unknown which requests the rule is for.
+    """
     rules = RulesInForce(now_s=Clock().seconds)
     rules.note_item(item(configuration(version="r7")))
     routes = {"odd": route(prefix=None), "new": route(prefix="/new/")}
