--- a/src/gentianwharf/spread/__init__.py
+++ b/src/gentianwharf/spread/__init__.py
@@ -3,13 +3,13 @@
 from ._frames import Channel
 from ._links import Link, LinkStats
 from ._mesh import MeshStats, PeerChannel, PeerMesh
-from ._queries import MOST_ANSWER_BYTES, PeerQueries
+from ._queries import MAX_ANSWER_BYTES, PeerQueries
 from ._state import SpreadCounts, SpreadState
 from ._system import Peers, SpreadSystem
 
 __all__ = [
     "Channel",
-    "MOST_ANSWER_BYTES",
+    "MAX_ANSWER_BYTES",
     "Link",
     "LinkStats",
     "MeshStats",
--- a/src/gentianwharf/spread/_queries.py
+++ b/src/gentianwharf/spread/_queries.py
@@ -33,7 +33,7 @@
 
 NUMBER_BITS = 48
 
-MOST_ANSWER_BYTES = 256_000
+MAX_ANSWER_BYTES = 256_000
 """A host's answer as it travels. The largest, a burn with every place taken, has about
 a tenth of that."""
 
@@ -198,11 +198,11 @@
                 f" for, got {len(query.argument)}",
             )
         packed = pack(answerer(query.argument))
-        if len(packed) > MOST_ANSWER_BYTES:
+        if len(packed) > MAX_ANSWER_BYTES:
             return Reply(
                 number=query.number,
                 problem=f"the answer has {len(packed)} bytes, at most"
-                f" {MOST_ANSWER_BYTES} are sent; ask the host alone",
+                f" {MAX_ANSWER_BYTES} are sent; ask the host alone",
             )
         return Reply(number=query.number, packed=packed)
 
--- a/tests/test_spread_queries.py
+++ b/tests/test_spread_queries.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import CancelledError
 
 from gentianwharf.errors import InputError, PeerMismatchError
-from gentianwharf.spread import MOST_ANSWER_BYTES
+from gentianwharf.spread import MAX_ANSWER_BYTES
 from gentianwharf.spread import _queries as queries_module
 from gentianwharf.spread._queries import Query, Reply, decode_query, encode_query
 from tests.builders_queries import asked_fleet
@@ -69,7 +69,7 @@
 
 
 def test_answer_that_is_too_large_is_told_with_what_to_do() -> None:
-    big = Random(1).randbytes(MOST_ANSWER_BYTES + 1)
+    big = Random(1).randbytes(MAX_ANSWER_BYTES + 1)
     asked = asked_fleet(["lac-1"], answer=big)
     asked.run()
     assert "ask the host alone" in asked.silent["lac-1"]
