--- a/src/gentianwharf/spread/__init__.py
+++ b/src/gentianwharf/spread/__init__.py
@@ -5,7 +5,7 @@
 from ._mesh import MeshStats, PeerChannel, PeerMesh
 from ._queries import MAX_ANSWER_BYTES, PeerQueries
 from ._state import SpreadCounts, SpreadState
-from ._system import Peers, SpreadSystem
+from ._system import PeerTransport, SpreadSystem
 
 __all__ = [
     "Channel",
@@ -16,7 +16,7 @@
     "PeerChannel",
     "PeerMesh",
     "PeerQueries",
-    "Peers",
+    "PeerTransport",
     "SpreadCounts",
     "SpreadState",
     "SpreadSystem",
--- a/src/gentianwharf/spread/_queries.py
+++ b/src/gentianwharf/spread/_queries.py
@@ -18,7 +18,7 @@
 from gentianwharf.errors import GentianwharfError, PeerMismatchError
 
 from ._packing import pack, unpack
-from ._system import Peers
+from ._system import PeerTransport
 
 FORMAT_VERSION = 1
 
@@ -121,7 +121,9 @@
     ``answer_with`` names what this host answers to a kind of question.
     """
 
-    def __init__(self, *, clock: IReactorTime, peers: Peers, rng: Random) -> None:
+    def __init__(
+        self, *, clock: IReactorTime, peers: PeerTransport, rng: Random
+    ) -> None:
         self._clock = clock
         self._peers = peers
         self._answerers: dict[str, Answerer] = {}
--- a/src/gentianwharf/spread/_system.py
+++ b/src/gentianwharf/spread/_system.py
@@ -46,7 +46,7 @@
 alone: otherwise each host of a fleet that restarts would read the store."""
 
 
-class Peers(Protocol):
+class PeerTransport(Protocol):
     """How messages get to other hosts."""
 
     def send(self, host_id: str, message: bytes) -> bool:
@@ -70,7 +70,7 @@
         host: Host,
         clock: IReactorTime,
         store: KeyValueStore,
-        peers: Peers,
+        peers: PeerTransport,
         prefixes: Sequence[str],
         on_value: Callable[[VersionedValue], None],
         rng: Random,
