--- a/bench/spread.py
+++ b/bench/spread.py
@@ -255,7 +255,7 @@
         """Deliver later."""
         _DelayedLink.frames += 1
         _DelayedLink.carried_bytes += len(data)
-        self._clock.callLater(0.000_5, self._mesh.received_frame, data)
+        self._clock.callLater(0.000_5, self._mesh.handle_frame, data)
         return True
 
     def close(self) -> None:
--- a/src/gentianwharf/spread/_mesh.py
+++ b/src/gentianwharf/spread/_mesh.py
@@ -110,7 +110,7 @@
         self._listener = NngListener(
             reactor=self._reactor,
             address=self._host.peer_address,
-            on_data=self.received_frame,
+            on_data=self.handle_frame,
             max_bytes=MOST_FRAME_BYTES,
         )
 
@@ -167,7 +167,7 @@
             links=self._links.stats(self._reactor.seconds()),
         )
 
-    def received_frame(self, data: bytes) -> None:
+    def handle_frame(self, data: bytes) -> None:
         """Handle a frame that came in; one not meant for us is counted, dropped."""
         try:
             frame = decode_frame(data, peer=self._host.peer_address)
--- a/tests/test_daemon_keyed_servers.py
+++ b/tests/test_daemon_keyed_servers.py
@@ -132,7 +132,7 @@
         channel=Channel.OWNERSHIP,
         body=ownership.encode(alive),
     )
-    mesh.received_frame(encode_frame(frame))
+    mesh.handle_frame(encode_frame(frame))
     assert link.hears_control("calendrier")
     clock.advance(CONTROL_HEARD_S + 0.1)
     assert not link.hears_control("calendrier")
--- a/tests/test_spread_links.py
+++ b/tests/test_spread_links.py
@@ -79,7 +79,7 @@
         self.got.append((host_id, message))
 
     def _dial(self, address: str) -> FakeLink:
-        link = FakeLink(lambda data: self.meshes[self.at[address]].received_frame(data))
+        link = FakeLink(lambda data: self.meshes[self.at[address]].handle_frame(data))
         self.links.setdefault(address, []).append(link)
         return link
 
@@ -245,7 +245,7 @@
     )
     for _ in range(round(NOTICED_S / TICK_S)):
         pair.run(TICK_S, sending=True)
-        pair.meshes["lac"].received_frame(encode_frame(late))
+        pair.meshes["lac"].handle_frame(encode_frame(late))
     assert pair.meshes["lac"].stats().links["ariana"].redials == 1
 
 
@@ -279,7 +279,7 @@
     told: list[tuple[Host, ...]] = []
     pair.meshes["lac"]._on_hosts = told.append
     body = encode_hosts([ARIANA])
-    pair.meshes["lac"].received_frame(_frame(kind=FrameKind.HOSTS, body=body))
+    pair.meshes["lac"].handle_frame(_frame(kind=FrameKind.HOSTS, body=body))
     assert told == []
 
 
@@ -355,7 +355,7 @@
 )
 def test_frame_that_fits_not_is_counted_and_dropped(data: bytes, counter: str) -> None:
     pair = Pair()
-    pair.meshes["lac"].received_frame(data)
+    pair.meshes["lac"].handle_frame(data)
     assert getattr(pair.meshes["lac"].stats(), counter) == 1
     assert pair.got == []
 
