--- a/src/gentianwharf/daemon/_decisions.py
+++ b/src/gentianwharf/daemon/_decisions.py
@@ -38,7 +38,7 @@
         self._hosts = hosts
         self._recorder = recorder
         self._now_s = now_s
-        queries.answer_with(
+        queries.register_handler(
             DECISION, lambda request_id: _encoder.encode(self._own(request_id))
         )
 
--- a/src/gentianwharf/daemon/_fleet.py
+++ b/src/gentianwharf/daemon/_fleet.py
@@ -77,7 +77,7 @@
         self._rules = rules
         self._spread = spread
         self._rules_key = rules_key
-        queries.answer_with(RULES, lambda _: _encoder.encode(self._own()))
+        queries.register_handler(RULES, lambda _: _encoder.encode(self._own()))
 
     async def rules_everywhere(
         self, *, revision: int | None, wait_s: float
@@ -202,7 +202,7 @@
         self._recorder = recorder
         self._part = b""
         self._part_made_s = float("-inf")
-        queries.answer_with(BURN, lambda _: self._own_part())
+        queries.register_handler(BURN, lambda _: self._own_part())
 
     def _own_part(self) -> bytes:
         """Return this host's part, made anew at most once in ``PART_FRESH_S``.
--- a/src/gentianwharf/spread/_queries.py
+++ b/src/gentianwharf/spread/_queries.py
@@ -118,7 +118,7 @@
 class PeerQueries:
     """Asks other hosts, and answers what they ask.
 
-    ``answer_with`` names what this host answers to a kind of question.
+    ``register_handler`` names what this host answers to a kind of question.
     """
 
     def __init__(
@@ -132,7 +132,7 @@
         self._last_number = rng.getrandbits(NUMBER_BITS)
         self.malformed = 0
 
-    def answer_with(self, kind: str, answerer: Answerer) -> None:
+    def register_handler(self, kind: str, answerer: Answerer) -> None:
         """Answer questions of ``kind`` with what ``answerer`` returns."""
         self._answerers[kind] = answerer
 
--- a/tests/builders_queries.py
+++ b/tests/builders_queries.py
@@ -116,7 +116,7 @@
     asking = network.add(ASKING)
     for host in hosts:
         body = host.encode() if answer is None else answer
-        network.add(host).answer_with("name", partial(_answer, body))
+        network.add(host).register_handler("name", partial(_answer, body))
     asked = Asked(network=network, asking=asking)
     asked.ask(hosts, kind, on_answer)
     return asked
