--- a/src/gentianwharf/spread/_bodies.py
+++ b/src/gentianwharf/spread/_bodies.py
@@ -78,7 +78,7 @@
             steps = unpack(delta.packed, peer=host_id)
             body = apply_delta(held.value, steps, peer=host_id)
         if body is None or checksum(body) != delta.checksum:
-            self._counts.deltas_lacking += 1
+            self._counts.delta_failures += 1
             wanted = [(delta.key, delta.revision)]
             self._pulls.announced(host_id, wanted, now_s=self._clock.seconds())
             return
--- a/src/gentianwharf/spread/_held.py
+++ b/src/gentianwharf/spread/_held.py
@@ -46,8 +46,8 @@
         if not self.carries(value.key):
             return False
         if not self.table.offer(value):
-            self._counts.dropped_older += 1
+            self._counts.stale_dropped += 1
             return False
-        self._counts.taken += 1
+        self._counts.accepted += 1
         self._on_taken(value)
         return True
--- a/src/gentianwharf/spread/_links.py
+++ b/src/gentianwharf/spread/_links.py
@@ -55,7 +55,7 @@
     sent: int = 0
     dropped: int = 0
     redials: int = 0
-    answered_age_s: float | None = None
+    last_answer_age_s: float | None = None
 
 
 @final
@@ -213,7 +213,7 @@
                 sent=peer.sent,
                 dropped=peer.dropped,
                 redials=peer.redials,
-                answered_age_s=(
+                last_answer_age_s=(
                     None if peer.answered_s is None else now_s - peer.answered_s
                 ),
             )
--- a/src/gentianwharf/spread/_passing.py
+++ b/src/gentianwharf/spread/_passing.py
@@ -21,7 +21,7 @@
 
 @final
 class Passing:
-    """Sends values and versions on; ``passed_on`` counts the messages.
+    """Sends values and versions on; ``forwarded`` counts the messages.
 
     No message goes in circles, though lists of hosts differ: in every list the
     children of a host come after it in the order of hashes, which is the same for all.
@@ -40,7 +40,7 @@
         self._packed = packed
         self._send = send
         self._passed: dict[str, int] = {}
-        self.passed_on = 0
+        self.forwarded = 0
 
     def begin(self, values: list[VersionedValue]) -> None:
         """Start the way of values that this host has from the store itself."""
@@ -99,5 +99,5 @@
 
     def _to_children(self, root: str, revision: int, message: AnyMessage) -> None:
         for child in self._places.children(root, revision):
-            self.passed_on += 1
+            self.forwarded += 1
             self._send(child, message)
--- a/src/gentianwharf/spread/_state.py
+++ b/src/gentianwharf/spread/_state.py
@@ -9,19 +9,19 @@
 class SpreadCounts:
     """What a host did, as counts since its start.
 
-    ``deltas_lacking`` counts deltas whose base this host did not hold, ``failed``
+    ``delta_failures`` counts deltas whose base this host did not hold, ``failed``
     values that raised an error when this host used them.
     """
 
-    taken: int = 0
-    dropped_older: int = 0
+    accepted: int = 0
+    stale_dropped: int = 0
     malformed: int = 0
     sent_messages: int = 0
     sent_bytes: int = 0
     send_dropped: int = 0
-    passed_on: int = 0
+    forwarded: int = 0
     pulled: int = 0
-    deltas_lacking: int = 0
+    delta_failures: int = 0
     failed: int = 0
 
 
--- a/src/gentianwharf/spread/_system.py
+++ b/src/gentianwharf/spread/_system.py
@@ -156,7 +156,7 @@
             checksum=self._held.table.checksum(),
             store_age_s=self._digests.store_age_s(),
             store_calls=self._watch.calls,
-            counts=replace(self.counts, passed_on=self._passing.passed_on),
+            counts=replace(self.counts, forwarded=self._passing.forwarded),
         )
 
     def tick(self) -> None:
--- a/tests/test_spread_delta.py
+++ b/tests/test_spread_delta.py
@@ -111,7 +111,7 @@
     cluster.run(0.6)
     assert cluster.all_at(value.revision)
     assert one.spread.value(RULES) == value
-    assert one.spread.state().counts.deltas_lacking == 1
+    assert one.spread.state().counts.delta_failures == 1
 
 
 def test_delta_that_makes_another_value_is_not_taken(cluster: Cluster) -> None:
@@ -128,7 +128,7 @@
     )
     one.spread.received("lac-2", encode(wrong))
     assert one.spread.value(RULES) == before
-    assert one.spread.state().counts.deltas_lacking == 1
+    assert one.spread.state().counts.delta_failures == 1
 
 
 def test_key_that_is_not_carried_is_not_passed_on(cluster: Cluster) -> None:
--- a/tests/test_spread_system.py
+++ b/tests/test_spread_system.py
@@ -99,7 +99,7 @@
         assert_reaches_all(cluster)
         cluster.run(0.3 * number)
     cluster.run(10)
-    assert late.spread.state().counts.dropped_older > 0
+    assert late.spread.state().counts.stale_dropped > 0
     assert cluster.all_at(5)
 
 
@@ -112,7 +112,7 @@
     old = Push(key=RULES, packed=pack(b"first"), revision=1, root="lac-1")
     stale = cluster.members["lac-1"]
     target = cluster.members["ariana-1"]
-    before = target.spread.state().counts.dropped_older
+    before = target.spread.state().counts.stale_dropped
     target.spread.received("lac-1", encode(old))
     target.spread.received("lac-1", encode(Have(versions=[(RULES, 1)])))
     target.spread.received(
@@ -120,7 +120,7 @@
     )
     cluster.run(1)
     assert cluster.all_at(2)
-    assert target.spread.state().counts.dropped_older == before + 1
+    assert target.spread.state().counts.stale_dropped == before + 1
     assert stale.spread.state().counts.malformed == 0
 
 
