--- a/bench/spread.py
+++ b/bench/spread.py
@@ -17,7 +17,7 @@
 
 from bench import Figure
 from gentianwharf.infra import Fault, FaultKind, MemoryStore
-from gentianwharf.spread import Channel, PeerMesh, SpreadSystem, _places
+from gentianwharf.spread import Channel, PeerMesh, SpreadSystem, _overlay
 from gentianwharf.topology import Host
 
 SEED = 1
@@ -159,10 +159,10 @@
 
 
 def _fan_outs(per_domain: int) -> Iterator[Figure]:
-    chosen = _places.FAN_OUT
+    chosen = _overlay.FAN_OUT
     try:
         for fan_out in FAN_OUTS:
-            _places.FAN_OUT = fan_out
+            _overlay.FAN_OUT = fan_out
             cluster = _cluster(per_domain, domains=DOMAINS[:1], tick_s=0.1)
             took_s = [_change_s(cluster) for _ in range(10)]
             yield Figure(
@@ -173,7 +173,7 @@
                 seed=SEED,
             )
     finally:
-        _places.FAN_OUT = chosen
+        _overlay.FAN_OUT = chosen
 
 
 def _cost(per_domain: int) -> Iterator[Figure]:
--- a/src/gentianwharf/spread/_asking.py
+++ b/src/gentianwharf/spread/_asking.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import final
 
-from ._places import Places
+from ._overlay import Overlay
 from ._readiness import Readiness
 
 ASK_FIRST_S = 0.1
@@ -25,12 +25,12 @@
     def __init__(
         self,
         *,
-        places: Places,
+        overlay: Overlay,
         readiness: Readiness,
         rng: Random,
         ask: Callable[[str], None],
     ) -> None:
-        self._places = places
+        self._overlay = overlay
         self._readiness = readiness
         self._rng = rng
         self._ask = ask
@@ -43,16 +43,16 @@
             return
         self._next_s = now_s + self._pause_s
         self._pause_s = min(ASK_GROWTH * self._pause_s, ASK_LONGEST_S)
-        members = self._places.domain_members
+        members = self._overlay.domain_members
         at_once = max(ASKED_AT_ONCE, len(members) // 8)
         self._ask_some(members, at_once)
-        self._ask_some(self._places.others, at_once // 2)
+        self._ask_some(self._overlay.others, at_once // 2)
 
     def _ask_some(self, host_ids: Sequence[str], at_once: int) -> None:
         waiting = [
             one
             for one in host_ids
-            if one != self._places.host_id and not self._readiness.has_agreed(one)
+            if one != self._overlay.host_id and not self._readiness.has_agreed(one)
         ]
         for host_id in self._rng.sample(waiting, min(at_once, len(waiting))):
             self._ask(host_id)
--- a/src/gentianwharf/spread/_digests.py
+++ b/src/gentianwharf/spread/_digests.py
@@ -8,7 +8,7 @@
 
 from ._held import HeldValues
 from ._messages import AnyMessage, Digest, Vector, Version
-from ._places import Places
+from ._overlay import Overlay
 from ._pulls import Pulls
 from ._readiness import Readiness
 
@@ -35,7 +35,7 @@
         clock: IReactorTime,
         rng: Random,
         held: HeldValues,
-        places: Places,
+        overlay: Overlay,
         readiness: Readiness,
         pulls: Pulls,
         bring: Callable[[str, list[Version]], None],
@@ -44,7 +44,7 @@
         self._clock = clock
         self._rng = rng
         self._held = held
-        self._places = places
+        self._overlay = overlay
         self._readiness = readiness
         self._pulls = pulls
         self._bring = bring
@@ -64,7 +64,7 @@
             self._send(target, self._digest())
 
     def _beat_target(self) -> str | None:
-        elsewhere, partners = self._places.partners_elsewhere, self._places.partners
+        elsewhere, partners = self._overlay.partners_elsewhere, self._overlay.partners
         if elsewhere and (self._beats % OTHER_DOMAIN_EVERY == 0 or not partners):
             return self._rng.choice(elsewhere)
         return partners[self._beats % len(partners)] if partners else None
@@ -105,11 +105,11 @@
         """Work out whether this host is ready, and tell its partners once it is."""
         if self._readiness.ready:
             return
-        mine = self._places.domain_members
-        if not self._readiness.judge(mine, (*mine, *self._places.others)):
+        mine = self._overlay.domain_members
+        if not self._readiness.judge(mine, (*mine, *self._overlay.others)):
             return
         # When many hosts start at once, the few that read the store are hard to find.
-        for partner in self._places.partners:
+        for partner in self._overlay.partners:
             self._send(partner, self._digest())
 
     def store_age_s(self) -> float | None:
--- a/src/gentianwharf/spread/_places.py
+++ b/src/gentianwharf/spread/_overlay.py
@@ -62,7 +62,7 @@
 
 
 @final
-class Places:
+class Overlay:
     """The places of one host among the hosts that it knows of.
 
     ``watch_rank`` is 0 for its failure domain's first watcher, 1 for the second, and
--- a/src/gentianwharf/spread/_passing.py
+++ b/src/gentianwharf/spread/_passing.py
@@ -7,8 +7,8 @@
 
 from ._delta import checksum, make_delta
 from ._messages import AnyMessage, Delta, Have, Push, Version
+from ._overlay import Overlay
 from ._packing import PackedValues, pack
-from ._places import Places
 from ._versions import VersionTable
 
 LEAST_DELTA_FROM_BYTES = 512
@@ -30,12 +30,12 @@
     def __init__(
         self,
         *,
-        places: Places,
+        overlay: Overlay,
         table: VersionTable,
         packed: PackedValues,
         send: Callable[[str, AnyMessage], None],
     ) -> None:
-        self._places = places
+        self._overlay = overlay
         self._table = table
         self._packed = packed
         self._send = send
@@ -46,16 +46,16 @@
         """Start the way of values that this host has from the store itself."""
         if not values:
             return
-        root = self._places.host_id
+        root = self._overlay.host_id
         versions = [(one.key, one.revision) for one in values]
         # The first watcher sends bodies. The others send versions only, down trees
         # of their own: who got the body already then costs a few bytes.
-        if self._places.watch_rank == 0:
+        if self._overlay.watch_rank == 0:
             for value in values:
                 self.pass_on(self._first(value, root))
         else:
             self.have_on(versions, root)
-        for head in self._places.heads:
+        for head in self._overlay.heads:
             self._send(head, Have(versions=versions))
 
     def pass_on(self, message: Push | Delta) -> None:
@@ -94,10 +94,10 @@
 
     def tell_partners(self, value: VersionedValue) -> None:
         """Announce a value that came by no tree, so that others may lack it too."""
-        for partner in self._places.partners:
+        for partner in self._overlay.partners:
             self._send(partner, Have(versions=[(value.key, value.revision)]))
 
     def _to_children(self, root: str, revision: int, message: AnyMessage) -> None:
-        for child in self._places.children(root, revision):
+        for child in self._overlay.children(root, revision):
             self.forwarded += 1
             self._send(child, message)
--- a/src/gentianwharf/spread/_system.py
+++ b/src/gentianwharf/spread/_system.py
@@ -29,9 +29,9 @@
     decode,
     encode,
 )
+from ._overlay import STANDBY_WATCHERS, WATCHERS, Overlay
 from ._packing import PackedValues
 from ._passing import Passing
-from ._places import STANDBY_WATCHERS, WATCHERS, Places
 from ._pulls import Pulls
 from ._readiness import Readiness
 from ._state import SpreadCounts, SpreadState
@@ -80,7 +80,7 @@
         self._listed = False
         self._on_value = on_value
         self.counts = SpreadCounts()
-        self._places = Places(host=host)
+        self._overlay = Overlay(host=host)
         self._started_s = clock.seconds()
         self._readiness = Readiness(started_s=self._started_s)
         self._pulls = Pulls(ask=self._ask_for)
@@ -100,7 +100,7 @@
     def _build_exchange(self, rng: Random) -> None:
         packed = PackedValues()
         self._passing = Passing(
-            places=self._places,
+            overlay=self._overlay,
             table=self._held.table,
             packed=packed,
             send=self._send,
@@ -119,14 +119,14 @@
             clock=self._clock,
             rng=rng,
             held=self._held,
-            places=self._places,
+            overlay=self._overlay,
             readiness=self._readiness,
             pulls=self._pulls,
             bring=self._bodies.bring,
             send=self._send,
         )
         self._asking = Asking(
-            places=self._places,
+            overlay=self._overlay,
             readiness=self._readiness,
             rng=rng,
             ask=lambda host_id: self._send(host_id, Ask()),
@@ -134,7 +134,7 @@
 
     def set_hosts(self, hosts: Iterable[Host]) -> None:
         """Take the list of live hosts of all failure domains; call when it changes."""
-        self._places.set_hosts(hosts)
+        self._overlay.set_hosts(hosts)
         self._listed = True
 
     def value(self, key: str) -> VersionedValue | None:
@@ -204,7 +204,7 @@
     def _choose_watch(self, now_s: float) -> None:
         if not self._listed and now_s < self._started_s + LIST_WAIT_S:
             return
-        rank = self._places.watch_rank
+        rank = self._overlay.watch_rank
         heard_s = self._readiness.store_heard_s
         silent_s = now_s - (self._started_s if heard_s is None else heard_s)
         # Watchers that are listed though dead leave their domain deaf; the next in
--- a/tests/test_spread_outages.py
+++ b/tests/test_spread_outages.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gentianwharf.infra import Fault, FaultKind, StoreOperation
-from gentianwharf.spread._places import WATCHERS
+from gentianwharf.spread._overlay import WATCHERS
 
 from .builders_spread import (
     DOMAINS,
--- a/tests/test_spread_stumbles.py
+++ b/tests/test_spread_stumbles.py
@@ -39,7 +39,7 @@
     """
     cluster = running(Cluster(per_domain=2, domains=["lac"]))
     first = next(
-        one for one in cluster.members.values() if one.spread._places.watch_rank == 0
+        one for one in cluster.members.values() if one.spread._overlay.watch_rank == 0
     )
     most_bytes = 10_000
     send = first.spread._peers.send
--- a/tests/test_spread_system.py
+++ b/tests/test_spread_system.py
@@ -12,8 +12,8 @@
 from gentianwharf.errors import ConflictError
 from gentianwharf.infra import Fault, FaultKind, StoreOperation, VersionedValue
 from gentianwharf.spread._messages import Have, Push, Vector, encode
+from gentianwharf.spread._overlay import WATCHERS
 from gentianwharf.spread._packing import pack
-from gentianwharf.spread._places import WATCHERS
 
 from .builders_spread import (
     DOMAINS,
--- a/tests/test_spread_versions.py
+++ b/tests/test_spread_versions.py
@@ -18,7 +18,7 @@
     decode,
     encode,
 )
-from gentianwharf.spread._places import FAN_OUT, PARTNERS, WATCHERS, Places, children
+from gentianwharf.spread._overlay import FAN_OUT, PARTNERS, WATCHERS, Overlay, children
 from gentianwharf.spread._versions import VersionTable
 
 from .builders_spread import make_hosts
@@ -93,30 +93,32 @@
     assert max(passed_on.values()) < 4 * mean
 
 
-def _places(hosts_per_domain: int) -> dict[str, Places]:
+def _overlay(hosts_per_domain: int) -> dict[str, Overlay]:
     hosts = make_hosts(hosts_per_domain)
-    places = {host.id: Places(host=host) for host in hosts}
-    for one in places.values():
+    overlay = {host.id: Overlay(host=host) for host in hosts}
+    for one in overlay.values():
         one.set_hosts(hosts)
-    return places
+    return overlay
 
 
 @pytest.mark.parametrize("per_domain", [1, 4, 12, 100])
 def test_each_domain_has_few_watchers_and_all_agree_on_them(per_domain: int) -> None:
-    places = _places(per_domain)
-    watchers = sorted(name for name, one in places.items() if one.watch_rank < WATCHERS)
+    overlay = _overlay(per_domain)
+    watchers = sorted(
+        name for name, one in overlay.items() if one.watch_rank < WATCHERS
+    )
     assert len(watchers) == 3 * min(WATCHERS, per_domain)
-    for name, one in places.items():
+    for name, one in overlay.items():
         elsewhere = [w for w in watchers if w.split("-")[0] != name.split("-")[0]]
         assert sorted(one.heads) == elsewhere
 
 
 def test_host_that_leaves_changes_few_places() -> None:
     hosts = make_hosts(100, ["lac"])
-    full = Places(host=hosts[0])
+    full = Overlay(host=hosts[0])
     full.set_hosts(hosts)
     gone = full.partners[0]
-    smaller = Places(host=hosts[0])
+    smaller = Overlay(host=hosts[0])
     smaller.set_hosts([host for host in hosts if host.id != gone])
     assert set(full.partners) - set(smaller.partners) == {gone}
 
@@ -127,10 +129,10 @@
     hosts = make_hosts(size, ["lac"])
     links: dict[str, set[str]] = {host.id: set() for host in hosts}
     for host in hosts:
-        places = Places(host=host)
-        places.set_hosts(hosts)
-        assert len(places.partners) == PARTNERS
-        for partner in places.partners:
+        overlay = Overlay(host=host)
+        overlay.set_hosts(hosts)
+        assert len(overlay.partners) == PARTNERS
+        for partner in overlay.partners:
             links[host.id].add(partner)
             links[partner].add(host.id)
     reached = {hosts[0].id}
