--- a/src/gentianwharf/spread/__init__.py
+++ b/src/gentianwharf/spread/__init__.py
@@ -1,4 +1,4 @@
-"""Passing rules and tables on: hosts over pynng, versions down a tree."""
+"""Replication of rules and tables between hosts over pynng connections."""
 
 from ._frames import Channel
 from ._links import Link, LinkStats
--- a/src/gentianwharf/spread/_overlay.py
+++ b/src/gentianwharf/spread/_overlay.py
@@ -1,9 +1,9 @@
-"""Who watches the store, and who passes versions on to whom.
+"""The overlay network: which hosts watch the store, and which forward to which.
 
-Every host works this out alone from the list of hosts, by rendezvous hashing: a host
-that joins or leaves changes the places of few others. Lists differ between hosts for
-a while, since the platform's list lags; then a value may come twice or miss a host,
-which the digests mend.
+Each host computes this from the host list by rendezvous hashing, so that a host that
+joins or leaves affects few others. The lists of two hosts may differ for a while, since
+the platform's list lags. A value may then arrive twice or miss a host; the exchange of
+digests corrects the latter.
 """
 
 from collections.abc import Iterable, Sequence
@@ -14,47 +14,50 @@
 from gentianwharf.topology import Host
 
 WATCHERS = 2
-"""Hosts of a failure domain that watch the store. One may die or its watch go silent
-without a pause; a third would add half as many store calls again for less."""
+"""Hosts of a failure domain that watch the store. With two, updates continue while one
+host or its watch fails. A third would add 50 % to the store calls for less benefit."""
 
 STANDBY_WATCHERS = 8
-"""Hosts of a failure domain that may watch when nobody hears from the watchers: so
-many of them would have to be listed though dead. Bounds the calls in an outage."""
+"""Hosts of a failure domain that may watch the store, including the standby watchers
+that start when the last store contact is too old. Updates stop only if all of them are
+dead but still listed. The limit bounds the store calls in an outage."""
 
 FAN_OUT = 8
-"""Children of a host in the tree; see docs/design/spread.md for the measurement."""
+"""Children of a host in a tree; docs/design/spread.md has the measurements."""
 
 PARTNERS = 4
-"""Fellow hosts with which digests are exchanged. A random graph in which each host
-picks 4 is connected for every size of domain that is planned for."""
+"""Hosts of the own failure domain with which a host exchanges digests. A random graph
+in which each node picks 4 others is connected for all planned domain sizes."""
 
-
-PARTNERS_ELSEWHERE = 2
-"""Hosts of other failure domains with which digests are exchanged. Fixed ones, since
-each new one opens a link that is probed: a random one every two seconds kept five
-more links open."""
+REMOTE_PARTNERS = 2
+"""Hosts of other failure domains with which a host exchanges digests. They are fixed,
+since each new one opens a link that is probed: choosing a random host every two seconds
+kept five more links open."""
 
 
 def _score(salt: str, host_id: str) -> tuple[int, str]:
     return xxhash.xxh3_64_intdigest(f"{salt}\0{host_id}".encode()), host_id
 
 
-def ranked(salt: str, host_ids: Iterable[str]) -> list[str]:
-    """Return hosts in the order of their rendezvous hash under ``salt``."""
+def rendezvous_order(salt: str, host_ids: Iterable[str]) -> list[str]:
+    """Return the hosts sorted by their rendezvous hash with ``salt``."""
     return sorted(host_ids, key=lambda host_id: _score(salt, host_id))
 
 
 def children(
     root: str, host_id: str, members: Sequence[str], *, revision: int
 ) -> list[str]:
-    """Return the hosts to which ``host_id`` passes ``revision`` on from ``root``.
+    """Return the children of ``host_id`` in the tree of ``root`` and ``revision``.
 
-    Each root and revision has a tree of its own over the same members. A host that is
-    dead in the middle of one is most likely a leaf of another; and no host is in the
-    middle of all: eight times the bytes of every change would go through the same few.
+    Each root and revision has its own tree over the same members. A dead host that is
+    an inner node of one tree is most likely a leaf of another. If the inner nodes were
+    always the same, these few hosts would send eight times the bytes of every change.
     """
     salt = f"{root} {revision}"
-    order = [root, *ranked(salt, (one for one in members if one != root))]
+    order = [
+        root,
+        *rendezvous_order(salt, (member for member in members if member != root)),
+    ]
     if host_id not in order:
         return []
     first = order.index(host_id) * FAN_OUT + 1
@@ -63,59 +66,64 @@
 
 @final
 class Overlay:
-    """The places of one host among the hosts that it knows of.
+    """The neighbours of one host in the overlay network.
 
-    ``watch_rank`` is 0 for its failure domain's first watcher, 1 for the second, and
-    so on; ``partners`` are fellow hosts, ``others`` the hosts of other domains.
+    ``watch_rank`` is 0 for the first watcher of its failure domain, 1 for the second,
+    and so on. ``partners`` are hosts of its own failure domain, ``remote_hosts`` the
+    hosts of all others.
     """
 
     def __init__(self, *, host: Host) -> None:
         self._host = host
         self._members: tuple[str, ...] = ()
         self.watch_rank = 0
-        self._heads: tuple[str, ...] = ()
-        self.others: tuple[str, ...] = ()
+        self._remote_watchers: tuple[str, ...] = ()
+        self.remote_hosts: tuple[str, ...] = ()
         self.partners: tuple[str, ...] = ()
-        self.partners_elsewhere: tuple[str, ...] = ()
+        self.remote_partners: tuple[str, ...] = ()
         self.set_hosts(())
 
     def set_hosts(self, hosts: Iterable[Host]) -> None:
-        """Take the list of live hosts; the host itself is always one of them."""
+        """Set the list of live hosts; the host itself is always included."""
         by_domain: dict[str, set[str]] = {self._host.domain: {self._host.id}}
         for host in hosts:
             by_domain.setdefault(host.domain, set()).add(host.id)
-        mine = by_domain.pop(self._host.domain)
-        self._members = tuple(sorted(mine))
-        watch_order = ranked(f"watch {self._host.domain}", mine)
+        own_members = by_domain.pop(self._host.domain)
+        self._members = tuple(sorted(own_members))
+        watch_order = rendezvous_order(f"watch {self._host.domain}", own_members)
         self.watch_rank = watch_order.index(self._host.id)
-        self._heads = tuple(
+        self._remote_watchers = tuple(
             watcher
             for domain, members in sorted(by_domain.items())
-            for watcher in ranked(f"watch {domain}", members)[:WATCHERS]
+            for watcher in rendezvous_order(f"watch {domain}", members)[:WATCHERS]
         )
-        self.others = tuple(sorted(set().union(*by_domain.values())))
-        self.partners_elsewhere = tuple(
-            ranked(f"partner {self._host.id}", self.others)[:PARTNERS_ELSEWHERE]
+        self.remote_hosts = tuple(sorted(set().union(*by_domain.values())))
+        self.remote_partners = tuple(
+            rendezvous_order(f"partner {self._host.id}", self.remote_hosts)[
+                :REMOTE_PARTNERS
+            ]
         )
         self.partners = tuple(
-            ranked(f"partner {self._host.id}", mine - {self._host.id})[:PARTNERS]
+            rendezvous_order(f"partner {self._host.id}", own_members - {self._host.id})[
+                :PARTNERS
+            ]
         )
 
     @property
     def host_id(self) -> str:
-        """The host whose places these are."""
+        """The id of the host whose neighbours these are."""
         return self._host.id
 
     @property
     def domain_members(self) -> tuple[str, ...]:
-        """The hosts of the own failure domain, the host itself among them."""
+        """The hosts of the own failure domain, including the host itself."""
         return self._members
 
     @property
-    def heads(self) -> tuple[str, ...]:
+    def remote_watchers(self) -> tuple[str, ...]:
         """The watchers of the other failure domains."""
-        return self._heads
+        return self._remote_watchers
 
     def children(self, root: str, revision: int) -> list[str]:
-        """Return the hosts to which this one passes ``revision`` on from ``root``."""
+        """Return the hosts to which this one forwards ``revision`` from ``root``."""
         return children(root, self._host.id, self._members, revision=revision)
--- a/src/gentianwharf/spread/_pulls.py
+++ b/src/gentianwharf/spread/_pulls.py
@@ -1,4 +1,4 @@
-"""Which values a host has asked for, and when it asks again."""
+"""Scheduling of pulls and their retries."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,72 +6,74 @@
 
 from ._messages import Version
 
-PULL_AGAIN_S = 0.2
-PULLS_OF_ONE = 3
-"""A value that was asked for is asked for again after this, so often; then the next
-digest that shows it names another host to ask."""
+PULL_RETRY_S = 0.2
+MAX_PULL_ATTEMPTS = 3
+"""Interval and maximum number of requests for a value to one host. After that, the next
+digest that reveals the difference names another host."""
 
-BODY_WAIT_S = 0.05
-"""What comes down a tree as an announcement most likely comes down another as a body:
-without this wait a host gets 1.4 bodies a change (measured at 36 hosts)."""
+PULL_DELAY_S = 0.05
+"""Delay before a value announced in a tree is pulled, since its body most likely
+arrives in another tree. Without the delay, a host receives 1.4 bodies per change (at
+36 hosts)."""
 
-PULLED_AT_ONCE = 16
-"""Values asked for in one message; each may be large, and a peer's queue is bounded."""
+MAX_KEYS_PER_PULL = 16
+"""Maximum number of values requested in one message. Each value may be large, and the
+queue to a peer is bounded."""
 
 
 @dataclass(kw_only=True, slots=True)
-class _Wanted:
+class _PendingPull:
     holder: str
     due_s: float
-    asked: int = 0
+    attempts: int = 0
 
 
 @final
-class Pulls:
-    """Asks each value of one host at a time, though several announce it.
+class PullQueue:
+    """Requests each value from one host at a time, even if several announce it.
 
-    >>> pulls = Pulls(ask=lambda holder, keys: print(holder, keys))
-    >>> pulls.announced("lac-1", [("rules", 7)], now_s=0.0)
+    >>> pulls = PullQueue(send_pull=lambda holder, keys: print(holder, keys))
+    >>> pulls.request("lac-1", [("rules", 7)], now_s=0.0)
     lac-1 ['rules']
-    >>> pulls.announced("lac-2", [("rules", 7)], now_s=0.1)
+    >>> pulls.request("lac-2", [("rules", 7)], now_s=0.1)
     >>> pulls.tick(now_s=0.2)
     lac-1 ['rules']
     """
 
-    def __init__(self, *, ask: Callable[[str, list[str]], None]) -> None:
-        self._ask = ask
-        self._wanted: dict[str, _Wanted] = {}
+    def __init__(self, *, send_pull: Callable[[str, list[str]], None]) -> None:
+        self._send_pull = send_pull
+        self._pending: dict[str, _PendingPull] = {}
 
-    def announced(
-        self, holder: str, lacking: list[Version], *, now_s: float, wait_s: float = 0.0
+    def request(
+        self, holder: str, versions: list[Version], *, now_s: float, wait_s: float = 0.0
     ) -> None:
-        """Ask ``holder`` for what this host lacks, after ``wait_s``.
+        """Request values from ``holder`` after ``wait_s``.
 
-        What was just asked for, or waits for its body, is left as it is.
+        A value that was requested recently, or whose body is awaited, is skipped.
         """
-        for key, _ in lacking:
-            wanted = self._wanted.get(key)
-            if wanted is None or now_s >= wanted.due_s:
-                self._wanted[key] = _Wanted(holder=holder, due_s=now_s + wait_s)
+        for key, _ in versions:
+            pending = self._pending.get(key)
+            if pending is None or now_s >= pending.due_s:
+                self._pending[key] = _PendingPull(holder=holder, due_s=now_s + wait_s)
         if wait_s == 0:
             self.tick(now_s=now_s)
 
-    def came(self, key: str) -> None:
-        """Note that a value is there."""
-        self._wanted.pop(key, None)
+    def complete(self, key: str) -> None:
+        """Remove the request for a value that has arrived."""
+        self._pending.pop(key, None)
 
     def tick(self, *, now_s: float) -> None:
-        """Ask for what is due, again for what did not come."""
+        """Send the requests that are due, including retries."""
         by_holder: dict[str, list[str]] = {}
-        for key in [one for one in self._wanted if now_s >= self._wanted[one].due_s]:
-            wanted = self._wanted[key]
-            if wanted.asked >= PULLS_OF_ONE:
-                del self._wanted[key]
+        for key in [key for key in self._pending if now_s >= self._pending[key].due_s]:
+            pending = self._pending[key]
+            if pending.attempts >= MAX_PULL_ATTEMPTS:
+                del self._pending[key]
                 continue
-            keys = by_holder.setdefault(wanted.holder, [])
-            if len(keys) < PULLED_AT_ONCE:
+            keys = by_holder.setdefault(pending.holder, [])
+            if len(keys) < MAX_KEYS_PER_PULL:
                 keys.append(key)
-                wanted.asked += 1
-                wanted.due_s = now_s + PULL_AGAIN_S
+                pending.attempts += 1
+                pending.due_s = now_s + PULL_RETRY_S
         for holder, keys in by_holder.items():
-            self._ask(holder, keys)
+            self._send_pull(holder, keys)
--- a/src/gentianwharf/spread/_watch.py
+++ b/src/gentianwharf/spread/_watch.py
@@ -1,4 +1,4 @@
-"""One host's watch of the store, kept up through outages and silence."""
+"""One host's watch of the store, which is restarted after failures and time-outs."""
 
 from collections.abc import Callable
 from random import Random
@@ -13,27 +13,27 @@
 from gentianwharf.logs import log
 
 WATCH_WAIT_S = 5.0
-"""One store call in this time for each watcher when nothing changes. A watch that
-lost its change without a sign is replaced after it."""
+"""How long a watch waits for a change: each watcher makes one store call in this time
+if nothing changes. A watch that missed a change without an error is replaced then."""
 
-SILENT_AFTER_S = 2.0
-"""How much longer than its wait a watch may take before it counts as silent."""
+TIMEOUT_MARGIN_S = 2.0
+"""How much longer than its wait a watch may take before it is cancelled."""
 
-FIRST_RETRY_S = 0.2
-LONGEST_RETRY_S = 2.0
-"""Bounds of the pause after a failure: an outage costs each watcher a call every two
-seconds, and its end is noticed within them."""
+MIN_RETRY_S = 0.2
+MAX_RETRY_S = 2.0
+"""Bounds of the pause after a failure. In an outage, each watcher makes about one store
+call every two seconds, and its end is noticed within that time."""
 
 
 @final
 class StoreWatch:
-    """Calls ``on_values`` with what is new in the store; with none as a sign of life.
+    """Calls ``on_values`` with new values; an empty list shows that the store answered.
 
-    It begins with a plain read: a watch that is silent from the start would answer
-    that there is nothing, and this host would act on nothing.
+    The first call is a plain read: a watch that reports no changes from the start would
+    make the store look empty, and this host would act on that.
 
-    The cursor is the watch's own: a value that came from a peer may have a higher
-    revision than one of another key that this host has yet to hear of.
+    The cursor advances only with the watch's own answers: a value received from a peer
+    may have a higher revision than a value of another key that has not arrived yet.
     """
 
     def __init__(
@@ -59,11 +59,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether the watch is kept up."""
+        """Whether the watch is running."""
         return self._running is not None
 
     def start(self) -> None:
-        """Keep the watch up from now on."""
+        """Start the watch; it is restarted after failures."""
         if self._running is not None:
             return
         self._run_number += 1
@@ -71,38 +71,41 @@
         self._running.addErrback(lambda failure: failure.trap(CancelledError))
 
     def stop(self) -> None:
-        """End the watch; a later start goes on from where it was."""
+        """Stop the watch; a later start resumes from the same cursor."""
         if self._running is not None:
             running, self._running = self._running, None
             self._run_number += 1
             running.cancel()
 
     async def _run(self, run_number: int) -> None:
-        retry_s = FIRST_RETRY_S
-        # An adapter may turn the cancellation into an error of its own, so that it
-        # ends nothing here; the number does.
+        retry_s = MIN_RETRY_S
+        # An adapter may turn the cancellation into an error of its own, which would not
+        # end this loop. The run number does.
         while run_number == self._run_number:
             try:
                 values = await self._call_once()
             except GentianwharfError:
                 self.failures += 1
-                # Spread over the pause, so that watchers don't return together.
+                # Jitter prevents watchers from retrying at the same time.
                 pause_s = retry_s * self._rng.uniform(0.5, 1.0)
                 await deferLater(self._clock, pause_s, lambda: None)
-                retry_s = min(2 * retry_s, LONGEST_RETRY_S)
+                retry_s = min(2 * retry_s, MAX_RETRY_S)
                 continue
-            retry_s = FIRST_RETRY_S
+            retry_s = MIN_RETRY_S
             self._cursor = max([self._cursor, *(value.revision for value in values)])
-            self._hand_over(values)
+            self._deliver(values)
 
-    def _hand_over(self, values: list[VersionedValue]) -> None:
+    def _deliver(self, values: list[VersionedValue]) -> None:
         try:
             self._on_values(values)
         except Exception:
-            # Raised further, it would end this loop without a word: the host would look
-            # well and hear nothing more of the store until it is restarted.
+            # If the exception propagated, it would silently end this loop. The host
+            # would seem healthy but receive no changes until its restart.
             self.failures += 1
-            log.exception("news of the store failed", extra={"peer": self._prefix})
+            log.exception(
+                "changes from the store could not be applied",
+                extra={"peer": self._prefix},
+            )
 
     async def _call_once(self) -> list[VersionedValue]:
         self.calls += 1
@@ -112,21 +115,23 @@
             )
         else:
             call = self._store.get_many(self._prefix)
-        # Guards against a call that neither answers nor fails, whatever the adapter
-        # does: the host would look well and hear nothing more.
+        # Guards against a call of any adapter that neither answers nor fails. The host
+        # would seem healthy but receive no changes.
         answer = Deferred.fromCoroutine(call)
         answer.addTimeout(
-            WATCH_WAIT_S + SILENT_AFTER_S, self._clock, _silent(self._prefix)
+            WATCH_WAIT_S + TIMEOUT_MARGIN_S,
+            self._clock,
+            _raise_on_timeout(self._prefix),
         )
         values = await answer
         self._has_read = True
         return values
 
 
-def _silent(prefix: str) -> Callable[[object, float], object]:
+def _raise_on_timeout(prefix: str) -> Callable[[object, float], object]:
     def on_timeout(_: object, timeout_s: float) -> object:
         raise OutcomeUnknownError(
-            f"watch gave no sign within {timeout_s} s; it is made anew",
+            f"watch did not answer within {timeout_s} s; it is restarted",
             step="store watch",
             peer=prefix,
         )
--- a/tests/test_spread_readiness.py
+++ b/tests/test_spread_readiness.py
@@ -11,7 +11,7 @@
 
 def _agreed(readiness: Readiness, hosts: list[str], *, ready: bool = True) -> Readiness:
     for host in hosts:
-        readiness.agreed(host, store_heard_s=None, ready=ready)
+        readiness.record_agreement(host, last_contact_s=None, ready=ready)
     return readiness
 
 
@@ -31,23 +31,23 @@
     agreeing: list[str], ready: bool
 ) -> None:
     readiness = _agreed(Readiness(started_s=STARTED_S), agreeing)
-    assert readiness.judge(LAC, LAC + OTHERS) is ready
+    assert readiness.evaluate(LAC, LAC + OTHERS) is ready
 
 
 def test_hosts_that_are_not_ready_do_not_count() -> None:
     readiness = _agreed(Readiness(started_s=STARTED_S), LAC + OTHERS, ready=False)
-    assert not readiness.judge(LAC, LAC + OTHERS)
+    assert not readiness.evaluate(LAC, LAC + OTHERS)
 
 
 @pytest.mark.parametrize(
-    ("heard_s", "ready"),
+    ("contact_s", "ready"),
     [
         pytest.param(STARTED_S - 0.1, False, id="before-start"),
         pytest.param(STARTED_S, True, id="since-start"),
     ],
 )
 def test_news_of_the_store_counts_from_the_start_on(
-    heard_s: float, ready: bool
+    contact_s: float, ready: bool
 ) -> None:
     """A host had new rules, restarts, and meets a peer that has yet to hear of them.
 
@@ -55,11 +55,11 @@
     it would put the former rules back in force on this host.
     """
     readiness = Readiness(started_s=STARTED_S)
-    readiness.agreed("lac-2", store_heard_s=heard_s, ready=True)
-    assert readiness.judge(LAC, LAC + OTHERS) is ready
+    readiness.record_agreement("lac-2", last_contact_s=contact_s, ready=True)
+    assert readiness.evaluate(LAC, LAC + OTHERS) is ready
 
 
 def test_ready_host_stays_ready_when_the_list_grows() -> None:
     readiness = _agreed(Readiness(started_s=STARTED_S), LAC[1:])
-    assert readiness.judge(LAC, LAC)
-    assert readiness.judge([*LAC, *OTHERS], [*LAC, *OTHERS])
+    assert readiness.evaluate(LAC, LAC)
+    assert readiness.evaluate([*LAC, *OTHERS], [*LAC, *OTHERS])
--- a/tests/test_spread_store_calls.py
+++ b/tests/test_spread_store_calls.py
@@ -58,7 +58,7 @@
     cluster = Cluster(per_domain=1, domains=["lac"])
     cluster.write(b"first")
     lone = cluster.start("lac-1")
-    lone.spread._listed = False
+    lone.spread._has_host_list = False
     cluster.run(0.9)
     assert not lone.spread.ready
     cluster.run(0.3)
--- a/tests/test_spread_versions.py
+++ b/tests/test_spread_versions.py
@@ -27,7 +27,7 @@
 def _table(*versions: tuple[str, int]) -> VersionTable:
     table = VersionTable()
     for key, revision in versions:
-        table.offer(VersionedValue(key=key, value=b"", revision=revision))
+        table.update(VersionedValue(key=key, value=b"", revision=revision))
     return table
 
 
@@ -39,7 +39,7 @@
 def test_only_a_higher_revision_is_taken(revision: int, taken: bool) -> None:
     table = _table(("a", 5))
     offered = VersionedValue(key="a", value=b"x", revision=revision)
-    assert table.offer(offered) is taken
+    assert table.update(offered) is taken
     assert table.revision("a") == max(5, revision)
 
 
@@ -49,14 +49,14 @@
     )
     table = _table(("a", 1), ("b", 2))
     before = table.checksum()
-    table.offer(VersionedValue(key="a", value=b"", revision=3))
+    table.update(VersionedValue(key="a", value=b"", revision=3))
     assert table.checksum() != before
 
 
 def test_differences_are_found_both_ways() -> None:
     table = _table(("a", 5), ("b", 2), ("c", 3))
     theirs = [("a", 4), ("b", 6), ("d", 1)]
-    assert table.lacking(theirs) == [("b", 6), ("d", 1)]
+    assert table.missing(theirs) == [("b", 6), ("d", 1)]
     assert table.newer_than(theirs) == [("a", 5), ("c", 3)]
 
 
@@ -110,7 +110,7 @@
     assert len(watchers) == 3 * min(WATCHERS, per_domain)
     for name, one in overlay.items():
         elsewhere = [w for w in watchers if w.split("-")[0] != name.split("-")[0]]
-        assert sorted(one.heads) == elsewhere
+        assert sorted(one.remote_watchers) == elsewhere
 
 
 def test_host_that_leaves_changes_few_places() -> None:
