--- a/src/gentianwharf/spread/_forwarder.py
+++ b/src/gentianwharf/spread/_forwarder.py
@@ -79,7 +79,7 @@
 
     def _root_message(self, value: VersionedValue, root: str) -> Push | Delta:
         """Return the message to forward: a delta if it is much smaller, else a push."""
-        packed = self._packed.of(value)
+        packed = self._packed.get(value)
         previous = self._table.previous(value.key)
         if previous is not None and len(packed) >= MIN_DELTA_VALUE_BYTES:
             delta = pack(make_delta(previous.value, value.value))
--- a/src/gentianwharf/spread/_frames.py
+++ b/src/gentianwharf/spread/_frames.py
@@ -1,4 +1,4 @@
-"""The envelope of everything that goes between two hosts."""
+"""The envelope of all messages between two hosts."""
 
 from collections.abc import Iterable
 from enum import IntEnum
@@ -9,16 +9,16 @@
 from gentianwharf.errors import PeerMismatchError
 from gentianwharf.topology import Host
 
-from ._messages import MOST_MESSAGE_BYTES
+from ._messages import MAX_MESSAGE_BYTES
 
 FRAME_VERSION = 1
 
-MOST_FRAME_BYTES = MOST_MESSAGE_BYTES + 1_024
-"""The largest message and its envelope; nng closes a connection that brings more."""
+MAX_FRAME_BYTES = MAX_MESSAGE_BYTES + 1_024
+"""The largest message with its envelope; nng closes a connection that sends more."""
 
 
 class Channel(IntEnum):
-    """Whose message it is; a receiver that doesn't know the channel drops it."""
+    """The system that a message belongs to; unknown channels are dropped."""
 
     SPREAD = 1
     OWNERSHIP = 2
@@ -27,7 +27,7 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame is for."""
+    """The purpose of a frame."""
 
     DATA = 0
     PROBE = 1
@@ -40,11 +40,12 @@
 class Frame(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """One frame.
 
-    ``receiver`` guards against an address that passed to another host: what was meant
-    for its former holder is dropped there, and goes unanswered, so that the sender
-    notices. ``incarnation`` is new with each start of ``sender``; an answer to a probe
-    carries the prober's, so that one for its former life is not taken for its own.
-    ``address`` is where the sender listens, for a receiver that has no list of hosts.
+    ``receiver`` guards against an address that was reassigned to another host: that
+    host drops frames for the previous holder without an answer, so that the sender
+    detects the change. ``incarnation`` is new with each start of ``sender``. The answer
+    to a probe carries the incarnation of the probing host, which can thus ignore
+    answers to probes from before its restart. ``address`` is where the sender listens;
+    receivers without a host list use it.
     """
 
     version: int
@@ -60,7 +61,7 @@
 
 @final
 class ListedPeer(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """One host in the body of a ``HOSTS`` frame."""
+    """A host in the body of a ``HOSTS`` frame."""
 
     id: str
     domain: str
@@ -73,12 +74,12 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return a frame as it goes over the wire."""
+    """Return the wire format of a frame."""
     return _encoder.encode(frame)
 
 
 def decode_frame(data: bytes, *, peer: str) -> Frame:
-    """Check and return a frame; raises ``PeerMismatchError``."""
+    """Decode and validate a frame; raises ``PeerMismatchError``."""
     try:
         frame = _decoder.decode(data)
     except msgspec.DecodeError as error:
@@ -97,17 +98,17 @@
 
 
 def encode_hosts(hosts: Iterable[Host]) -> bytes:
-    """Return a list of hosts as the body of a frame."""
+    """Return the body of a ``HOSTS`` frame."""
     return _encoder.encode(
         [
-            ListedPeer(id=one.id, domain=one.domain, address=one.peer_address)
-            for one in hosts
+            ListedPeer(id=host.id, domain=host.domain, address=host.peer_address)
+            for host in hosts
         ]
     )
 
 
 def decode_hosts(body: bytes, *, peer: str) -> tuple[Host, ...]:
-    """Check and return a list of hosts; raises ``PeerMismatchError``."""
+    """Decode and validate a list of hosts; raises ``PeerMismatchError``."""
     try:
         listed = _hosts_decoder.decode(body)
     except msgspec.DecodeError as error:
@@ -117,5 +118,6 @@
             peer=peer,
         ) from error
     return tuple(
-        Host(id=one.id, domain=one.domain, peer_address=one.address) for one in listed
+        Host(id=host.id, domain=host.domain, peer_address=host.address)
+        for host in listed
     )
--- a/src/gentianwharf/spread/_links.py
+++ b/src/gentianwharf/spread/_links.py
@@ -1,9 +1,10 @@
-"""When a link to a peer is opened, probed, made anew and closed. No network.
+"""When a link to a peer is opened, probed, replaced and closed, without network code.
 
-A link carries frames one way. nng notices only a closed connection and dials again by
-itself. One that went silent (a box between two hosts forgot it, the peer's machine is
-gone without a word) stays open for good and swallows what it is given. So each link in
-use is probed; a probe that goes unanswered for ``SILENT_AFTER_S`` makes the link anew.
+A link carries frames in one direction. nng detects only a closed connection, which it
+dials again itself. A half-open connection (a middlebox lost its state, or the peer's
+machine failed without closing it) stays open indefinitely, and its frames are lost.
+Each link in use is therefore probed, and replaced if probes go unanswered for
+``PROBE_TIMEOUT_S``.
 """
 
 from collections.abc import Callable
@@ -16,17 +17,16 @@
 
 from ._frames import FRAME_VERSION, Channel, Frame, FrameKind, encode_frame
 
-PROBE_EVERY_S = 0.5
-"""About 160 bytes both ways: at ten links in use, 3 KB/s for a host."""
+PROBE_INTERVAL_S = 0.5
+"""A probe and its answer have about 160 bytes: 3 KB/s for a host with ten links."""
 
-SILENT_AFTER_S = 1.6
-"""Three probes without an answer. A frozen peer costs a redial in this time, a link
-gone silent loses messages for as long; rights and digests go over other peers too."""
-
-IDLE_AFTER_S = 10.0
-"""A link that carried nothing of ours for this long is closed: a host keeps links to
-the peers it talks to, not to the whole fleet."""
+PROBE_TIMEOUT_S = 1.6
+"""Three unanswered probes. A frozen peer is redialled once per time-out. A half-open
+link loses messages for as long; rights and digests also travel through other peers."""
 
+IDLE_TIMEOUT_S = 10.0
+"""A link on which this host has sent no message for this long is closed, so that a host
+keeps links only to the peers it communicates with, not to the whole fleet."""
 
 NEVER_S = float("-inf")
 
@@ -35,20 +35,20 @@
     """A one-way connection to a peer that queues a bounded number of frames."""
 
     def send(self, data: bytes) -> bool:
-        """Queue a frame; False when the queue is full."""
+        """Queue a frame; return False if the queue is full."""
 
     def close(self) -> None:
-        """Close at once and drop what is queued."""
+        """Close immediately and drop queued frames."""
 
 
 Dial = Callable[[str], Link]
-"""Opens a link to ``ip:port`` without waiting for it."""
+"""Opens a link to ``ip:port`` without waiting for the connection."""
 
 
 @final
 @dataclass(kw_only=True, slots=True)
 class LinkStats:
-    """One peer's link, as an operator sees it; counts since the peer was named."""
+    """State of the link to a peer, with counts since the peer was first listed."""
 
     open: bool = False
     silent: bool = False
@@ -65,12 +65,12 @@
     address: str
     link: Link | None = None
     sequence: int = 0
-    used_s: float = NEVER_S
-    answering_s: float = NEVER_S
-    dialled_s: float = 0.0
+    last_used_s: float = NEVER_S
+    last_control_s: float = NEVER_S
+    last_dialled_s: float = 0.0
     next_probe_s: float = 0.0
-    waits_since_s: float | None = None
-    answered_s: float | None = None
+    unanswered_since_s: float | None = None
+    last_answer_s: float | None = None
     sent: int = 0
     dropped: int = 0
     redials: int = 0
@@ -78,7 +78,7 @@
 
 @final
 class LinkTable:
-    """The links of one host to its peers."""
+    """The links from one host to its peers."""
 
     def __init__(
         self,
@@ -96,20 +96,20 @@
         self._rng = rng
         self._peers: dict[str, _Peer] = {}
         self._open_ids: set[str] = set()
-        self._refused: dict[str, str] = {}
+        self._invalid_addresses: dict[str, str] = {}
 
     def set_peers(self, addresses: dict[str, str]) -> None:
-        """Take the peers' addresses by host id; links to others are closed.
+        """Set the peers' addresses by host id; links to other hosts are closed.
 
-        A peer whose address is no IP:PORT is left out. The list comes from outside,
-        and one bad line in it must not end the tick that renews every right.
+        A peer whose address is not IP:PORT is skipped. The list is external input: an
+        invalid entry must not raise in the tick that renews all rights.
         """
         addresses = {
             host_id: address
             for host_id, address in addresses.items()
-            if self._is_address(host_id, address)
+            if self._is_valid_address(host_id, address)
         }
-        for host_id in [one for one in self._peers if one not in addresses]:
+        for host_id in [peer_id for peer_id in self._peers if peer_id not in addresses]:
             self._close(self._peers.pop(host_id))
         for host_id, address in addresses.items():
             peer = self._peers.get(host_id)
@@ -117,32 +117,32 @@
                 self._peers[host_id] = _Peer(host_id=host_id, address=address)
             elif peer.address != address:
                 self._close(peer)
-                peer.waits_since_s = None
+                peer.unanswered_since_s = None
                 peer.address = address
 
-    def _is_address(self, host_id: str, address: str) -> bool:
+    def _is_valid_address(self, host_id: str, address: str) -> bool:
         try:
             check_address(address)
         except ValueError as error:
-            if self._refused.get(host_id) != address:
+            if self._invalid_addresses.get(host_id) != address:
                 log.error(
-                    "host left out: {}; mend its line in the platform's host list",
+                    "host skipped: {}; correct its entry in the platform's host list",
                     error,
                     extra={"step": "set peers", "peer": host_id},
                 )
-            self._refused[host_id] = address
+            self._invalid_addresses[host_id] = address
             return False
-        self._refused.pop(host_id, None)
+        self._invalid_addresses.pop(host_id, None)
         return True
 
     def send(
         self, host_id: str, body: bytes, *, channel: Channel, now_s: float
     ) -> bool:
-        """Send a message, opening the link if need be; False when it was dropped."""
+        """Send a message, opening the link if necessary; return False if dropped."""
         peer = self._peers.get(host_id)
         if peer is None:
             return False
-        peer.used_s = now_s
+        peer.last_used_s = now_s
         self._open(peer, now_s)
         sent = self._send_frame(host_id, peer, FrameKind.DATA, channel, body)
         if sent:
@@ -154,19 +154,19 @@
     def send_control(
         self, host_id: str, kind: FrameKind, body: bytes = b"", *, now_s: float
     ) -> None:
-        """Send a frame of the mesh's own; like an answer it keeps no link open."""
+        """Send a control frame; like an answer, it does not reset the idle time-out."""
         peer = self._peers.get(host_id)
         if peer is not None:
-            peer.answering_s = now_s
+            peer.last_control_s = now_s
             self._open(peer, now_s)
             self._send_frame(host_id, peer, kind, body=body)
 
-    def answer(self, probe: Frame, now_s: float) -> None:
-        """Answer a peer's probe over the link to it."""
+    def answer_probe(self, probe: Frame, now_s: float) -> None:
+        """Answer a peer's probe on the link to that peer."""
         peer = self._peers.get(probe.sender)
         if peer is None:
             return
-        peer.answering_s = now_s
+        peer.last_control_s = now_s
         self._open(peer, now_s)
         frame = Frame(
             version=FRAME_VERSION,
@@ -178,34 +178,37 @@
         )
         self._send(peer, frame)
 
-    def answered(self, answer: Frame, now_s: float) -> None:
-        """Note a peer's answer to a probe of this host's present life."""
+    def record_answer(self, answer: Frame, now_s: float) -> None:
+        """Record a peer's answer to a probe of this incarnation."""
         peer = self._peers.get(answer.sender)
         if peer is None or answer.incarnation != self._incarnation:
             return
-        peer.answered_s = now_s
-        peer.waits_since_s = None
+        peer.last_answer_s = now_s
+        peer.unanswered_since_s = None
 
     def is_silent(self, host_id: str, now_s: float) -> bool:
-        """Say whether a peer left probes unanswered for too long."""
+        """Return whether a peer has not answered probes for ``PROBE_TIMEOUT_S``."""
         peer = self._peers.get(host_id)
         return peer is not None and _is_silent(peer, now_s)
 
     def tick(self, now_s: float) -> None:
-        """Probe, make anew or close what is due."""
-        # Only the open ones: a host knows the fleet and talks to a dozen.
+        """Probe, replace or close the links for which this is due."""
+        # Only open links: of the whole fleet, a host communicates with about a dozen.
         for host_id in list(self._open_ids):
             peer = self._peers[host_id]
-            if now_s - peer.used_s > IDLE_AFTER_S:
+            if now_s - peer.last_used_s > IDLE_TIMEOUT_S:
                 self._tick_idle(peer, now_s)
                 continue
-            if _is_silent(peer, now_s) and now_s - peer.dialled_s >= SILENT_AFTER_S:
+            if (
+                _is_silent(peer, now_s)
+                and now_s - peer.last_dialled_s >= PROBE_TIMEOUT_S
+            ):
                 self._redial(peer, now_s)
             if now_s >= peer.next_probe_s:
                 self._probe(host_id, peer, now_s)
 
     def stats(self, now_s: float) -> dict[str, LinkStats]:
-        """Return each peer's link."""
+        """Return the state of each peer's link."""
         return {
             host_id: LinkStats(
                 open=peer.link is not None,
@@ -214,36 +217,36 @@
                 dropped=peer.dropped,
                 redials=peer.redials,
                 last_answer_age_s=(
-                    None if peer.answered_s is None else now_s - peer.answered_s
+                    None if peer.last_answer_s is None else now_s - peer.last_answer_s
                 ),
             )
             for host_id, peer in self._peers.items()
         }
 
     def close(self) -> None:
-        """Close every link."""
+        """Close all links."""
         for peer in self._peers.values():
             self._close(peer)
 
     def _tick_idle(self, peer: _Peer, now_s: float) -> None:
-        # Unprobed while only the peer's own probes are answered over it: two idle
-        # hosts that probed on account of each other would never close their links.
-        peer.waits_since_s = None
-        if now_s - peer.answering_s > IDLE_AFTER_S:
+        # The link is not probed while it only carries answers to the peer's probes.
+        # Otherwise two idle hosts would keep each other's links open forever.
+        peer.unanswered_since_s = None
+        if now_s - peer.last_control_s > IDLE_TIMEOUT_S:
             self._close(peer)
 
     def _open(self, peer: _Peer, now_s: float) -> None:
         if peer.link is None:
             self._dial_peer(peer, now_s)
-            peer.next_probe_s = now_s + self._probe_pause_s()
+            peer.next_probe_s = now_s + self._next_probe_delay_s()
 
-    def _probe_pause_s(self) -> float:
-        return PROBE_EVERY_S * self._rng.uniform(0.8, 1.2)
+    def _next_probe_delay_s(self) -> float:
+        return PROBE_INTERVAL_S * self._rng.uniform(0.8, 1.2)
 
     def _probe(self, host_id: str, peer: _Peer, now_s: float) -> None:
-        peer.next_probe_s = now_s + self._probe_pause_s()
-        if peer.waits_since_s is None:
-            peer.waits_since_s = now_s
+        peer.next_probe_s = now_s + self._next_probe_delay_s()
+        if peer.unanswered_since_s is None:
+            peer.unanswered_since_s = now_s
         peer.sequence += 1
         self._send_frame(host_id, peer, FrameKind.PROBE)
 
@@ -255,7 +258,7 @@
 
     def _dial_peer(self, peer: _Peer, now_s: float) -> None:
         peer.link = self._dial(peer.address)
-        peer.dialled_s = now_s
+        peer.last_dialled_s = now_s
         self._open_ids.add(peer.host_id)
 
     def _close(self, peer: _Peer) -> None:
@@ -281,7 +284,8 @@
             sequence=peer.sequence,
             channel=channel,
             body=body,
-            # Probes are the most frequent frames; a host in need gets messages too.
+            # Probes are the most frequent frames, so they omit the address. A host
+            # without a host list receives messages as well.
             address=self._address if kind is FrameKind.DATA else "",
         )
         return self._send(peer, frame)
@@ -292,5 +296,7 @@
 
 
 def _is_silent(peer: _Peer, now_s: float) -> bool:
-    waits_since_s = peer.waits_since_s
-    return waits_since_s is not None and now_s - waits_since_s >= SILENT_AFTER_S
+    unanswered_since_s = peer.unanswered_since_s
+    return (
+        unanswered_since_s is not None and now_s - unanswered_since_s >= PROBE_TIMEOUT_S
+    )
--- a/src/gentianwharf/spread/_mesh.py
+++ b/src/gentianwharf/spread/_mesh.py
@@ -1,4 +1,4 @@
-"""Messages between hosts over links that are probed and made anew."""
+"""Messages between hosts over links that are probed and replaced on failure."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 from gentianwharf.topology import Host
 
 from ._frames import (
-    MOST_FRAME_BYTES,
+    MAX_FRAME_BYTES,
     Channel,
     Frame,
     FrameKind,
@@ -20,13 +20,15 @@
     encode_hosts,
 )
 from ._links import Dial, LinkStats, LinkTable
-from ._messages import MOST_MESSAGE_BYTES
+from ._messages import MAX_MESSAGE_BYTES
 
 INCARNATION_BITS = 53
-"""Random, since a host keeps nothing from which to count on; as wide as JSON takes."""
+"""An incarnation is random, since a host stores no counter across restarts. Integers of
+up to 53 bits are exact in JSON."""
 
-HOSTS_ASK_EVERY_S = 0.2
-"""A host without a list asks one of those that write to it at a time."""
+HOSTS_REQUEST_INTERVAL_S = 0.2
+"""Minimum time between requests for the host list. A host without a list asks one of
+its senders at a time."""
 
 OnMessage = Callable[[str, bytes], None]
 OnHosts = Callable[[tuple[Host, ...]], None]
@@ -35,7 +37,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MeshStats:
-    """What an operator sees of the mesh."""
+    """Counts and links of the mesh, for operators."""
 
     received: int
     malformed: int
@@ -47,27 +49,27 @@
 
 @final
 class PeerChannel:
-    """One system's way to its peers over the mesh."""
+    """Sends the messages of one system over the mesh."""
 
     def __init__(self, *, mesh: "PeerMesh", channel: Channel) -> None:
         self._mesh = mesh
         self._channel = channel
 
     def send(self, host_id: str, message: bytes) -> bool:
-        """Hand a message over for sending; False when it was dropped at once."""
+        """Queue a message; return False if it was dropped immediately."""
         return self._mesh.send(host_id, message, channel=self._channel)
 
 
 @final
 class PeerMesh:
-    """One host's messages to and from its fellow hosts.
+    """Exchanges messages between one host and its peers.
 
-    A message may be lost, come late or come twice, as over any network; True from
-    ``send`` says only that it was queued. Call ``tick`` every 50 to 100 ms.
+    A message may be lost, delayed or duplicated; True from ``send`` only means that it
+    was queued. Call ``tick`` every 50 to 100 ms.
 
-    A host that starts while the platform's list is out of reach knows no peers, but
-    they know it: ``on_hosts`` is called with the list of one that wrote to it, until
-    ``set_peers`` names a peer.
+    A host that starts while the platform's host list is unreachable has no peers, but
+    its peers list it. Until ``set_peers`` is called with a peer, ``on_hosts`` is called
+    with the host list of a peer that sent a message.
     """
 
     def __init__(
@@ -81,8 +83,8 @@
     ) -> None:
         self._on_hosts = on_hosts
         self._hosts: tuple[Host, ...] = ()
-        self._knows_peers = False
-        self._hosts_asked_s = float("-inf")
+        self._has_peers = False
+        self._last_hosts_request_s = float("-inf")
         self._reactor = reactor
         self._host = host
         self._handlers: dict[int, OnMessage] = {}
@@ -101,40 +103,40 @@
         self._failed = 0
 
     def channel(self, channel: Channel, on_message: OnMessage) -> PeerChannel:
-        """Return a system's channel; its messages go to ``on_message(host_id, m)``."""
+        """Return a channel; ``on_message(host_id, message)`` handles its messages."""
         self._handlers[channel] = on_message
         return PeerChannel(mesh=self, channel=channel)
 
     def listen(self) -> None:
-        """Listen on the host's peer address; raises ``InputError`` when it can't."""
+        """Listen on the host's peer address; raises ``InputError`` on failure."""
         self._listener = NngListener(
             reactor=self._reactor,
             address=self._host.peer_address,
             on_data=self.handle_frame,
-            max_bytes=MOST_FRAME_BYTES,
+            max_bytes=MAX_FRAME_BYTES,
         )
 
     def set_peers(self, hosts: Iterable[Host], *, leaving: Iterable[Host] = ()) -> None:
-        """Take the list of hosts; links open with the first message to a host.
+        """Set the list of hosts; links open with the first message to a host.
 
-        ``leaving`` hosts are answered still. The balancer goes on sending to one for
-        some seconds, and without its peers' answers its right to send would lapse: it
-        would refuse every keyed request that it is meant to finish.
+        ``leaving`` hosts still receive answers. The balancer continues to send requests
+        to such a host for some seconds. Without answers from its peers, its right to
+        send would lapse, and it would refuse the keyed requests it should finish.
         """
         self._hosts = tuple(hosts)
         addresses = {
-            one.id: one.peer_address
-            for one in (*leaving, *self._hosts)
-            if one.id != self._host.id
+            host.id: host.peer_address
+            for host in (*leaving, *self._hosts)
+            if host.id != self._host.id
         }
-        self._knows_peers = bool(addresses)
+        self._has_peers = bool(addresses)
         self._links.set_peers(addresses)
 
     def send(self, host_id: str, message: bytes, *, channel: Channel) -> bool:
-        """Queue a message; False when the host is unknown or its queue is full."""
-        if len(message) > MOST_MESSAGE_BYTES:
+        """Queue a message; return False if the host is unknown or its queue is full."""
+        if len(message) > MAX_MESSAGE_BYTES:
             raise InputError(
-                f"expected at most {MOST_MESSAGE_BYTES} bytes, got {len(message)}",
+                f"expected at most {MAX_MESSAGE_BYTES} bytes, got {len(message)}",
                 step="send to peer",
                 peer=host_id,
             )
@@ -143,11 +145,11 @@
         )
 
     def is_silent(self, host_id: str) -> bool:
-        """Say whether a host that we talk to left our probes unanswered."""
+        """Return whether a host with an open link does not answer probes."""
         return self._links.is_silent(host_id, self._reactor.seconds())
 
     def tick(self) -> None:
-        """Probe, make anew or close links that are due."""
+        """Probe, replace or close the links for which this is due."""
         self._links.tick(self._reactor.seconds())
 
     def close(self) -> None:
@@ -157,7 +159,7 @@
             self._listener.close()
 
     def stats(self) -> MeshStats:
-        """Return what an operator sees."""
+        """Return the state for operators."""
         return MeshStats(
             received=self._received,
             malformed=self._malformed,
@@ -168,7 +170,7 @@
         )
 
     def handle_frame(self, data: bytes) -> None:
-        """Handle a frame that came in; one not meant for us is counted, dropped."""
+        """Handle a received frame; one for another host is counted and dropped."""
         try:
             frame = decode_frame(data, peer=self._host.peer_address)
         except PeerMismatchError:
@@ -178,21 +180,21 @@
             self._for_another_host += 1
             return
         self._received += 1
-        if frame.kind is not FrameKind.HOSTS and not self._knows_peers:
-            self._ask_for_hosts(frame)
+        if frame.kind is not FrameKind.HOSTS and not self._has_peers:
+            self._request_hosts(frame)
         match frame.kind:
             case FrameKind.PROBE:
-                self._links.answer(frame, self._reactor.seconds())
+                self._links.answer_probe(frame, self._reactor.seconds())
             case FrameKind.PROBE_ANSWER:
-                self._links.answered(frame, self._reactor.seconds())
+                self._links.record_answer(frame, self._reactor.seconds())
             case FrameKind.DATA:
-                self._hand_over(frame)
+                self._dispatch(frame)
             case FrameKind.HOSTS_ASK:
-                self._tell_hosts(frame.sender)
+                self._send_hosts(frame.sender)
             case FrameKind.HOSTS:
-                self._take_hosts(frame)
+                self._apply_hosts(frame)
 
-    def _hand_over(self, frame: Frame) -> None:
+    def _dispatch(self, frame: Frame) -> None:
         handler = self._handlers.get(frame.channel)
         if handler is None:
             self._unknown_channel += 1
@@ -200,24 +202,25 @@
         try:
             handler(frame.sender, frame.body)
         except Exception:
-            # The reactor closes a reader whose reading raises: one message that a
-            # system stumbles over would leave this host deaf to all others for good.
+            # The reactor closes a reader that raises: after one message that a handler
+            # fails on, this host would receive no more messages.
             self._failed += 1
             log.exception(
-                "message failed", extra={"step": "hand over", "peer": frame.sender}
+                "message from a peer could not be handled",
+                extra={"step": "hand over", "peer": frame.sender},
             )
 
-    def _ask_for_hosts(self, frame: Frame) -> None:
+    def _request_hosts(self, frame: Frame) -> None:
         now_s = self._reactor.seconds()
-        is_due = now_s >= self._hosts_asked_s + HOSTS_ASK_EVERY_S
+        is_due = now_s >= self._last_hosts_request_s + HOSTS_REQUEST_INTERVAL_S
         if self._on_hosts is None or not frame.address or not is_due:
             return
-        self._hosts_asked_s = now_s
+        self._last_hosts_request_s = now_s
         self._links.set_peers({frame.sender: frame.address})
         self._links.send_control(frame.sender, FrameKind.HOSTS_ASK, now_s=now_s)
 
-    def _tell_hosts(self, host_id: str) -> None:
-        if self._knows_peers:
+    def _send_hosts(self, host_id: str) -> None:
+        if self._has_peers:
             self._links.send_control(
                 host_id,
                 FrameKind.HOSTS,
@@ -225,9 +228,9 @@
                 now_s=self._reactor.seconds(),
             )
 
-    def _take_hosts(self, frame: Frame) -> None:
-        if self._on_hosts is None or self._knows_peers:
-            # The platform's own list, or an earlier peer's, is there.
+    def _apply_hosts(self, frame: Frame) -> None:
+        if self._on_hosts is None or self._has_peers:
+            # The platform's list, or that of another peer, has already been set.
             return
         try:
             self._on_hosts(decode_hosts(frame.body, peer=frame.sender))
--- a/src/gentianwharf/spread/_messages.py
+++ b/src/gentianwharf/spread/_messages.py
@@ -1,7 +1,7 @@
-"""What hosts say to each other about versions: typed, versioned, size-limited.
+"""Replication messages between hosts: typed, versioned and limited in size.
 
-A message is one byte of format version and a msgpack array. A host that meets another
-format version drops the message: it still has the store, and peers of its own version.
+A message is one byte of format version followed by a msgpack array. A host drops
+messages of another format version; it still has the store and peers of its own version.
 """
 
 from typing import final
@@ -13,11 +13,11 @@
 
 FORMAT_VERSION = 1
 
-MOST_MESSAGE_BYTES = MOST_VALUE_BYTES + 4_096
-"""The largest value of the store, its key and the rest of the message."""
+MAX_MESSAGE_BYTES = MOST_VALUE_BYTES + 4_096
+"""The largest value of the store plus its key and the other fields."""
 
-MOST_KEYS = 4_096
-"""Values that one feed carries; more would make a vector larger than a value."""
+MAX_KEYS = 4_096
+"""Maximum number of keys; a vector of more keys could exceed the size of a value."""
 
 Version = tuple[str, int]
 """A key and the store's revision of its value."""
@@ -26,12 +26,12 @@
 class Message(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", kw_only=True
 ):
-    """Base of the messages."""
+    """Base class of the messages."""
 
 
 @final
 class Push(Message, tag="push", frozen=True, array_like=True, kw_only=True):
-    """A value; the receiver passes it on down the tree of ``root``, if one is named."""
+    """A complete value; the receiver forwards it in the tree of ``root``, if set."""
 
     key: str
     packed: bytes
@@ -41,10 +41,10 @@
 
 @final
 class Delta(Message, tag="delta", frozen=True, array_like=True, kw_only=True):
-    """What of a value differs from revision ``base``; passed on like ``Push``.
+    """The difference of a value from revision ``base``; forwarded like ``Push``.
 
-    ``checksum`` is the whole new value's. A host that lacks the base passes it on all
-    the same and pulls the whole.
+    ``checksum`` is that of the complete new value. A host that lacks the base also
+    forwards the message, and pulls the complete value.
     """
 
     key: str
@@ -57,7 +57,7 @@
 
 @final
 class Have(Message, tag="have", frozen=True, array_like=True, kw_only=True):
-    """Versions that the sender has; passed on like ``Push``, without the bodies."""
+    """Versions that the sender holds; forwarded like ``Push``, without bodies."""
 
     versions: list[Version]
     root: str = ""
@@ -65,10 +65,10 @@
 
 @final
 class Digest(Message, tag="digest", frozen=True, array_like=True, kw_only=True):
-    """A checksum over all versions that the sender has.
+    """A checksum over all versions that the sender holds.
 
-    ``store_age_ms`` is how long ago the sender, or a host with the same versions,
-    heard the store; -1 for never.
+    ``store_age_ms`` is the time since the sender, or a host with the same versions, had
+    contact with the store; -1 if there was none.
     """
 
     checksum: int
@@ -77,13 +77,13 @@
 
 
 @final
-class Ask(Message, tag="ask", frozen=True, array_like=True, kw_only=True):
-    """Asks for a ``Vector``."""
+class VectorRequest(Message, tag="ask", frozen=True, array_like=True, kw_only=True):
+    """Requests a ``Vector``."""
 
 
 @final
 class Vector(Message, tag="vector", frozen=True, array_like=True, kw_only=True):
-    """Every version that the sender has."""
+    """All versions that the sender holds."""
 
     versions: list[Version]
     store_age_ms: int
@@ -92,31 +92,31 @@
 
 @final
 class Pull(Message, tag="pull", frozen=True, array_like=True, kw_only=True):
-    """Asks for the values of some keys."""
+    """Requests the values of some keys."""
 
     keys: list[str]
 
 
-AnyMessage = Push | Delta | Have | Digest | Ask | Vector | Pull
+AnyMessage = Push | Delta | Have | Digest | VectorRequest | Vector | Pull
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(AnyMessage)
 
 
 def encode(message: AnyMessage) -> bytes:
-    """Return a message as it goes to a peer."""
+    """Return the wire format of a message."""
     return bytes([FORMAT_VERSION]) + _encoder.encode(message)
 
 
 def decode(data: bytes, *, peer: str) -> AnyMessage:
-    """Check and return a message; raises ``PeerMismatchError``.
+    """Decode and validate a message; raises ``PeerMismatchError``.
 
     >>> decode(encode(Pull(keys=["rules"])), peer="lac-1")
     Pull(keys=['rules'])
     """
-    if not data or len(data) > MOST_MESSAGE_BYTES:
+    if not data or len(data) > MAX_MESSAGE_BYTES:
         raise _mismatch(
-            f"expected 1 to {MOST_MESSAGE_BYTES} bytes, got {len(data)}", peer
+            f"expected 1 to {MAX_MESSAGE_BYTES} bytes, got {len(data)}", peer
         )
     if data[0] != FORMAT_VERSION:
         raise _mismatch(f"expected format {FORMAT_VERSION}, got {data[0]}", peer)
@@ -126,9 +126,9 @@
         raise _mismatch(
             f"expected a message: {error}; is the peer of another version?", peer
         ) from error
-    if isinstance(message, Have | Vector) and len(message.versions) > MOST_KEYS:
+    if isinstance(message, Have | Vector) and len(message.versions) > MAX_KEYS:
         raise _mismatch(
-            f"expected at most {MOST_KEYS} versions, got {len(message.versions)}", peer
+            f"expected at most {MAX_KEYS} versions, got {len(message.versions)}", peer
         )
     return message
 
--- a/src/gentianwharf/spread/_packing.py
+++ b/src/gentianwharf/spread/_packing.py
@@ -1,7 +1,7 @@
-"""Values as they travel: compressed where that helps.
+"""Wire format of values: compressed if that makes them smaller.
 
-Rules and tables repeat themselves, and are the largest part of what control work
-sends: ten thousand changes a day of a 60 KB list would take 7 KB/s of each host.
+Rules and tables compress well and are the largest part of the control traffic: without
+compression, ten thousand changes a day of a 60 KB list would take 7 KB/s per host.
 """
 
 import zlib
@@ -12,31 +12,31 @@
 
 PLAIN, DEFLATED = b"\x00", b"\x01"
 
-LEAST_BYTES = 256
-"""Smaller values gain less than they cost."""
+MIN_COMPRESSED_BYTES = 256
+"""Compressing smaller values costs more than it saves."""
 
-LEVEL = 1
-"""The fastest: the loop that compresses also serves callers."""
+COMPRESSION_LEVEL = 1
+"""The fastest level, since compression blocks the event loop that serves callers."""
 
 
 def pack(value: bytes) -> bytes:
-    """Return a value as it travels: one byte that says how, and the rest.
+    """Return the packed form of a value: one byte for the encoding, then the data.
 
     >>> len(pack(b"rule " * 1_000)) < 100
     True
     """
-    if len(value) >= LEAST_BYTES:
-        deflated = zlib.compress(value, LEVEL)
-        if len(deflated) < len(value):
-            return DEFLATED + deflated
+    if len(value) >= MIN_COMPRESSED_BYTES:
+        compressed = zlib.compress(value, COMPRESSION_LEVEL)
+        if len(compressed) < len(value):
+            return DEFLATED + compressed
     return PLAIN + value
 
 
 def unpack(packed: bytes, *, peer: str) -> bytes:
     """Return the value; raises ``PeerMismatchError``.
 
-    Stops at the largest value that the store takes: a small message may claim to hold
-    gigabytes, and the host would run out of memory over it.
+    The size is limited to that of the largest value that the store accepts: a small
+    message can expand to gigabytes and exhaust the host's memory.
 
     >>> unpack(pack(b"rule " * 1_000), peer="lac-1") == b"rule " * 1_000
     True
@@ -46,13 +46,13 @@
         return body
     if kind != DEFLATED:
         raise _mismatch(f"expected a packed value, got kind {kind!r}", peer)
-    inflater = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        value = inflater.decompress(body, MOST_VALUE_BYTES + 1)
+        value = decompressor.decompress(body, MOST_VALUE_BYTES + 1)
     except zlib.error as error:
         raise _mismatch(f"expected a packed value: {error}", peer) from error
-    whole = inflater.eof and not inflater.unused_data
-    if not whole or len(value) > MOST_VALUE_BYTES:
+    complete = decompressor.eof and not decompressor.unused_data
+    if not complete or len(value) > MOST_VALUE_BYTES:
         raise _mismatch(
             f"expected one whole value of at most {MOST_VALUE_BYTES} bytes", peer
         )
@@ -65,19 +65,19 @@
 
 @final
 class PackedValues:
-    """Packs each version once, and keeps one that came packed as it came."""
+    """Caches the packed form of the latest version of each value."""
 
     def __init__(self) -> None:
         self._packed: dict[str, tuple[int, bytes]] = {}
 
-    def keep(self, value: VersionedValue, packed: bytes) -> None:
-        """Keep the packed form of a value that came from a peer."""
+    def put(self, value: VersionedValue, packed: bytes) -> None:
+        """Store the packed form of a value, for instance as received from a peer."""
         self._packed[value.key] = (value.revision, packed)
 
-    def of(self, value: VersionedValue) -> bytes:
+    def get(self, value: VersionedValue) -> bytes:
         """Return the packed form of a value."""
         revision, packed = self._packed.get(value.key, (0, b""))
         if revision != value.revision:
             packed = pack(value.value)
-            self.keep(value, packed)
+            self.put(value, packed)
         return packed
--- a/src/gentianwharf/spread/_queries.py
+++ b/src/gentianwharf/spread/_queries.py
@@ -1,8 +1,8 @@
-"""Questions to many hosts at once, bounded in hosts, bytes and time.
+"""Queries to many hosts, bounded in concurrency, bytes and time.
 
-For what an operator asks of the whole fleet. The hosts answer from what they hold, so
-that it costs the store nothing. A host that does not answer is named with the reason:
-a silent host must never look like one that agrees.
+They serve operators' requests about the whole fleet. Hosts answer from memory, without
+store calls. A host that does not answer is reported with the reason, so that a missing
+answer is never mistaken for agreement.
 """
 
 from collections import deque
@@ -22,35 +22,37 @@
 
 FORMAT_VERSION = 1
 
-ASKED_AT_ONCE = 64
-"""Hosts that have not answered yet; bounds what arrives in one turn of the loop. Two
-deployments of today's size fit, so that silent hosts hold up nobody else."""
+MAX_UNANSWERED_HOSTS = 64
+"""Maximum number of unanswered hosts; bounds the data that arrives in one iteration of
+the event loop. Two deployments of current size fit, so that hosts that don't answer
+don't delay the others."""
 
-ASK_AGAIN_S = 0.25
-"""A message may be lost, and the first to a host waits for its link to be made."""
+RESEND_INTERVAL_S = 0.25
+"""Interval between repetitions of a query. A message may be lost, and the first one to
+a host waits for the connection."""
 
-STEP_S = 0.05
+CHECK_INTERVAL_S = 0.05
 
 NUMBER_BITS = 48
 
 MAX_ANSWER_BYTES = 256_000
-"""A host's answer as it travels. The largest, a burn with every place taken, has about
-a tenth of that."""
+"""Maximum size of a packed answer. The largest one, a burn with all entries in use, has
+about a tenth of this."""
 
-MOST_GATHERED_BYTES = 32_000_000
-"""All answers to one question as they travel; hosts beyond it are not asked."""
+MAX_GATHERED_BYTES = 32_000_000
+"""Maximum size of all packed answers to a query; no more hosts are asked beyond it."""
 
-MOST_ARGUMENT_CHARACTERS = 256
+MAX_ARGUMENT_CHARACTERS = 256
 
-Answerer = Callable[[str], bytes]
-"""Gets the question's argument."""
+QueryHandler = Callable[[str], bytes]
+"""Called with the argument of a query; returns the answer."""
 
 OnAnswer = Callable[[str, bytes], None]
 
 
 @final
 class Query(msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag="query"):
-    """Asks for what ``kind`` names; the answer carries the same ``number``."""
+    """A query of a kind; its reply has the same ``number``."""
 
     number: int
     kind: str
@@ -59,7 +61,7 @@
 
 @final
 class Reply(msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag="reply"):
-    """Answers a ``Query``; ``problem`` says why ``packed`` is empty."""
+    """The reply to a ``Query``; ``problem`` is the reason if ``packed`` is empty."""
 
     number: int
     packed: bytes = b""
@@ -73,12 +75,12 @@
 
 
 def encode_query(message: Query | Reply) -> bytes:
-    """Return a message as it goes to a peer."""
+    """Return the wire format of a message."""
     return bytes([FORMAT_VERSION]) + _encoder.encode(message)
 
 
 def decode_query(data: bytes, *, peer: str) -> Query | Reply:
-    """Check and return a message; raises ``PeerMismatchError``."""
+    """Decode and validate a message; raises ``PeerMismatchError``."""
     if data[:1] != bytes([FORMAT_VERSION]):
         raise PeerMismatchError(
             f"expected format {FORMAT_VERSION}, got {data[:1]!r}; is the peer of"
@@ -96,8 +98,8 @@
 
 @final
 @dataclass(kw_only=True, slots=True)
-class _Gathering:
-    """One question on its way."""
+class _RunningQuery:
+    """A query whose answers are being collected."""
 
     number: int
     kind: str
@@ -105,20 +107,20 @@
     on_answer: OnAnswer
     host_timeout_s: float
     end_s: float
-    waiting: deque[str]
+    remaining: deque[str]
     done: Deferred[None]
-    asked_s: dict[str, float] = field(default_factory=dict)
-    again_s: dict[str, float] = field(default_factory=dict)
-    silent: dict[str, str] = field(default_factory=dict)
+    first_sent_s: dict[str, float] = field(default_factory=dict)
+    resend_s: dict[str, float] = field(default_factory=dict)
+    failures: dict[str, str] = field(default_factory=dict)
     gathered_bytes: int = 0
     next_step: IDelayedCall | None = None
 
 
 @final
 class PeerQueries:
-    """Asks other hosts, and answers what they ask.
+    """Sends queries to other hosts, and answers theirs.
 
-    ``register_handler`` names what this host answers to a kind of question.
+    ``register_handler`` sets the handler for a kind of query.
     """
 
     def __init__(
@@ -126,15 +128,16 @@
     ) -> None:
         self._clock = clock
         self._peers = peers
-        self._answerers: dict[str, Answerer] = {}
-        self._running: dict[int, _Gathering] = {}
-        # Drawn at each start: a late reply to this host's earlier life is none now.
+        self._handlers: dict[str, QueryHandler] = {}
+        self._running: dict[int, _RunningQuery] = {}
+        # Random at each start, so that late replies to queries from before a restart
+        # are ignored.
         self._last_number = rng.getrandbits(NUMBER_BITS)
         self.malformed = 0
 
-    def register_handler(self, kind: str, answerer: Answerer) -> None:
-        """Answer questions of ``kind`` with what ``answerer`` returns."""
-        self._answerers[kind] = answerer
+    def register_handler(self, kind: str, handler: QueryHandler) -> None:
+        """Answer queries of ``kind`` with the result of ``handler``."""
+        self._handlers[kind] = handler
 
     async def gather(
         self,
@@ -146,35 +149,35 @@
         host_timeout_s: float,
         timeout_s: float,
     ) -> dict[str, str]:
-        """Ask hosts; return those that did not answer well, each with the reason.
+        """Query hosts; return those without a valid answer, each with the reason.
 
-        ``on_answer`` is called with each host's answer as it comes, so that answers
-        need not be kept; what it raises becomes the host's reason.
+        ``on_answer`` is called with each answer on arrival, so that answers need not be
+        stored. If it raises ``GentianwharfError``, the message becomes the reason.
         """
         self._last_number += 1
-        gathering = _Gathering(
+        running = _RunningQuery(
             number=self._last_number,
             kind=kind,
             argument=argument,
             on_answer=on_answer,
             host_timeout_s=host_timeout_s,
             end_s=self._clock.seconds() + timeout_s,
-            waiting=deque(host_ids),
+            remaining=deque(host_ids),
             done=Deferred(),
         )
-        self._running[gathering.number] = gathering
+        self._running[running.number] = running
         try:
-            self._step(gathering)
-            await gathering.done
+            self._check(running)
+            await running.done
         finally:
-            # Also when the operator hung up and this was cancelled.
-            del self._running[gathering.number]
-            if gathering.next_step is not None and gathering.next_step.active():
-                gathering.next_step.cancel()
-        return gathering.silent
+            # Also runs if the operator disconnected and the query was cancelled.
+            del self._running[running.number]
+            if running.next_step is not None and running.next_step.active():
+                running.next_step.cancel()
+        return running.failures
 
     def received(self, host_id: str, message: bytes) -> None:
-        """Handle a message of another host; a malformed one is counted and dropped."""
+        """Handle a message from a host; malformed ones are counted and dropped."""
         try:
             decoded = decode_query(message, peer=host_id)
         except PeerMismatchError:
@@ -186,20 +189,20 @@
             self._on_reply(host_id, decoded)
 
     def _reply(self, query: Query) -> Reply:
-        answerer = self._answerers.get(query.kind)
-        if answerer is None:
+        handler = self._handlers.get(query.kind)
+        if handler is None:
             return Reply(
                 number=query.number,
                 problem=f"the host knows no question {query.kind[:40]!r}; is it of"
                 " another version?",
             )
-        if len(query.argument) > MOST_ARGUMENT_CHARACTERS:
+        if len(query.argument) > MAX_ARGUMENT_CHARACTERS:
             return Reply(
                 number=query.number,
-                problem=f"expected at most {MOST_ARGUMENT_CHARACTERS} characters to ask"
+                problem=f"expected at most {MAX_ARGUMENT_CHARACTERS} characters to ask"
                 f" for, got {len(query.argument)}",
             )
-        packed = pack(answerer(query.argument))
+        packed = pack(handler(query.argument))
         if len(packed) > MAX_ANSWER_BYTES:
             return Reply(
                 number=query.number,
@@ -209,77 +212,81 @@
         return Reply(number=query.number, packed=packed)
 
     def _on_reply(self, host_id: str, reply: Reply) -> None:
-        gathering = self._running.get(reply.number)
-        if gathering is None or host_id not in gathering.asked_s:
-            # Late, or twice: the host has its place in the result already.
+        running = self._running.get(reply.number)
+        if running is None or host_id not in running.first_sent_s:
+            # A late or duplicate reply: the result for this host is already final.
             return
-        self._forget(gathering, host_id)
-        gathering.gathered_bytes += len(reply.packed)
+        self._discard(running, host_id)
+        running.gathered_bytes += len(reply.packed)
         if reply.problem:
-            gathering.silent[host_id] = reply.problem[:500]
+            running.failures[host_id] = reply.problem[:500]
         else:
-            self._take(gathering, host_id, reply.packed)
-        self._ask_next(gathering)
-        self._end_if_done(gathering)
+            self._handle_answer(running, host_id, reply.packed)
+        self._send_next(running)
+        self._end_if_done(running)
 
-    def _take(self, gathering: _Gathering, host_id: str, packed: bytes) -> None:
+    def _handle_answer(
+        self, running: _RunningQuery, host_id: str, packed: bytes
+    ) -> None:
         try:
-            gathering.on_answer(host_id, unpack(packed, peer=host_id))
+            running.on_answer(host_id, unpack(packed, peer=host_id))
         except GentianwharfError as error:
-            gathering.silent[host_id] = error.message
+            running.failures[host_id] = error.message
 
-    def _step(self, gathering: _Gathering) -> None:
+    def _check(self, running: _RunningQuery) -> None:
         now_s = self._clock.seconds()
-        for host_id in list(gathering.asked_s):
-            if now_s >= gathering.asked_s[host_id] + gathering.host_timeout_s:
-                self._forget(gathering, host_id)
-                gathering.silent[host_id] = (
-                    f"no answer within {gathering.host_timeout_s:g} s"
+        for host_id in list(running.first_sent_s):
+            if now_s >= running.first_sent_s[host_id] + running.host_timeout_s:
+                self._discard(running, host_id)
+                running.failures[host_id] = (
+                    f"no answer within {running.host_timeout_s:g} s"
                 )
-            elif now_s >= gathering.again_s[host_id]:
-                self._ask(gathering, host_id)
-        self._ask_next(gathering)
-        if now_s >= gathering.end_s:
-            self._give_up(gathering)
-        gathering.next_step = None
-        self._end_if_done(gathering)
-        if not gathering.done.called:
-            gathering.next_step = self._clock.callLater(STEP_S, self._step, gathering)
-
-    def _ask_next(self, gathering: _Gathering) -> None:
-        while gathering.waiting and len(gathering.asked_s) < ASKED_AT_ONCE:
-            host_id = gathering.waiting.popleft()
-            if gathering.gathered_bytes >= MOST_GATHERED_BYTES:
-                gathering.silent[host_id] = "not asked: the answers of others are"
-                gathering.silent[host_id] += f" {MOST_GATHERED_BYTES} bytes already"
+            elif now_s >= running.resend_s[host_id]:
+                self._send_query(running, host_id)
+        self._send_next(running)
+        if now_s >= running.end_s:
+            self._expire(running)
+        running.next_step = None
+        self._end_if_done(running)
+        if not running.done.called:
+            running.next_step = self._clock.callLater(
+                CHECK_INTERVAL_S, self._check, running
+            )
+
+    def _send_next(self, running: _RunningQuery) -> None:
+        while running.remaining and len(running.first_sent_s) < MAX_UNANSWERED_HOSTS:
+            host_id = running.remaining.popleft()
+            if running.gathered_bytes >= MAX_GATHERED_BYTES:
+                running.failures[host_id] = "not asked: the answers of others are"
+                running.failures[host_id] += f" {MAX_GATHERED_BYTES} bytes already"
                 continue
-            gathering.asked_s[host_id] = self._clock.seconds()
-            self._ask(gathering, host_id)
+            running.first_sent_s[host_id] = self._clock.seconds()
+            self._send_query(running, host_id)
 
-    def _ask(self, gathering: _Gathering, host_id: str) -> None:
-        gathering.again_s[host_id] = self._clock.seconds() + ASK_AGAIN_S
+    def _send_query(self, running: _RunningQuery, host_id: str) -> None:
+        running.resend_s[host_id] = self._clock.seconds() + RESEND_INTERVAL_S
         query = Query(
-            number=gathering.number,
-            kind=gathering.kind,
-            argument=gathering.argument,
+            number=running.number,
+            kind=running.kind,
+            argument=running.argument,
         )
         self._peers.send(host_id, encode_query(query))
 
-    def _forget(self, gathering: _Gathering, host_id: str) -> None:
-        del gathering.asked_s[host_id], gathering.again_s[host_id]
+    def _discard(self, running: _RunningQuery, host_id: str) -> None:
+        del running.first_sent_s[host_id], running.resend_s[host_id]
 
-    def _give_up(self, gathering: _Gathering) -> None:
-        for host_id in list(gathering.asked_s):
-            self._forget(gathering, host_id)
-            gathering.silent[host_id] = "no answer before the time for all was over"
-        for host_id in gathering.waiting:
-            gathering.silent[host_id] = "not asked: the time for all was over"
-        gathering.waiting.clear()
+    def _expire(self, running: _RunningQuery) -> None:
+        for host_id in list(running.first_sent_s):
+            self._discard(running, host_id)
+            running.failures[host_id] = "no answer before the time for all was over"
+        for host_id in running.remaining:
+            running.failures[host_id] = "not asked: the time for all was over"
+        running.remaining.clear()
 
-    def _end_if_done(self, gathering: _Gathering) -> None:
+    def _end_if_done(self, running: _RunningQuery) -> None:
         if (
-            not gathering.asked_s
-            and not gathering.waiting
-            and not gathering.done.called
+            not running.first_sent_s
+            and not running.remaining
+            and not running.done.called
         ):
-            gathering.done.callback(None)
+            running.done.callback(None)
--- a/src/gentianwharf/spread/_state.py
+++ b/src/gentianwharf/spread/_state.py
@@ -1,4 +1,4 @@
-"""What an operator sees of a host's spread."""
+"""State of the replication on a host, for operators."""
 
 from dataclasses import dataclass
 from typing import final
@@ -7,10 +7,10 @@
 @final
 @dataclass(kw_only=True, slots=True)
 class SpreadCounts:
-    """What a host did, as counts since its start.
+    """Counts since the start of a host.
 
-    ``delta_failures`` counts deltas whose base this host did not hold, ``failed``
-    values that raised an error when this host used them.
+    ``delta_failures`` counts deltas whose base this host did not hold or whose result
+    had another checksum, ``failed`` values for which ``on_value`` raised an exception.
     """
 
     accepted: int = 0
@@ -28,10 +28,10 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SpreadState:
-    """What an operator sees of a host's spread.
+    """State of the replication on a host.
 
     ``ready`` is False until the values are known to be current enough to act on;
-    ``store_age_s`` is None while the store has not been heard of.
+    ``store_age_s`` is None until the first known contact with the store.
     """
 
     ready: bool
--- a/src/gentianwharf/spread/_system.py
+++ b/src/gentianwharf/spread/_system.py
@@ -17,13 +17,13 @@
 from ._forwarder import Forwarder
 from ._messages import (
     AnyMessage,
-    Ask,
     Delta,
     Digest,
     Have,
     Pull,
     Push,
     Vector,
+    VectorRequest,
     decode,
     encode,
 )
@@ -130,7 +130,7 @@
             overlay=self._overlay,
             readiness=self._readiness,
             rng=rng,
-            request=lambda host_id: self._send(host_id, Ask()),
+            request=lambda host_id: self._send(host_id, VectorRequest()),
         )
 
     def set_hosts(self, hosts: Iterable[Host]) -> None:
@@ -197,7 +197,7 @@
                 self._digests.on_digest(host_id, message)
             case Vector():
                 self._digests.on_vector(host_id, message)
-            case Ask():
+            case VectorRequest():
                 self._digests.send_vector(host_id)
             case Pull():
                 self._values.on_pull(host_id, message)
--- a/src/gentianwharf/spread/_value_exchange.py
+++ b/src/gentianwharf/spread/_value_exchange.py
@@ -51,7 +51,7 @@
         value = VersionedValue(key=push.key, value=body, revision=push.revision)
         accepted = self._replica.accept(value)
         if accepted:
-            self._packed.keep(value, push.packed)
+            self._packed.put(value, push.packed)
         else:
             self._update_stale_peer(host_id, [(push.key, push.revision)])
         if push.root and self._replica.replicates(push.key):
@@ -133,5 +133,5 @@
     def _send_value(self, host_id: str, key: str) -> None:
         value = self._replica.table.get(key)
         if value is not None:
-            packed = self._packed.of(value)
+            packed = self._packed.get(value)
             self._send(host_id, Push(key=key, packed=packed, revision=value.revision))
--- a/tests/test_spread_links.py
+++ b/tests/test_spread_links.py
@@ -18,8 +18,8 @@
     encode_frame,
     encode_hosts,
 )
-from gentianwharf.spread._links import IDLE_AFTER_S, PROBE_EVERY_S, SILENT_AFTER_S
-from gentianwharf.spread._messages import MOST_MESSAGE_BYTES
+from gentianwharf.spread._links import IDLE_TIMEOUT_S, PROBE_INTERVAL_S, PROBE_TIMEOUT_S
+from gentianwharf.spread._messages import MAX_MESSAGE_BYTES
 from gentianwharf.topology import Host
 
 LAC, ARIANA = (
@@ -27,7 +27,7 @@
     for number, name in enumerate(("lac", "ariana"), start=1)
 )
 TICK_S = 0.1
-NOTICED_S = SILENT_AFTER_S + 1.2 * PROBE_EVERY_S + TICK_S
+NOTICED_S = PROBE_TIMEOUT_S + 1.2 * PROBE_INTERVAL_S + TICK_S
 
 
 @final
@@ -209,7 +209,7 @@
     pair.run(60, sending=True)
     assert pair.meshes["lac"].is_silent("ariana")
     redials = pair.meshes["lac"].stats().links["ariana"].redials
-    assert 30 <= redials <= 60 / SILENT_AFTER_S
+    assert 30 <= redials <= 60 / PROBE_TIMEOUT_S
     pair.meshes["ariana"] = frozen
     pair.run(1, sending=True)
     assert not pair.meshes["lac"].is_silent("ariana")
@@ -286,7 +286,7 @@
 def test_idle_links_close_on_both_sides() -> None:
     pair = Pair()
     pair.run(1, sending=True)
-    pair.run(3 * IDLE_AFTER_S)
+    pair.run(3 * IDLE_TIMEOUT_S)
     for mesh in pair.meshes.values():
         assert not any(link.open for link in mesh.stats().links.values())
     assert all(link.closed for links in pair.links.values() for link in links)
@@ -326,8 +326,8 @@
 
 
 def test_message_beyond_the_limit_is_an_error_that_says_so() -> None:
-    with pytest.raises(InputError, match=str(MOST_MESSAGE_BYTES)):
-        Pair().channel.send("ariana", b"x" * (MOST_MESSAGE_BYTES + 1))
+    with pytest.raises(InputError, match=str(MAX_MESSAGE_BYTES)):
+        Pair().channel.send("ariana", b"x" * (MAX_MESSAGE_BYTES + 1))
 
 
 def _frame(**changes: object) -> bytes:
--- a/tests/test_spread_packing.py
+++ b/tests/test_spread_packing.py
@@ -53,6 +53,6 @@
         VersionedValue(key="rules", value=b"x" * 1_000, revision=number)
         for number in (1, 2)
     )
-    values.keep(old, b"as it came")
-    assert values.of(old) == b"as it came"
-    assert unpack(values.of(new), peer="lac-1") == new.value
+    values.put(old, b"as it came")
+    assert values.get(old) == b"as it came"
+    assert unpack(values.get(new), peer="lac-1") == new.value
--- a/tests/test_spread_queries.py
+++ b/tests/test_spread_queries.py
@@ -53,15 +53,15 @@
 def test_only_some_hosts_are_asked_at_once() -> None:
     hosts = [f"lac-{number}" for number in range(200)]
     asked = asked_fleet(hosts, cut=set(hosts))
-    assert len(asked.sent_to) == queries_module.ASKED_AT_ONCE
+    assert len(asked.sent_to) == queries_module.MAX_UNANSWERED_HOSTS
 
 
 def test_answers_beyond_the_bytes_for_all_are_not_asked_for(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A large fleet's answers would fill the memory of the host that is asked."""
-    monkeypatch.setattr(queries_module, "MOST_GATHERED_BYTES", 10)
-    monkeypatch.setattr(queries_module, "ASKED_AT_ONCE", 1)
+    monkeypatch.setattr(queries_module, "MAX_GATHERED_BYTES", 10)
+    monkeypatch.setattr(queries_module, "MAX_UNANSWERED_HOSTS", 1)
     asked = asked_fleet(HOSTS)
     asked.run()
     assert sorted(asked.answers) == ["lac-1", "lac-2"]
--- a/tests/test_spread_versions.py
+++ b/tests/test_spread_versions.py
@@ -7,14 +7,14 @@
 from gentianwharf.errors import PeerMismatchError
 from gentianwharf.infra import VersionedValue
 from gentianwharf.spread._messages import (
-    MOST_KEYS,
-    MOST_MESSAGE_BYTES,
-    Ask,
+    MAX_KEYS,
+    MAX_MESSAGE_BYTES,
     Digest,
     Have,
     Pull,
     Push,
     Vector,
+    VectorRequest,
     decode,
     encode,
 )
@@ -150,7 +150,7 @@
         Push(key="rules", packed=b"\x00\xff", revision=7, root="lac-1"),
         Have(versions=[("rules", 7)]),
         Digest(checksum=2**64 - 1, store_age_ms=-1, ready=False),
-        Ask(),
+        VectorRequest(),
         Vector(versions=[("rules", 7), ("table", 3)], store_age_ms=12, ready=True),
         Pull(keys=["rules"]),
     ],
@@ -164,11 +164,13 @@
     ("data", "expected"),
     [
         pytest.param(b"", "got 0", id="empty"),
-        pytest.param(b"\x01" * (MOST_MESSAGE_BYTES + 1), "bytes", id="too-large"),
-        pytest.param(b"\x02" + encode(Ask())[1:], "format 1", id="other-format"),
+        pytest.param(b"\x01" * (MAX_MESSAGE_BYTES + 1), "bytes", id="too-large"),
+        pytest.param(
+            b"\x02" + encode(VectorRequest())[1:], "format 1", id="other-format"
+        ),
         pytest.param(b"\x01\xff", "expected a message", id="not-msgpack"),
         pytest.param(
-            encode(Have(versions=[("k", 1)] * (MOST_KEYS + 1))), "4096", id="too-many"
+            encode(Have(versions=[("k", 1)] * (MAX_KEYS + 1))), "4096", id="too-many"
         ),
     ],
 )
