--- a/src/gentianwharf/spread/_frames.py
+++ b/src/gentianwharf/spread/_frames.py
@@ -84,7 +84,7 @@
         frame = _decoder.decode(data)
     except msgspec.DecodeError as error:
         raise PeerMismatchError(
-            f"expected a frame: {error}; does a host of ours listen there?",
+            f"expected a frame: {error}; is the peer a gentianwharf host?",
             step="frame decode",
             peer=peer,
         ) from error
--- a/src/gentianwharf/spread/_packing.py
+++ b/src/gentianwharf/spread/_packing.py
@@ -54,7 +54,7 @@
     complete = decompressor.eof and not decompressor.unused_data
     if not complete or len(value) > MOST_VALUE_BYTES:
         raise _mismatch(
-            f"expected one whole value of at most {MOST_VALUE_BYTES} bytes", peer
+            f"expected a complete value of at most {MOST_VALUE_BYTES} bytes", peer
         )
     return value
 
--- a/tests/builders_queries.py
+++ b/tests/builders_queries.py
@@ -1,4 +1,4 @@
-"""Builders for questions to many hosts, on a virtual clock and a network of calls."""
+"""Builders for queries to many hosts, on a virtual clock and a fake network."""
 
 from collections.abc import Iterable
 from functools import partial
@@ -11,13 +11,13 @@
 from gentianwharf.spread import PeerQueries
 from gentianwharf.spread._queries import OnAnswer
 
-ASKING = "lac-0"
+QUERYING_HOST = "lac-0"
 LATENCY_S = 0.001
 
 
 @final
 class QueryNetwork:
-    """Carries queries between hosts; ``cut`` hosts get and send nothing."""
+    """Delivers queries between hosts; ``cut`` hosts are disconnected."""
 
     def __init__(self, *, clock: Clock, cut: Iterable[str] = ()) -> None:
         self.clock = clock
@@ -27,14 +27,14 @@
         self.hosts: dict[str, PeerQueries] = {}
 
     def add(self, host: str) -> PeerQueries:
-        """Return a host's queries on this network."""
+        """Add a host to this network and return its queries."""
         self.hosts[host] = PeerQueries(
             clock=self.clock, peers=_Outbox(network=self, sender=host), rng=Random(1)
         )
         return self.hosts[host]
 
-    def carry(self, sender: str, receiver: str, message: bytes) -> bool:
-        """Deliver a message soon, unless it is lost."""
+    def deliver(self, sender: str, receiver: str, message: bytes) -> bool:
+        """Deliver a message after the latency, unless it is lost."""
         self.sent_to.append(receiver)
         if self.lost_first:
             self.lost_first -= 1
@@ -52,27 +52,27 @@
         self._sender = sender
 
     def send(self, host_id: str, message: bytes) -> bool:
-        """Hand over to the network."""
-        return self._network.carry(self._sender, host_id, message)
+        """Send through the network."""
+        return self._network.deliver(self._sender, host_id, message)
 
 
 @final
-class Asked:
-    """A question that ``ASKING`` has put to hosts, and what has come of it."""
+class RunningQuery:
+    """A query that ``QUERYING_HOST`` sent to other hosts, and its results."""
 
-    def __init__(self, *, network: QueryNetwork, asking: PeerQueries) -> None:
+    def __init__(self, *, network: QueryNetwork, queries: PeerQueries) -> None:
         self.clock = network.clock
         self.sent_to = network.sent_to
-        self.asking = asking
+        self.queries = queries
         self.answers: dict[str, bytes] = {}
         self.silent: dict[str, str] = {"nobody": "the question is still open"}
         self.done: Deferred[dict[str, str]] = Deferred()
         self.number = 0
 
     def ask(self, hosts: Iterable[str], kind: str, on_answer: OnAnswer | None) -> None:
-        """Put the question."""
+        """Send the query."""
         self.done = Deferred.fromCoroutine(
-            self.asking.gather(
+            self.queries.gather(
                 kind,
                 hosts,
                 on_answer=on_answer or self._take,
@@ -80,11 +80,11 @@
                 timeout_s=3.0,
             )
         )
-        self.number = self.asking._last_number
+        self.number = self.queries._last_number
         self.done.addCallback(self._end)
 
     def run(self, duration_s: float = 0.5) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         for _ in range(int(duration_s * 1_000)):
             self.clock.advance(0.001)
 
@@ -101,7 +101,7 @@
     return body
 
 
-def asked_fleet(
+def start_query(
     hosts: Iterable[str],
     *,
     cut: Iterable[str] = (),
@@ -109,14 +109,14 @@
     kind: str = "name",
     answer: bytes | None = None,
     on_answer: OnAnswer | None = None,
-) -> Asked:
-    """Return a question put to hosts that answer with ``answer``, or their names."""
+) -> RunningQuery:
+    """Return a query to hosts that answer with ``answer`` or their names."""
     network = QueryNetwork(clock=Clock(), cut=cut)
     network.lost_first = lost_first
-    asking = network.add(ASKING)
+    queries = network.add(QUERYING_HOST)
     for host in hosts:
         body = host.encode() if answer is None else answer
         network.add(host).register_handler("name", partial(_answer, body))
-    asked = Asked(network=network, asking=asking)
-    asked.ask(hosts, kind, on_answer)
-    return asked
+    query = RunningQuery(network=network, queries=queries)
+    query.ask(hosts, kind, on_answer)
+    return query
--- a/tests/builders_spread.py
+++ b/tests/builders_spread.py
@@ -1,4 +1,4 @@
-"""Builders for tests of spread: hosts of several failure domains on a fake network."""
+"""Builders for replication tests: hosts of several failure domains, a fake network."""
 
 from collections.abc import Callable, Iterable, Iterator
 from heapq import heappop, heappush
@@ -46,7 +46,7 @@
 @final
 @implementer(IReactorTime)
 class EventClock:
-    """A virtual clock for many hosts: a heap where ``task.Clock`` sorts a list."""
+    """A virtual clock for many hosts, with a heap where ``task.Clock`` sorts a list."""
 
     def __init__(self) -> None:
         self._now_s = 0.0
@@ -64,7 +64,7 @@
         *args: object,
         **kw: object,
     ) -> DelayedCall:
-        """Call later; the call may be cancelled, not moved."""
+        """Schedule a call, which may be cancelled but not rescheduled."""
         call = DelayedCall(
             self._now_s + delay,
             callable,
@@ -78,17 +78,17 @@
         return call
 
     def getDelayedCalls(self) -> list[DelayedCall]:  # noqa: N802
-        """Return the calls that wait."""
+        """Return the pending calls."""
         return [call for _, _, call in self._heap if call.active()]
 
     def advance(self, duration_s: float) -> None:
-        """Let time pass, making each call at its moment."""
+        """Advance the clock, running each call at its time."""
         end_s = self._now_s + duration_s
         while self.run_next(end_s=end_s):
             pass
 
     def run_next(self, *, end_s: float) -> bool:
-        """Move to the next call and make it; False when there is none by ``end_s``."""
+        """Advance to the next call and run it; False if there is none by ``end_s``."""
         while self._heap and not self._heap[0][2].active():
             heappop(self._heap)
         if not self._heap or self._heap[0][0] > end_s:
@@ -106,7 +106,7 @@
 
 @final
 class Member:
-    """One host: its spread, its own view of the store, what it was told."""
+    """A host with its replication, its connection to the store and received values."""
 
     def __init__(self, *, cluster: "Cluster", host: Host, number: int) -> None:
         self.host = host
@@ -126,7 +126,7 @@
         )
 
     def revision(self) -> int:
-        """Return the revision of the rules that this host holds."""
+        """Return the revision of the rules on this host, 0 if it has none."""
         value = self.spread.value(RULES)
         return 0 if value is None else value.revision
 
@@ -138,13 +138,13 @@
         self._sender = sender
 
     def send(self, host_id: str, message: bytes) -> bool:
-        """Hand over to the fake network."""
+        """Send through the fake network."""
         return self._cluster.deliver(self._sender, host_id, message)
 
 
 @final
 class Cluster:
-    """Hosts that tick on a virtual clock, a store, and a network that can be cut."""
+    """Hosts on a virtual clock, a store, and a network that can be partitioned."""
 
     def __init__(
         self,
@@ -181,7 +181,7 @@
             self.start(host.id)
 
     def start(self, host_id: str, faults: Iterable[Fault] = ()) -> Member:
-        """Start a host, or start it again with nothing in it."""
+        """Start a host, or restart it with empty state."""
         self.stop(host_id)
         self._made += 1
         host = self._by_id[host_id]
@@ -193,20 +193,20 @@
         return member
 
     def stop(self, host_id: str) -> None:
-        """Lose a host."""
+        """Stop a host without notice to others."""
         member = self.members.pop(host_id, None)
         if member is not None:
             member.alive = False
             member.spread.close()
 
     def fault_all(self, *faults: Fault, domain: str | None = None) -> None:
-        """Set the faults of every host's store, or of one failure domain's."""
+        """Set the store faults of all hosts, or of those of one failure domain."""
         for member in self.members.values():
             if domain in (None, member.host.domain):
                 member.store.faults[:] = faults
 
     def deliver(self, sender: Host, host_id: str, message: bytes) -> bool:
-        """Deliver a message later, unless something is in its way."""
+        """Deliver a message after its latency, unless it is lost or cut off."""
         self.messages += 1
         self.bytes += len(message)
         receiver = self._by_id.get(host_id)
@@ -216,13 +216,13 @@
             return True
         same = sender.domain == receiver.domain
         latency_s = SAME_DOMAIN_S if same else OTHER_DOMAIN_S
-        # A loop that serves callers gets to a message some time after it came.
+        # An event loop that serves callers handles a message with a delay.
         latency_s += self.rng.uniform(0, self._busy_s) if self._busy_s else 0.0
         self.clock.callLater(latency_s, self._arrive, sender.id, host_id, message)
         return True
 
     def write(self, value: bytes, key: str = RULES) -> VersionedValue:
-        """Write to the store as an operator does."""
+        """Write a value to the store, as an operator does."""
         found = self.store._entries.get(key)
         revision = 0 if found is None else found.value.revision
         written: list[VersionedValue] = []
@@ -232,11 +232,11 @@
         return written[0]
 
     def run(self, duration_s: float) -> None:
-        """Let time pass, from event to event."""
+        """Advance the clock from event to event."""
         self.run_until(lambda: False, limit_s=duration_s)
 
     def run_until(self, condition: Callable[[], bool], *, limit_s: float) -> float:
-        """Let time pass until the condition holds; return how long it took."""
+        """Advance the clock until the condition holds; return the elapsed time."""
         start_s = self.clock.seconds()
         end_s = start_s + limit_s
         while not condition():
@@ -245,7 +245,7 @@
         return self.clock.seconds() - start_s
 
     def all_at(self, revision: int, members: Iterable[Member] | None = None) -> bool:
-        """Say whether all hosts hold that revision of the rules."""
+        """Return whether all hosts hold that revision of the rules."""
         some = self.members.values() if members is None else members
         return all(member.revision() == revision for member in some)
 
@@ -276,11 +276,11 @@
 
 
 WITHIN_S = 2.0
-"""The goal: rules are in force everywhere by then."""
+"""Target time within which a change of the rules is in force on all hosts."""
 
 
 def running(cluster: Cluster) -> Cluster:
-    """Return a cluster that has its first rules everywhere."""
+    """Return a cluster in which all hosts hold the first rules."""
     cluster.write(b"first")
     cluster.run(2)
     assert cluster.all_at(1)
@@ -289,7 +289,7 @@
 
 
 def assert_monotonic(member: Member) -> None:
-    """Check that no revision that a host was told of ever fell."""
+    """Check that the revisions that a host received never decrease."""
     revisions = [value.revision for value in member.seen if value.key == RULES]
     assert revisions == sorted(set(revisions))
 
@@ -300,14 +300,14 @@
 
 
 def assert_reaches_all(cluster: Cluster, *, limit_s: float = WITHIN_S) -> None:
-    """Write, and check that every host hears of it in time."""
+    """Write a value, and check that it reaches every host within ``limit_s``."""
     revision = cluster.write(b"next").revision
     took_s = cluster.run_until(lambda: cluster.all_at(revision), limit_s=limit_s)
     assert took_s < limit_s
 
 
 def checked_cluster() -> Iterator[Cluster]:
-    """Yield a running cluster, and check at the end that no host went back."""
+    """Yield a running cluster; finally check that no host's revision decreased."""
     made = running(Cluster())
     yield made
     for member in made.members.values():
--- a/tests/test_spread_delta.py
+++ b/tests/test_spread_delta.py
@@ -1,4 +1,4 @@
-"""Changes travel as what differs; whoever lacks the version before gets the whole."""
+"""Changes are sent as deltas; a host without the base gets the complete value."""
 
 import json
 from random import Random
@@ -22,7 +22,7 @@
 
 
 def rules_of(changed: int, *, count: int = 300, seed: int = 1) -> bytes:
-    """Return a record of many rules, of which ``changed`` tells one version apart."""
+    """Return a record of many rules that differs by the value of ``changed``."""
     rng = Random(seed)
     rules = [
         {
@@ -37,7 +37,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(before=PARTS | st.binary(max_size=60), after=PARTS | st.binary(max_size=60))
-def test_delta_makes_the_new_value_of_the_old(before: bytes, after: bytes) -> None:
+def test_delta_turns_the_old_value_into_the_new(before: bytes, after: bytes) -> None:
     assert apply_delta(before, make_delta(before, after), peer="lac-1") == after
 
 
@@ -50,7 +50,7 @@
     "value", [b"}" * 200_000, b"{},{}" * 50_000], ids=["braces", "alike"]
 )
 def test_value_made_of_equal_pieces_costs_no_more_than_its_size(value: bytes) -> None:
-    """A comparison that grows with the square would hold the loop for minutes."""
+    """A comparison of quadratic cost would block the event loop for minutes."""
     assert len(make_delta(value, value + b"x")) < 100
 
 
@@ -65,7 +65,7 @@
 
 
 def test_delta_that_would_fill_the_memory_is_refused() -> None:
-    """A few bytes name the version before a million times."""
+    """A few bytes reference the complete previous version a million times."""
     steps = [Copy(0, 1)] * 1_000
     with pytest.raises(PeerMismatchError, match=str(MOST_VALUE_BYTES)):
         apply_delta(
@@ -93,10 +93,10 @@
 
 
 def test_host_that_missed_the_version_before_gets_the_whole(cluster: Cluster) -> None:
-    """Two changes; the first one's messages to a host are lost.
+    """All messages of the first of two changes to a host are lost.
 
-    The second comes as a delta on a version that the host never had. It must neither
-    stay behind nor make up a value.
+    The second change arrives as a delta whose base the host never had. The host must
+    neither keep the old value nor apply a wrong one.
     """
     one = next(
         member
@@ -115,7 +115,7 @@
 
 
 def test_delta_that_makes_another_value_is_not_taken(cluster: Cluster) -> None:
-    """A peer holds other bytes under the same revision, by a fault of its memory."""
+    """A peer holds different bytes for the same revision, due to a memory fault."""
     one = watchers_of(cluster, "lac")[0]
     before = one.spread.value(RULES)
     assert before is not None
@@ -166,7 +166,7 @@
     | MESSAGES.map(encode)
 )
 def test_any_message_of_a_peer_leaves_what_is_held(data: bytes) -> None:
-    """A host of another version, or a broken one, sends what nobody understands."""
+    """A host of another version or a faulty one sends undecodable messages."""
     cluster = SHARED
     one = cluster.members["lac-1"]
     before = one.spread.value(RULES)
--- a/tests/test_spread_links.py
+++ b/tests/test_spread_links.py
@@ -32,7 +32,7 @@
 
 @final
 class FakeLink:
-    """A connection that delivers at once, or swallows, or is full."""
+    """A connection that delivers immediately, loses all data, or has a full queue."""
 
     def __init__(self, deliver: Callable[[bytes], None]) -> None:
         self._deliver = deliver
@@ -41,19 +41,19 @@
         self.closed = False
 
     def send(self, data: bytes) -> bool:
-        """Deliver, swallow or refuse."""
+        """Deliver, lose or reject a frame."""
         if not self.silent and not self.full:
             self._deliver(data)
         return not self.full
 
     def close(self) -> None:
-        """Note it."""
+        """Record that the connection was closed."""
         self.closed = True
 
 
 @final
 class Pair:
-    """Two hosts' meshes, joined by fake links."""
+    """The meshes of two hosts, connected by fake links."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -66,7 +66,7 @@
         self.channel = self.meshes["lac"].channel(Channel.SPREAD, self._note)
 
     def start(self, host: Host, address: str | None = None) -> None:
-        """Start a host with a new incarnation, at ``address`` if it is another's."""
+        """Start a host with a new incarnation, optionally at another host's address."""
         mesh = PeerMesh(reactor=self.clock, host=host, rng=Random(), dial=self._dial)
         mesh.set_peers([LAC, ARIANA])
         mesh.channel(Channel.SPREAD, self._note)
@@ -84,7 +84,7 @@
         return link
 
     def to_ariana(self) -> FakeLink:
-        """Return lac's present link to ariana."""
+        """Return the current link from lac to ariana."""
         return self.links[ARIANA.peer_address][-1]
 
     def run(self, duration_s: float, *, sending: bool = False) -> None:
@@ -118,10 +118,10 @@
     ],
 )
 def test_bad_address_in_the_list_leaves_out_that_host_alone(address: str) -> None:
-    """The platform's list gets a line with an address that is none.
+    """The platform's host list contains an invalid address.
 
-    Dialling it raised, and with it ended each tick, in which all rights are renewed:
-    one line took every host of the fleet out of service.
+    Dialling it raised in each tick, in which all rights are renewed, so that a single
+    entry took every host of the fleet out of service.
     """
     pair = Pair()
     mesh = pair.meshes["lac"]
@@ -135,11 +135,11 @@
     assert pair.channel.send("charguia", b"mended")
 
 
-def test_leaving_host_is_answered_and_told_to_nobody() -> None:
-    """The platform lists a host as leaving, and the balancer still sends to it.
+def test_leaving_host_is_answered_and_not_listed_to_others() -> None:
+    """The platform lists a host as leaving while the balancer still sends to it.
 
-    Its peers closed their links to it: its right to send lapsed, and it refused every
-    keyed request until it was stopped.
+    Its peers closed their links to it. Its right to send lapsed, and it refused all
+    keyed requests until it was stopped.
     """
     pair = Pair()
     ariana = pair.meshes["ariana"]
@@ -150,18 +150,19 @@
     assert [one.id for one in ariana._hosts] == ["ariana"]
 
 
-def test_message_that_a_system_stumbles_over_does_not_end_the_mesh() -> None:
-    """A table from the store makes no sense, and its reader raises.
+def test_exception_in_a_handler_does_not_stop_the_mesh() -> None:
+    """A handler raises on an invalid table from the store.
 
-    The reactor closes a reader that raises: the host would hear no peer again.
+    The reactor closes a reader that raises, after which the host would receive no
+    messages from any peer.
     """
     pair = Pair()
 
-    def stumble(host_id: str, message: bytes) -> None:
+    def raise_error(host_id: str, message: bytes) -> None:
         raise IndexError(message)
 
-    pair.meshes["ariana"].channel(Channel.OWNERSHIP, stumble)
-    ownership = pair.meshes["lac"].channel(Channel.OWNERSHIP, stumble)
+    pair.meshes["ariana"].channel(Channel.OWNERSHIP, raise_error)
+    ownership = pair.meshes["lac"].channel(Channel.OWNERSHIP, raise_error)
     assert ownership.send("ariana", b"bad")
     assert pair.meshes["ariana"].stats().failed == 1
     pair.channel.send("ariana", b"hello")
@@ -175,11 +176,11 @@
     assert not pair.meshes["lac"].is_silent("ariana")
 
 
-def test_link_gone_silent_is_made_anew() -> None:
-    """A box between two hosts loses track of their connection.
+def test_half_open_link_is_replaced() -> None:
+    """A middlebox between two hosts loses the state of their connection.
 
-    Both ends keep it open and nng sees nothing; what is sent vanishes. Without probes
-    the rules would stop reaching that host through this peer for good.
+    Both ends keep it open and nng detects nothing, but all data is lost. Without
+    probes, rules would never again reach that host through this peer.
     """
     pair = Pair()
     pair.run(1, sending=True)
@@ -196,9 +197,9 @@
 
 
 def test_frozen_peer_is_silent_until_it_answers_again() -> None:
-    """A peer is paused for a minute and returns.
+    """A peer is paused for a minute and continues.
 
-    It is dialled again at a bounded rate meanwhile, and its return is noticed.
+    It is redialled at a bounded rate meanwhile, and its answers are detected again.
     """
     pair = Pair()
     pair.run(1, sending=True)
@@ -216,10 +217,10 @@
 
 
 def test_other_host_at_the_address_gets_nothing() -> None:
-    """A host is replaced, and its address goes to another one.
+    """A host is replaced, and its address is assigned to another host.
 
-    A message meant for the former holder must not be taken for the new one's own, and
-    the sender must notice that the former holder is gone.
+    The new host must not handle messages for the previous one, and the sender must
+    detect that the previous one is gone.
     """
     pair = Pair()
     pair.run(1, sending=True)
@@ -232,7 +233,7 @@
     assert pair.meshes["lac"].is_silent("ariana")
 
 
-def test_answer_for_a_former_life_is_not_taken() -> None:
+def test_answer_to_an_earlier_incarnation_is_ignored() -> None:
     pair = Pair()
     pair.run(1, sending=True)
     pair.to_ariana().silent = True
@@ -250,10 +251,10 @@
 
 
 def test_host_without_a_list_gets_that_of_a_peer() -> None:
-    """A host is replaced while the platform is out of reach, its list of hosts too.
+    """A host is replaced while the platform and its host list are unreachable.
 
-    It knows nobody. Its peers still list it and write to it, but it has no address to
-    answer to, and would stay out of service until the platform is back.
+    Its peers still list it and send messages to it. Without a host list it has no
+    addresses to answer to, and would stay out of service until the platform is back.
     """
     pair = Pair()
     told: list[tuple[Host, ...]] = []
@@ -353,7 +354,7 @@
         pytest.param(_frame(channel=99), "unknown_channel", id="channel"),
     ],
 )
-def test_frame_that_fits_not_is_counted_and_dropped(data: bytes, counter: str) -> None:
+def test_unexpected_frame_is_counted_and_dropped(data: bytes, counter: str) -> None:
     pair = Pair()
     pair.meshes["lac"].handle_frame(data)
     assert getattr(pair.meshes["lac"].stats(), counter) == 1
--- a/tests/test_spread_mesh.py
+++ b/tests/test_spread_mesh.py
@@ -1,4 +1,4 @@
-"""The mesh on real sockets: restarts, a frozen peer, a half-open connection."""
+"""The mesh on real sockets: restarts, a frozen peer and a half-open connection."""
 
 import signal
 import subprocess
@@ -42,19 +42,19 @@
 
 @final
 class Forwarder(Protocol):
-    """One end of a connection through a box; swallows once the box forgot it."""
+    """One end of a connection through a middlebox; drops data in case of lost state."""
 
     def __init__(self) -> None:
-        self.early: list[bytes] = []
+        self.buffered: list[bytes] = []
         self.other: Forwarder | None = None
-        self.forgotten = False
+        self.state_lost = False
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Forward, keep until the other end is there, or swallow."""
-        if self.forgotten:
+        """Forward data, buffer it until the other end is connected, or drop it."""
+        if self.state_lost:
             return
         if self.other is None:
-            self.early.append(data)
+            self.buffered.append(data)
             return
         transport = self.other.transport
         assert transport is not None
@@ -62,8 +62,8 @@
 
 
 @final
-class Box(Factory):
-    """Stands between two hosts and may lose track of the connections through it."""
+class Middlebox(Factory):
+    """A middlebox between two hosts that can lose the state of its connections."""
 
     def __init__(self, *, loop: Loop, target: str) -> None:
         self._loop = loop
@@ -72,13 +72,13 @@
         self.connections = 0
         self.address = loop.listen(self)
 
-    def lose_track(self) -> None:
-        """Forget every connection of this moment; later ones work."""
+    def lose_connections(self) -> None:
+        """Lose the state of all current connections; later ones work."""
         for end in self._ends:
-            end.forgotten = True
+            end.state_lost = True
 
     def buildProtocol(self, addr: Any) -> Forwarder:  # noqa: N802
-        """Accept a connection and open the other half."""
+        """Accept a connection and open one to the target."""
         self.connections += 1
         near = Forwarder()
         ip, port = self._target.split(":")
@@ -91,13 +91,13 @@
         near.other, far.other = far, near
         self._ends += [near, far]
         assert far.transport is not None
-        for data in near.early:
+        for data in near.buffered:
             far.transport.write(data)
 
 
 @final
 class Meshes:
-    """Meshes in one loop, on free ports."""
+    """Meshes in one event loop, on free ports."""
 
     def __init__(self) -> None:
         self.loop = Loop()
@@ -106,7 +106,7 @@
         self._next_s = 0.0
 
     def host(self, name: str, address: str | None = None) -> Host:
-        """Build a host on a free port, or on the address of another."""
+        """Build a host on a free port or a given address."""
         return Host(
             id=name, domain=name, peer_address=address or self.loop.free_address()
         )
@@ -178,7 +178,7 @@
 
 
 def test_host_stops_and_starts_again_on_its_address(meshes: Meshes) -> None:
-    """A host's process is restarted; its peers reach it without being told."""
+    """A host's process is restarted; its peers reconnect on their own."""
     hosts = [meshes.host("lac"), meshes.host("ariana")]
     lac, ariana = (meshes.start(host, hosts) for host in hosts)
     meshes.send_until(lac, "ariana", lambda: meshes.got["ariana"])
@@ -189,9 +189,9 @@
 
 
 def test_another_host_starts_on_the_address_of_a_stopped_one(meshes: Meshes) -> None:
-    """A host is lost and another one gets its address while the list still lags.
+    """A host is lost, and another one gets its address before the host list changes.
 
-    Messages for the lost host reach the new one and must not count as its own.
+    Messages for the lost host reach the new one, which must not handle them.
     """
     hosts = [meshes.host("lac"), meshes.host("ariana")]
     lac, ariana = (meshes.start(host, hosts) for host in hosts)
@@ -205,7 +205,7 @@
 
 
 def test_peer_frozen_and_continued(meshes: Meshes) -> None:
-    """A peer's process freezes (SIGSTOP) with its connections open, and returns."""
+    """A peer's process is stopped (SIGSTOP) with open connections, and continued."""
     hosts = [meshes.host("lac"), meshes.host("ariana")]
     command = [sys.executable, "-c", ECHO]
     command += [hosts[1].peer_address, hosts[0].peer_address]
@@ -230,18 +230,19 @@
 
 
 def test_half_open_connection_is_replaced(meshes: Meshes) -> None:
-    """A box between two hosts loses track of their connection: no reset, no answer.
+    """A middlebox between two hosts loses the state of their connection.
 
-    Bytes vanish while both ends think it open; a new connection works.
+    Data is lost without a reset while both ends keep the connection open; a new
+    connection works.
     """
     hosts = [meshes.host("lac"), meshes.host("ariana")]
-    box = Box(loop=meshes.loop, target=hosts[1].peer_address)
-    through_box = meshes.host("ariana", box.address)
-    lac = meshes.start(hosts[0], [hosts[0], through_box])
+    middlebox = Middlebox(loop=meshes.loop, target=hosts[1].peer_address)
+    through_middlebox = meshes.host("ariana", middlebox.address)
+    lac = meshes.start(hosts[0], [hosts[0], through_middlebox])
     meshes.start(hosts[1], hosts)
     meshes.send_until(lac, "ariana", lambda: meshes.got["ariana"])
-    box.lose_track()
+    middlebox.lose_connections()
     meshes.got["ariana"].clear()
     meshes.send_until(lac, "ariana", lambda: meshes.got["ariana"])
     assert lac.stats().links["ariana"].redials == 1
-    assert box.connections == 2
+    assert middlebox.connections == 2
--- a/tests/test_spread_outages.py
+++ b/tests/test_spread_outages.py
@@ -22,7 +22,7 @@
 SILENT = Fault(kind=FaultKind.SILENT_WATCH)
 HANGS = Fault(kind=FaultKind.HANGS, operations=frozenset({StoreOperation.WATCH}))
 WATCH_ENDS_S = 6.0
-"""A watch that waits already is not touched by a fault; by then it has ended."""
+"""A fault does not affect a watch that is already waiting; it has ended by then."""
 
 
 @pytest.fixture
@@ -31,7 +31,7 @@
 
 
 def test_outage_of_an_hour_and_back() -> None:
-    """The store is down for an hour; hosts keep their rules and its rate stays low."""
+    """During an hour without the store, hosts keep their rules and make few calls."""
     cluster = running(Cluster(tick_s=0.5))
     cluster.fault_all(DOWN)
     before = {n: one.spread.state().store_calls for n, one in cluster.members.items()}
@@ -51,10 +51,10 @@
 
 
 def test_domain_cut_off_and_rejoined(cluster: Cluster) -> None:
-    """A failure domain loses the platform and the others for five minutes.
+    """A failure domain is cut off from the platform and the others for five minutes.
 
-    It goes on with the rules that it has, and takes the newest on its return without
-    passing its own on.
+    It continues with the rules that it holds. When it reconnects, it receives the
+    newest rules and does not spread its old ones.
     """
     cluster.cut_domains = {"lac"}
     cluster.fault_all(DOWN, domain="lac")
@@ -76,7 +76,7 @@
 def test_domain_cut_off_from_the_platform_alone_hears_of_changes(
     cluster: Cluster,
 ) -> None:
-    """One failure domain loses the platform; the others' watchers tell it at once."""
+    """One failure domain loses the platform; watchers of the others send it changes."""
     cluster.fault_all(DOWN, domain="lac")
     cluster.run(WATCH_ENDS_S)
     assert_reaches_all(cluster, limit_s=0.01)
@@ -88,7 +88,7 @@
 
 
 def _leave_behind(cluster: Cluster, host_id: str) -> None:
-    """Let one host miss a change; then the store goes down."""
+    """Let one host miss a change, then stop the store."""
     cluster.cut_hosts = {host_id}
     cluster.members[host_id].store.faults[:] = [DOWN]
     cluster.run(WATCH_ENDS_S)
@@ -101,9 +101,9 @@
 def test_empty_host_takes_the_newest_of_its_peers_in_an_outage(
     cluster: Cluster,
 ) -> None:
-    """A host is replaced while the store is down, and one peer has old rules.
+    """A host is replaced while the store is down, and one peer holds old rules.
 
-    Taking the first answer could put the old rules back in force.
+    Accepting the first answer could put the old rules back in force.
     """
     _leave_behind(cluster, "lac-2")
     cluster.cut_hosts = set()
@@ -118,7 +118,7 @@
 ) -> None:
     """A host starts in an outage and reaches only one peer, whose rules are old.
 
-    Ready, it would bring back rules that were replaced everywhere else.
+    If it became ready, it would use rules that were replaced everywhere else.
     """
     _leave_behind(cluster, "lac-2")
     cluster.cut_hosts = {one.id for one in cluster.hosts} - {"lac-1", "lac-2"}
@@ -135,7 +135,7 @@
 def test_most_of_a_domain_restarts_in_an_outage(cluster: Cluster) -> None:
     """Three of four hosts of a domain are replaced while the store is down.
 
-    No majority of the domain knows anything any more; the other domains' hosts do.
+    A majority of the domain is empty; the hosts of the other domains hold the rules.
     """
     _outage(cluster)
     for number in (1, 2, 3):
@@ -148,9 +148,9 @@
 def test_all_hosts_restart_in_an_outage_and_wait_for_the_store(
     cluster: Cluster,
 ) -> None:
-    """Every host is replaced at once while the store is down: nobody knows anything.
+    """All hosts are replaced at once while the store is down, so that all are empty.
 
-    Hosts that took each other's emptiness for agreement would serve with no rules.
+    If empty hosts counted as agreeing, they would serve without rules.
     """
     for host in cluster.hosts:
         cluster.start(host.id, [DOWN])
@@ -163,7 +163,7 @@
 
 
 def test_host_with_a_silent_watch_from_its_start_has_the_rules() -> None:
-    """A host starts alone and its first watch reports nothing though there is much."""
+    """A host starts alone, and its first watch reports none of the existing values."""
     cluster = Cluster(per_domain=1, domains=["lac"])
     cluster.write(b"first")
     lone = cluster.start("lac-1", [SILENT])
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_any_mixture_of_failures_ends_with_the_newest_everywhere(seed: int) -> None:
-    """Cuts, losses, restarts, outages and changes at random, often two at a time."""
+    """Random partitions, losses, restarts, outages and changes, often two at once."""
     cluster = running(Cluster(seed=seed + 1))
     rng = cluster.rng
     highest: dict[str, int] = {}
--- a/tests/test_spread_packing.py
+++ b/tests/test_spread_packing.py
@@ -1,4 +1,4 @@
-"""Values as they travel between hosts."""
+"""Packed values, as sent between hosts."""
 
 import zlib
 from random import Random
@@ -38,7 +38,7 @@
         ),
     ],
 )
-def test_what_is_no_whole_value_is_refused(packed: bytes) -> None:
+def test_invalid_packed_value_is_rejected(packed: bytes) -> None:
     with pytest.raises(PeerMismatchError):
         unpack(packed, peer="lac-1")
 
--- a/tests/test_spread_queries.py
+++ b/tests/test_spread_queries.py
@@ -1,4 +1,4 @@
-"""Questions to many hosts: whoever does not answer is named, in bounded time."""
+"""Queries to many hosts: those without an answer are reported in bounded time."""
 
 from random import Random
 
@@ -11,100 +11,100 @@
 from gentianwharf.spread import MAX_ANSWER_BYTES
 from gentianwharf.spread import _queries as queries_module
 from gentianwharf.spread._queries import Query, Reply, decode_query, encode_query
-from tests.builders_queries import asked_fleet
+from tests.builders_queries import start_query
 
 HOSTS = [f"lac-{number}" for number in range(1, 6)]
 
 
 def test_every_answer_comes_once() -> None:
-    asked = asked_fleet(HOSTS)
-    asked.run()
-    assert asked.silent == {}
-    assert asked.answers == {host: host.encode() for host in HOSTS}
+    query = start_query(HOSTS)
+    query.run()
+    assert query.silent == {}
+    assert query.answers == {host: host.encode() for host in HOSTS}
 
 
 def test_host_that_is_cut_off_is_named_and_holds_up_nobody() -> None:
-    """A host is listed and can't be reached; the operator waits for the report.
+    """A listed host can't be reached while an operator waits for a report.
 
-    The others' answers come, and the report says whose are missing and why.
+    The other answers arrive, and the report names the missing host and the reason.
     """
-    asked = asked_fleet(HOSTS, cut={"lac-3"})
-    asked.run(1.1)
-    assert asked.silent == {"lac-3": "no answer within 1 s"}
-    assert sorted(asked.answers) == [one for one in HOSTS if one != "lac-3"]
+    query = start_query(HOSTS, cut={"lac-3"})
+    query.run(1.1)
+    assert query.silent == {"lac-3": "no answer within 1 s"}
+    assert sorted(query.answers) == [one for one in HOSTS if one != "lac-3"]
 
 
 def test_lost_message_is_sent_again() -> None:
-    """The first message to a host is lost while its link is made."""
-    asked = asked_fleet(HOSTS, lost_first=len(HOSTS))
-    asked.run()
-    assert (asked.silent, len(asked.answers)) == ({}, len(HOSTS))
+    """The first message to each host is lost while its link is opened."""
+    query = start_query(HOSTS, lost_first=len(HOSTS))
+    query.run()
+    assert (query.silent, len(query.answers)) == ({}, len(HOSTS))
 
 
 def test_hosts_that_are_all_silent_end_in_the_time_for_all() -> None:
     hosts = [f"lac-{number}" for number in range(300)]
-    asked = asked_fleet(hosts, cut=set(hosts))
-    asked.run(3.1)
-    assert set(asked.silent) == set(hosts)
-    assert any("not asked" in reason for reason in asked.silent.values())
-    assert asked.clock.getDelayedCalls() == []
+    query = start_query(hosts, cut=set(hosts))
+    query.run(3.1)
+    assert set(query.silent) == set(hosts)
+    assert any("not asked" in reason for reason in query.silent.values())
+    assert query.clock.getDelayedCalls() == []
 
 
 def test_only_some_hosts_are_asked_at_once() -> None:
     hosts = [f"lac-{number}" for number in range(200)]
-    asked = asked_fleet(hosts, cut=set(hosts))
-    assert len(asked.sent_to) == queries_module.MAX_UNANSWERED_HOSTS
+    query = start_query(hosts, cut=set(hosts))
+    assert len(query.sent_to) == queries_module.MAX_UNANSWERED_HOSTS
 
 
 def test_answers_beyond_the_bytes_for_all_are_not_asked_for(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A large fleet's answers would fill the memory of the host that is asked."""
+    """The answers of a large fleet would exhaust the memory of the querying host."""
     monkeypatch.setattr(queries_module, "MAX_GATHERED_BYTES", 10)
     monkeypatch.setattr(queries_module, "MAX_UNANSWERED_HOSTS", 1)
-    asked = asked_fleet(HOSTS)
-    asked.run()
-    assert sorted(asked.answers) == ["lac-1", "lac-2"]
-    assert all("not asked" in reason for reason in asked.silent.values())
+    query = start_query(HOSTS)
+    query.run()
+    assert sorted(query.answers) == ["lac-1", "lac-2"]
+    assert all("not asked" in reason for reason in query.silent.values())
 
 
 def test_answer_that_is_too_large_is_told_with_what_to_do() -> None:
     big = Random(1).randbytes(MAX_ANSWER_BYTES + 1)
-    asked = asked_fleet(["lac-1"], answer=big)
-    asked.run()
-    assert "ask the host alone" in asked.silent["lac-1"]
+    query = start_query(["lac-1"], answer=big)
+    query.run()
+    assert "ask the host alone" in query.silent["lac-1"]
 
 
 def test_host_of_another_version_is_named() -> None:
-    asked = asked_fleet(["lac-1"], kind="something newer")
-    asked.run()
-    assert "of another version" in asked.silent["lac-1"]
+    query = start_query(["lac-1"], kind="something newer")
+    query.run()
+    assert "of another version" in query.silent["lac-1"]
 
 
 def test_answer_that_makes_no_sense_is_the_hosts_reason() -> None:
     def refuse(host: str, answer: bytes) -> None:
         raise InputError("expected a burn part", step="read", peer=host)
 
-    asked = asked_fleet(["lac-1"], on_answer=refuse)
-    asked.run()
-    assert asked.silent == {"lac-1": "expected a burn part"}
+    query = start_query(["lac-1"], on_answer=refuse)
+    query.run()
+    assert query.silent == {"lac-1": "expected a burn part"}
 
 
-def test_answer_to_an_earlier_life_or_of_nobody_asked_is_dropped() -> None:
-    asked = asked_fleet(["lac-1"], cut={"lac-1"})
-    for host, number in (("lac-1", 99), ("ariana-9", asked.number)):
+def test_reply_to_an_earlier_query_or_of_another_host_is_dropped() -> None:
+    query = start_query(["lac-1"], cut={"lac-1"})
+    for host, number in (("lac-1", 99), ("ariana-9", query.number)):
         reply = encode_query(Reply(number=number, packed=b"\x00x"))
-        asked.asking.received(host, reply)
-    assert asked.answers == {}
+        query.queries.received(host, reply)
+    assert query.answers == {}
 
 
 def test_operator_who_hangs_up_leaves_nothing_behind() -> None:
-    asked = asked_fleet(["lac-1"], cut={"lac-1"})
+    query = start_query(["lac-1"], cut={"lac-1"})
     failures: list[object] = []
-    asked.done.addErrback(lambda failure: failures.append(failure.type))
-    asked.done.cancel()
+    query.done.addErrback(lambda failure: failures.append(failure.type))
+    query.done.cancel()
     assert failures == [CancelledError]
-    assert asked.clock.getDelayedCalls() == []
+    assert query.clock.getDelayedCalls() == []
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -125,9 +125,9 @@
     except PeerMismatchError as error:
         assert (error.step, error.peer) == ("decode query", "lac-1")
         assert "expected" in error.message
-    asked = asked_fleet(["lac-1"], cut={"lac-1"})
-    asked.asking.received("lac-2", data)
-    assert asked.answers == {}
+    query = start_query(["lac-1"], cut={"lac-1"})
+    query.queries.received("lac-2", data)
+    assert query.answers == {}
 
 
 def _changed(data: bytes, at: int, new: int) -> bytes:
--- a/tests/test_spread_readiness.py
+++ b/tests/test_spread_readiness.py
@@ -1,4 +1,4 @@
-"""When a host that started empty may act on what it holds."""
+"""When a host that started empty may act on the values that it holds."""
 
 import pytest
 
@@ -49,10 +49,10 @@
 def test_news_of_the_store_counts_from_the_start_on(
     contact_s: float, ready: bool
 ) -> None:
-    """A host had new rules, restarts, and meets a peer that has yet to hear of them.
+    """A host with new rules restarts, and agrees with a peer that lacks them.
 
-    The peer's news of the store is fresh but older than the restart: taken for enough,
-    it would put the former rules back in force on this host.
+    The peer's last store contact is recent but precedes the restart. If it were
+    sufficient, the old rules would be in force again on this host.
     """
     readiness = Readiness(started_s=STARTED_S)
     readiness.record_agreement("lac-2", last_contact_s=contact_s, ready=True)
--- a/tests/test_spread_store_calls.py
+++ b/tests/test_spread_store_calls.py
@@ -1,4 +1,4 @@
-"""Store calls are a fixed number a failure domain, whatever the number of hosts."""
+"""The number of store calls per failure domain is independent of its host count."""
 
 import pytest
 
@@ -15,8 +15,8 @@
 
 
 IDLE_S = 60.0
-# Each of two watchers a failure domain: at most 13 watches of 5 s touch a minute; one
-# new watch after a change; a read and a watch at the start.
+# For each of two watchers per failure domain: at most 13 watches of 5 s overlap a
+# minute, one watch follows a change, and a start takes one read and one watch.
 STORE_CALLS = [
     pytest.param(4, DOMAINS, 6 * 13, 6, 12, id="12-hosts"),
     pytest.param(12, DOMAINS, 6 * 13, 6, 12, id="36-hosts"),
@@ -54,7 +54,7 @@
 
 
 def test_host_without_a_list_reads_the_store_by_itself() -> None:
-    """The platform's list is out of reach when a host starts: it knows no peers."""
+    """The platform's host list is unreachable when a host starts: it has no peers."""
     cluster = Cluster(per_domain=1, domains=["lac"])
     cluster.write(b"first")
     lone = cluster.start("lac-1")
--- a/tests/test_spread_system.py
+++ b/tests/test_spread_system.py
@@ -1,7 +1,7 @@
-"""Rules reach every host and never go back, under each failure that we know of.
+"""Rules reach every host and never go back, under each known failure.
 
-Every host's ``seen`` is what it would have put in force; ``monotonic`` checks that no
-revision there ever fell.
+The ``seen`` list of a host contains the values that it would have put in force;
+``assert_monotonic`` checks that their revisions never decrease.
 """
 
 from collections.abc import Iterator
@@ -31,7 +31,7 @@
 SILENT = Fault(kind=FaultKind.SILENT_WATCH)
 HANGS = Fault(kind=FaultKind.HANGS, operations=frozenset({StoreOperation.WATCH}))
 WATCH_ENDS_S = 6.0
-"""A watch that waits already is not touched by a fault; by then it has ended."""
+"""A fault does not affect a watch that is already waiting; it has ended by then."""
 
 HEARTBEAT_S = 0.6
 """The longest pause between two digests."""
@@ -55,7 +55,7 @@
 
 
 def test_write_of_its_own_is_passed_on_at_once(cluster: Cluster) -> None:
-    """A control holder confirms a move; with every watch silent it still gets about."""
+    """A control holder confirms a move; it reaches all hosts while all watches hang."""
     cluster.fault_all(HANGS)
     cluster.run(8)
     writer = cluster.members["ariana-3"]
@@ -65,11 +65,13 @@
 
 @pytest.mark.parametrize("fault", [SILENT, HANGS], ids=["silent", "hangs"])
 @pytest.mark.parametrize("watchers", [1, 2], ids=["one", "both"])
-def test_watch_gone_silent(cluster: Cluster, fault: Fault, watchers: int) -> None:
-    """Watches of a failure domain report nothing more, or never answer.
+def test_watches_that_stop_reporting(
+    cluster: Cluster, fault: Fault, watchers: int
+) -> None:
+    """Watches of a failure domain report no more changes, or never answer.
 
-    Its hosts would keep the old rules; the other watcher, or the other failure
-    domains' watchers, bring them the new ones.
+    Its hosts would keep the old rules. They receive the new ones from the other watcher
+    or from the watchers of other failure domains.
     """
     for member in watchers_of(cluster, "lac")[:watchers]:
         member.store.faults.append(fault)
@@ -77,11 +79,11 @@
     assert_reaches_all(cluster)
 
 
-def test_every_watch_gone_silent_is_made_anew(cluster: Cluster) -> None:
-    """Something between hosts and store loses track of all their connections.
+def test_hanging_watches_are_replaced(cluster: Cluster) -> None:
+    """A middlebox loses the state of all connections between hosts and the store.
 
-    Every waiting watch hangs while new ones work. Each is given up two seconds after
-    its wait, so a change is late by at most that.
+    Every waiting watch hangs while new ones work. Each is cancelled two seconds after
+    its wait, which bounds the delay of a change.
     """
     cluster.fault_all(HANGS)
     cluster.run(6)
@@ -90,7 +92,7 @@
 
 
 def test_answer_that_arrives_late_does_not_go_back(cluster: Cluster) -> None:
-    """A watcher's answer is held up for 20 s, and newer rules overtake it."""
+    """A watcher's answers are delayed, and newer rules arrive before them."""
     late = watchers_of(cluster, "lac")[0]
     cluster.run(6)
     late.store.faults.append(Fault(kind=FaultKind.ANSWER_LATE, delay_s=1.5))
@@ -103,10 +105,10 @@
     assert cluster.all_at(5)
 
 
-def test_peer_with_an_old_version_is_mended_and_changes_nothing(
+def test_peer_with_an_old_version_is_updated_and_changes_nothing(
     cluster: Cluster,
 ) -> None:
-    """A host comes back from a cut with old rules and passes them on as news."""
+    """A host reconnects with old rules and forwards them as if they were new."""
     assert_reaches_all(cluster)
     cluster.run(1)
     old = Push(key=RULES, packed=pack(b"first"), revision=1, root="lac-1")
@@ -134,10 +136,10 @@
     assert_reaches_all(cluster)
 
 
-def test_hosts_whose_lists_differ_do_not_pass_on_in_circles() -> None:
+def test_messages_do_not_loop_when_host_lists_differ() -> None:
     """The platform's list lags differently on each host, so their trees differ.
 
-    Were a host its own grandchild, one change would go round for good and fill every
+    If a host were its own descendant, a change would circulate forever and fill every
     link. Children come after their parent in the order of hashes, which is the same
     in every list.
     """
@@ -156,9 +158,9 @@
 
 
 def test_watcher_in_the_tree_of_another_passes_its_bodies_on() -> None:
-    """The second watcher has the value already when the first one's body comes.
+    """The second watcher already has the value when the body from the first arrives.
 
-    If it kept the body for itself, hosts below it would have to ask for theirs.
+    If it did not forward the body, the hosts below it would have to pull it.
     """
     large = running(Cluster(per_domain=12))
     pulled = sum(one.spread.counts.pulled for one in large.members.values())
@@ -170,9 +172,9 @@
 
 
 def test_two_operators_at_once_end_in_one_list_everywhere(cluster: Cluster) -> None:
-    """Two operators edit revision 1 at the same moment: the store takes one of them.
+    """Two operators edit revision 1 at the same time; the store accepts one edit.
 
-    Every host has to end with the same list, whichever was first.
+    All hosts must end with the same list, whichever edit was first.
     """
     outcomes: list[object] = []
     for value in (b"one operator", b"the other"):
@@ -198,10 +200,10 @@
 
 
 @pytest.mark.parametrize("lost", ["lac-1", "lac-2", "ariana-3", "charguia-4"])
-def test_one_hosts_lost_messages_are_mended_by_the_next_digest(
+def test_lost_messages_to_one_host_are_recovered_by_the_next_digest(
     cluster: Cluster, lost: str
 ) -> None:
-    """Everything that a change brings to one host is lost: it has missed the news."""
+    """All messages of a change to one host are lost."""
     cluster.members[lost].store.faults[:] = [DOWN]
     cluster.run(WATCH_ENDS_S)
     cluster.cut_hosts = {lost}
@@ -212,16 +214,16 @@
     assert took_s <= HEARTBEAT_S
 
 
-def test_lost_messages_are_mended_by_the_heartbeat(cluster: Cluster) -> None:
-    """Three in ten messages are lost: trees have holes in every change."""
+def test_lost_messages_are_recovered_by_digests(cluster: Cluster) -> None:
+    """30 % of all messages are lost, so that every change misses some hosts."""
     cluster.loss = 0.3
     for _ in range(20):
         assert_reaches_all(cluster, limit_s=4 * HEARTBEAT_S)
         cluster.run(0.5)
 
 
-def test_dead_watchers_are_stood_in_for(cluster: Cluster) -> None:
-    """Both watchers of the only failure domain in reach die, and stay listed."""
+def test_standby_watchers_replace_dead_ones(cluster: Cluster) -> None:
+    """Both watchers of the only reachable failure domain die but stay listed."""
     cluster.cut_domains = set(DOMAINS)
     for member in watchers_of(cluster, "lac"):
         cluster.stop(member.host.id)
--- a/tests/test_spread_together.py
+++ b/tests/test_spread_together.py
@@ -1,4 +1,4 @@
-"""Spread over the mesh on real sockets, with the store over HTTP."""
+"""Replication over the mesh on real sockets, with the store over HTTP."""
 
 from collections.abc import Iterator
 from random import Random
@@ -29,7 +29,7 @@
 
 @final
 class RealHost:
-    """A host's mesh and spread, ticking on the real clock."""
+    """The mesh and replication of a host, on the real clock."""
 
     def __init__(self, *, fleet: "Fleet", host: Host, listed: bool = True) -> None:
         self.mesh = PeerMesh(
@@ -58,12 +58,12 @@
         self._loop.start(TICK_S)
 
     def holds(self, value: bytes) -> bool:
-        """Say whether this host is ready and has that value."""
+        """Return whether this host is ready and holds that value."""
         found = self.spread.value(RULES)
         return self.spread.ready and found is not None and found.value == value
 
     def close(self) -> None:
-        """Stop as a process does."""
+        """Stop the host as when its process ends."""
         self._loop.stop()
         self.spread.close()
         self.mesh.close()
@@ -100,7 +100,7 @@
             self.start(host)
 
     def start(self, host: Host, *, listed: bool = True) -> RealHost:
-        """Start a host, or start it again with nothing in it."""
+        """Start a host, or restart it with empty state."""
         if host.id in self.running:
             self.running.pop(host.id).close()
         self.running[host.id] = RealHost(fleet=self, host=host, listed=listed)
@@ -137,7 +137,7 @@
 
 
 def test_changes_and_a_restart_in_an_outage_over_real_sockets(fleet: Fleet) -> None:
-    """Rules change twice; the store goes down; a host is replaced and must catch up."""
+    """Rules change twice, the store goes down, and replaced hosts must catch up."""
     fleet.write(b"first" * 10_000, revision=0)
     fleet.wait_for(b"first" * 10_000)
     fleet.write(b"second" * 10_000, revision=1)
@@ -149,15 +149,14 @@
     fleet.faulty.faults.clear()
     fleet.write(b"third", revision=2)
     fleet.wait_for(b"third")
-    # Others step in when the watchers' news is late, and back again.
+    # Standby watchers start when the last store contact is too old, and stop later.
     fleet.loop.run_until(lambda: len(fleet.watching()) == 2)
 
 
 def test_host_replaced_while_store_and_list_are_out_of_reach(fleet: Fleet) -> None:
-    """A failure domain is cut off from the platform, and a host in it is replaced.
+    """A failure domain is cut off from the platform, and one of its hosts is replaced.
 
-    It gets neither rules nor the list of hosts from the platform: both come from the
-    peers that still list it.
+    The host gets the rules and the host list from the peers that still list it.
     """
     fleet.write(b"rules", revision=0)
     fleet.wait_for(b"rules")
--- a/tests/test_spread_versions.py
+++ b/tests/test_spread_versions.py
@@ -1,4 +1,4 @@
-"""Versions, places and messages of spread, each by itself."""
+"""Unit tests of the versions, overlay and messages of the replication."""
 
 from collections import Counter
 
@@ -78,9 +78,9 @@
 
 
 def test_no_host_is_in_the_middle_of_every_revisions_tree() -> None:
-    """Operators change rules all day; one host sends eight times the bytes of each.
+    """With frequent changes, some hosts sent eight times the bytes of each.
 
-    The first watcher's tree had the same inner hosts for every change.
+    The tree of the first watcher had the same inner nodes for every change.
     """
     members = [f"lac-{number}" for number in range(100)]
     passed_on = Counter(
@@ -93,22 +93,22 @@
     assert max(passed_on.values()) < 4 * mean
 
 
-def _overlay(hosts_per_domain: int) -> dict[str, Overlay]:
+def _overlays(hosts_per_domain: int) -> dict[str, Overlay]:
     hosts = make_hosts(hosts_per_domain)
-    overlay = {host.id: Overlay(host=host) for host in hosts}
-    for one in overlay.values():
+    overlays = {host.id: Overlay(host=host) for host in hosts}
+    for one in overlays.values():
         one.set_hosts(hosts)
-    return overlay
+    return overlays
 
 
 @pytest.mark.parametrize("per_domain", [1, 4, 12, 100])
 def test_each_domain_has_few_watchers_and_all_agree_on_them(per_domain: int) -> None:
-    overlay = _overlay(per_domain)
+    overlays = _overlays(per_domain)
     watchers = sorted(
-        name for name, one in overlay.items() if one.watch_rank < WATCHERS
+        name for name, one in overlays.items() if one.watch_rank < WATCHERS
     )
     assert len(watchers) == 3 * min(WATCHERS, per_domain)
-    for name, one in overlay.items():
+    for name, one in overlays.items():
         elsewhere = [w for w in watchers if w.split("-")[0] != name.split("-")[0]]
         assert sorted(one.remote_watchers) == elsewhere
 
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("size", [12, 100, 500])
 def test_partners_connect_the_domain(size: int) -> None:
-    """Digests mend a lost message only where some path of partners leads."""
+    """Digests recover a lost message only along a path of partners."""
     hosts = make_hosts(size, ["lac"])
     links: dict[str, set[str]] = {host.id: set() for host in hosts}
     for host in hosts:
@@ -136,11 +136,11 @@
             links[host.id].add(partner)
             links[partner].add(host.id)
     reached = {hosts[0].id}
-    ways = [hosts[0].id]
-    for one in ways:
+    queue = [hosts[0].id]
+    for one in queue:
         new = links[one] - reached
         reached |= new
-        ways += new
+        queue += new
     assert len(reached) == size
 
 
