--- a/src/gentianwharf/spread/_digests.py
+++ b/src/gentianwharf/spread/_digests.py
@@ -13,7 +13,7 @@
 from ._replica import Replica
 
 DIGEST_INTERVAL_S = 0.5
-"""Mean time between two digests; bounds how long a lost message goes unnoticed."""
+"""Mean time between two digests; a lost message is noticed after about this time."""
 
 REMOTE_DIGEST_EVERY = 4
 """Every fourth digest goes to another failure domain, whose watchers may reach the
--- a/src/gentianwharf/spread/_links.py
+++ b/src/gentianwharf/spread/_links.py
@@ -18,7 +18,7 @@
 from ._frames import FRAME_VERSION, Channel, Frame, FrameKind, encode_frame
 
 PROBE_INTERVAL_S = 0.5
-"""A probe and its answer have about 160 bytes: 3 KB/s for a host with ten links."""
+"""A probe and its answer have about 160 bytes: 3 KB/s for ten links in use."""
 
 PROBE_TIMEOUT_S = 1.6
 """Three unanswered probes. A frozen peer is redialled once per time-out. A half-open
--- a/src/gentianwharf/spread/_value_exchange.py
+++ b/src/gentianwharf/spread/_value_exchange.py
@@ -57,7 +57,7 @@
         if push.root and self._replica.replicates(push.key):
             self._forwarder.forward(push)
         elif accepted and self._is_ready():
-            # While a host starts, it pulls values that the other hosts already hold.
+            # A starting host announces nothing: it pulls values that the others hold.
             self._forwarder.announce_to_partners(value)
 
     def on_delta(self, host_id: str, delta: Delta) -> None:
--- a/tests/builders_spread.py
+++ b/tests/builders_spread.py
@@ -71,7 +71,7 @@
             args,
             kw,
             lambda _: None,
-            _not_moved,
+            _reject_reschedule,
             self.seconds,
         )
         heappush(self._heap, (call.getTime(), next(self._numbers), call))
@@ -100,7 +100,7 @@
         return True
 
 
-def _not_moved(_: DelayedCall) -> None:
+def _reject_reschedule(_: DelayedCall) -> None:
     raise NotImplementedError
 
 
@@ -175,7 +175,7 @@
         self.loss = 0.0
         self.messages = 0
         self.bytes = 0
-        self._made = seed * 1_000
+        self._start_count = seed * 1_000
         self.members: dict[str, Member] = {}
         for host in self.hosts:
             self.start(host.id)
@@ -183,9 +183,9 @@
     def start(self, host_id: str, faults: Iterable[Fault] = ()) -> Member:
         """Start a host, or restart it with empty state."""
         self.stop(host_id)
-        self._made += 1
+        self._start_count += 1
         host = self._by_id[host_id]
-        member = Member(cluster=self, host=host, number=self._made)
+        member = Member(cluster=self, host=host, number=self._start_count)
         member.store.faults.extend(faults)
         member.spread.set_hosts(self.hosts)
         self.members[host_id] = member
@@ -246,8 +246,8 @@
 
     def all_at(self, revision: int, members: Iterable[Member] | None = None) -> bool:
         """Return whether all hosts hold that revision of the rules."""
-        some = self.members.values() if members is None else members
-        return all(member.revision() == revision for member in some)
+        selected = self.members.values() if members is None else members
+        return all(member.revision() == revision for member in selected)
 
     def in_domain(self, domain: str) -> list[Member]:
         """Return the hosts of a failure domain."""
--- a/tests/test_spread_delta.py
+++ b/tests/test_spread_delta.py
@@ -15,7 +15,7 @@
 from gentianwharf.spread._packing import pack
 from tests.builders_spread import RULES, Cluster, running, watchers_of
 
-PARTS = st.lists(
+CHUNKS = st.lists(
     st.sampled_from([b'{"a":1}', b',{"b":2}', b"}", b"{}", b"x", b"", b"\xff}"]),
     max_size=30,
 ).map(b"".join)
@@ -36,7 +36,7 @@
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(before=PARTS | st.binary(max_size=60), after=PARTS | st.binary(max_size=60))
+@given(before=CHUNKS | st.binary(max_size=60), after=CHUNKS | st.binary(max_size=60))
 def test_delta_turns_the_old_value_into_the_new(before: bytes, after: bytes) -> None:
     assert apply_delta(before, make_delta(before, after), peer="lac-1") == after
 
@@ -49,13 +49,13 @@
 @pytest.mark.parametrize(
     "value", [b"}" * 200_000, b"{},{}" * 50_000], ids=["braces", "alike"]
 )
-def test_value_made_of_equal_pieces_costs_no_more_than_its_size(value: bytes) -> None:
+def test_delta_of_repeated_chunks_has_linear_cost(value: bytes) -> None:
     """A comparison of quadratic cost would block the event loop for minutes."""
     assert len(make_delta(value, value + b"x")) < 100
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(before=PARTS, delta=st.binary(max_size=40))
+@given(before=CHUNKS, delta=st.binary(max_size=40))
 def test_any_delta_gives_a_value_or_a_clear_error(before: bytes, delta: bytes) -> None:
     try:
         apply_delta(before, delta, peer="lac-1")
@@ -92,7 +92,7 @@
     assert cluster.bytes < 12 * len(pack(value.value)) / 4
 
 
-def test_host_that_missed_the_version_before_gets_the_whole(cluster: Cluster) -> None:
+def test_host_without_the_base_gets_the_complete_value(cluster: Cluster) -> None:
     """All messages of the first of two changes to a host are lost.
 
     The second change arrives as a delta whose base the host never had. The host must
@@ -114,7 +114,7 @@
     assert one.spread.state().counts.delta_failures == 1
 
 
-def test_delta_that_makes_another_value_is_not_taken(cluster: Cluster) -> None:
+def test_delta_with_a_wrong_checksum_is_not_applied(cluster: Cluster) -> None:
     """A peer holds different bytes for the same revision, due to a memory fault."""
     one = watchers_of(cluster, "lac")[0]
     before = one.spread.value(RULES)
@@ -131,7 +131,7 @@
     assert one.spread.state().counts.delta_failures == 1
 
 
-def test_key_that_is_not_carried_is_not_passed_on(cluster: Cluster) -> None:
+def test_key_that_is_not_replicated_is_not_forwarded(cluster: Cluster) -> None:
     one = watchers_of(cluster, "lac")[0]
     cluster.messages = 0
     for message in (
@@ -165,7 +165,7 @@
     | st.binary(max_size=60).map(lambda rest: b"\x01" + rest)
     | MESSAGES.map(encode)
 )
-def test_any_message_of_a_peer_leaves_what_is_held(data: bytes) -> None:
+def test_any_message_of_a_peer_keeps_the_value(data: bytes) -> None:
     """A host of another version or a faulty one sends undecodable messages."""
     cluster = SHARED
     one = cluster.members["lac-1"]
--- a/tests/test_spread_links.py
+++ b/tests/test_spread_links.py
@@ -59,24 +59,24 @@
         self.clock = Clock()
         self.links: dict[str, list[FakeLink]] = {}
         self.answers = True
-        self.got: list[tuple[str, bytes]] = []
+        self.received: list[tuple[str, bytes]] = []
         self.meshes: dict[str, PeerMesh] = {}
         for host in (LAC, ARIANA):
             self.start(host)
-        self.channel = self.meshes["lac"].channel(Channel.SPREAD, self._note)
+        self.channel = self.meshes["lac"].channel(Channel.SPREAD, self._record_message)
 
     def start(self, host: Host, address: str | None = None) -> None:
         """Start a host with a new incarnation, optionally at another host's address."""
         mesh = PeerMesh(reactor=self.clock, host=host, rng=Random(), dial=self._dial)
         mesh.set_peers([LAC, ARIANA])
-        mesh.channel(Channel.SPREAD, self._note)
+        mesh.channel(Channel.SPREAD, self._record_message)
         self.meshes = {**self.meshes, host.id: mesh}
         self.at = {LAC.peer_address: "lac", ARIANA.peer_address: "ariana"}
         if address is not None:
             self.at[address] = host.id
 
-    def _note(self, host_id: str, message: bytes) -> None:
-        self.got.append((host_id, message))
+    def _record_message(self, host_id: str, message: bytes) -> None:
+        self.received.append((host_id, message))
 
     def _dial(self, address: str) -> FakeLink:
         link = FakeLink(lambda data: self.meshes[self.at[address]].handle_frame(data))
@@ -102,7 +102,7 @@
     pair.run(1)
     assert pair.links == {}
     assert pair.channel.send("ariana", b"hello")
-    assert pair.got == [("lac", b"hello")]
+    assert pair.received == [("lac", b"hello")]
 
 
 @pytest.mark.parametrize(
@@ -130,7 +130,7 @@
     assert not pair.channel.send("charguia", b"hello")
     assert pair.channel.send("ariana", b"hello")
     pair.run(1)
-    assert pair.got == [("lac", b"hello")]
+    assert pair.received == [("lac", b"hello")]
     mesh.set_peers([LAC, ARIANA, replace(bad, peer_address=ARIANA.peer_address)])
     assert pair.channel.send("charguia", b"mended")
 
@@ -145,8 +145,8 @@
     ariana = pair.meshes["ariana"]
     ariana.set_peers([ARIANA], leaving=[LAC])
     pair.channel.send("ariana", b"may I send?")
-    assert ariana.channel(Channel.SPREAD, pair._note).send("lac", b"yes")
-    assert pair.got == [("lac", b"may I send?"), ("ariana", b"yes")]
+    assert ariana.channel(Channel.SPREAD, pair._record_message).send("lac", b"yes")
+    assert pair.received == [("lac", b"may I send?"), ("ariana", b"yes")]
     assert [one.id for one in ariana._hosts] == ["ariana"]
 
 
@@ -166,7 +166,7 @@
     assert ownership.send("ariana", b"bad")
     assert pair.meshes["ariana"].stats().failed == 1
     pair.channel.send("ariana", b"hello")
-    assert pair.got == [("lac", b"hello")]
+    assert pair.received == [("lac", b"hello")]
 
 
 def test_answered_link_stays_as_it_is() -> None:
@@ -189,9 +189,9 @@
     old, new = pair.links[ARIANA.peer_address]
     assert old.closed
     assert not new.closed
-    pair.got.clear()
+    pair.received.clear()
     pair.run(1, sending=True)
-    assert len(pair.got) == 10
+    assert len(pair.received) == 10
     assert len(pair.links[ARIANA.peer_address]) == 2
     assert not pair.meshes["lac"].is_silent("ariana")
 
@@ -226,9 +226,9 @@
     pair.run(1, sending=True)
     other = Host(id="charguia", domain="charguia", peer_address="127.0.0.9:7000")
     pair.start(other, address=ARIANA.peer_address)
-    pair.got.clear()
+    pair.received.clear()
     pair.run(NOTICED_S, sending=True)
-    assert pair.got == []
+    assert pair.received == []
     assert pair.meshes["charguia"].stats().for_another_host > 0
     assert pair.meshes["lac"].is_silent("ariana")
 
@@ -257,31 +257,31 @@
     addresses to answer to, and would stay out of service until the platform is back.
     """
     pair = Pair()
-    told: list[tuple[Host, ...]] = []
+    lists: list[tuple[Host, ...]] = []
     alone = PeerMesh(
         reactor=pair.clock,
         host=ARIANA,
         rng=Random(3),
         dial=pair._dial,
-        on_hosts=told.append,
+        on_hosts=lists.append,
     )
     pair.meshes["ariana"] = alone
     assert pair.channel.send("ariana", b"hello")
-    assert told == [(LAC, ARIANA)]
-    alone.set_peers(told[0])
+    assert lists == [(LAC, ARIANA)]
+    alone.set_peers(lists[0])
     pair.run(1, sending=True)
-    assert told == [(LAC, ARIANA)]
+    assert lists == [(LAC, ARIANA)]
     assert alone.send("lac", b"found you", channel=Channel.SPREAD)
-    assert ("ariana", b"found you") in pair.got
+    assert ("ariana", b"found you") in pair.received
 
 
 def test_list_of_a_peer_does_not_replace_the_platforms() -> None:
     pair = Pair()
-    told: list[tuple[Host, ...]] = []
-    pair.meshes["lac"]._on_hosts = told.append
+    lists: list[tuple[Host, ...]] = []
+    pair.meshes["lac"]._on_hosts = lists.append
     body = encode_hosts([ARIANA])
     pair.meshes["lac"].handle_frame(_frame(kind=FrameKind.HOSTS, body=body))
-    assert told == []
+    assert lists == []
 
 
 def test_idle_links_close_on_both_sides() -> None:
@@ -358,7 +358,7 @@
     pair = Pair()
     pair.meshes["lac"].handle_frame(data)
     assert getattr(pair.meshes["lac"].stats(), counter) == 1
-    assert pair.got == []
+    assert pair.received == []
 
 
 def test_frame_comes_back_as_sent() -> None:
--- a/tests/test_spread_mesh.py
+++ b/tests/test_spread_mesh.py
@@ -102,7 +102,7 @@
     def __init__(self) -> None:
         self.loop = Loop()
         self.open: list[PeerMesh] = []
-        self.got: dict[str, list[bytes]] = {}
+        self.received: dict[str, list[bytes]] = {}
         self._next_s = 0.0
 
     def host(self, name: str, address: str | None = None) -> Host:
@@ -115,8 +115,8 @@
         """Start a host's mesh."""
         mesh = PeerMesh(reactor=self.loop.reactor, host=host, rng=Random())
         mesh.set_peers(peers)
-        got = self.got[host.id] = []
-        mesh.channel(Channel.SPREAD, lambda _, message: got.append(message))
+        received = self.received[host.id] = []
+        mesh.channel(Channel.SPREAD, lambda _, message: received.append(message))
         mesh.listen()
         self.open.append(mesh)
         return mesh
@@ -155,8 +155,8 @@
     sent = [b"small", b"x" * 1_000_000, b"last"]
     for message in sent:
         assert lac.send("ariana", message, channel=Channel.SPREAD)
-    meshes.loop.run_until(lambda: len(meshes.got["ariana"]) == 3)
-    assert meshes.got["ariana"] == sent
+    meshes.loop.run_until(lambda: len(meshes.received["ariana"]) == 3)
+    assert meshes.received["ariana"] == sent
 
 
 def test_address_in_use_is_an_error_that_names_it(meshes: Meshes) -> None:
@@ -181,11 +181,11 @@
     """A host's process is restarted; its peers reconnect on their own."""
     hosts = [meshes.host("lac"), meshes.host("ariana")]
     lac, ariana = (meshes.start(host, hosts) for host in hosts)
-    meshes.send_until(lac, "ariana", lambda: meshes.got["ariana"])
+    meshes.send_until(lac, "ariana", lambda: meshes.received["ariana"])
     meshes.open.remove(ariana)
     ariana.close()
     meshes.start(hosts[1], hosts)
-    meshes.send_until(lac, "ariana", lambda: meshes.got["ariana"])
+    meshes.send_until(lac, "ariana", lambda: meshes.received["ariana"])
 
 
 def test_another_host_starts_on_the_address_of_a_stopped_one(meshes: Meshes) -> None:
@@ -195,12 +195,12 @@
     """
     hosts = [meshes.host("lac"), meshes.host("ariana")]
     lac, ariana = (meshes.start(host, hosts) for host in hosts)
-    meshes.send_until(lac, "ariana", lambda: meshes.got["ariana"])
+    meshes.send_until(lac, "ariana", lambda: meshes.received["ariana"])
     meshes.open.remove(ariana)
     ariana.close()
     other = meshes.start(meshes.host("charguia", hosts[1].peer_address), hosts)
     meshes.send_until(lac, "ariana", lambda: lac.is_silent("ariana"))
-    assert meshes.got["charguia"] == []
+    assert meshes.received["charguia"] == []
     assert other.stats().for_another_host > 0
 
 
@@ -214,15 +214,15 @@
         assert process.stdout is not None
         assert process.stdout.readline() == b"listens\n"
         lac = meshes.start(hosts[0], hosts)
-        meshes.send_until(lac, "ariana", lambda: meshes.got["lac"])
+        meshes.send_until(lac, "ariana", lambda: meshes.received["lac"])
         process.send_signal(signal.SIGSTOP)
         meshes.send_until(lac, "ariana", lambda: lac.is_silent("ariana"))
         process.send_signal(signal.SIGCONT)
-        meshes.got["lac"].clear()
+        meshes.received["lac"].clear()
         meshes.send_until(
             lac,
             "ariana",
-            lambda: meshes.got["lac"] and not lac.is_silent("ariana"),
+            lambda: meshes.received["lac"] and not lac.is_silent("ariana"),
         )
     finally:
         process.kill()
@@ -240,9 +240,9 @@
     through_middlebox = meshes.host("ariana", middlebox.address)
     lac = meshes.start(hosts[0], [hosts[0], through_middlebox])
     meshes.start(hosts[1], hosts)
-    meshes.send_until(lac, "ariana", lambda: meshes.got["ariana"])
+    meshes.send_until(lac, "ariana", lambda: meshes.received["ariana"])
     middlebox.lose_connections()
-    meshes.got["ariana"].clear()
-    meshes.send_until(lac, "ariana", lambda: meshes.got["ariana"])
+    meshes.received["ariana"].clear()
+    meshes.send_until(lac, "ariana", lambda: meshes.received["ariana"])
     assert lac.stats().links["ariana"].redials == 1
     assert middlebox.connections == 2
--- a/tests/test_spread_outages.py
+++ b/tests/test_spread_outages.py
@@ -73,7 +73,7 @@
     assert_reaches_all(cluster)
 
 
-def test_domain_cut_off_from_the_platform_alone_hears_of_changes(
+def test_domain_cut_off_from_the_platform_alone_receives_changes(
     cluster: Cluster,
 ) -> None:
     """One failure domain loses the platform; watchers of the others send it changes."""
@@ -113,7 +113,7 @@
     assert fresh.revision() == 2
 
 
-def test_empty_host_that_hears_only_an_old_peer_is_not_ready(
+def test_empty_host_that_reaches_only_an_old_peer_is_not_ready(
     cluster: Cluster,
 ) -> None:
     """A host starts in an outage and reaches only one peer, whose rules are old.
--- a/tests/test_spread_packing.py
+++ b/tests/test_spread_packing.py
@@ -47,7 +47,7 @@
     assert pack(b"a" * 100)[:1] == PLAIN
 
 
-def test_version_that_came_packed_is_passed_on_as_it_came() -> None:
+def test_received_packed_form_is_reused() -> None:
     values = PackedValues()
     old, new = (
         VersionedValue(key="rules", value=b"x" * 1_000, revision=number)
--- a/tests/test_spread_queries.py
+++ b/tests/test_spread_queries.py
@@ -23,7 +23,7 @@
     assert query.answers == {host: host.encode() for host in HOSTS}
 
 
-def test_host_that_is_cut_off_is_named_and_holds_up_nobody() -> None:
+def test_unreachable_host_is_named_and_does_not_delay_others() -> None:
     """A listed host can't be reached while an operator waits for a report.
 
     The other answers arrive, and the report names the missing host and the reason.
@@ -41,7 +41,7 @@
     assert (query.silent, len(query.answers)) == ({}, len(HOSTS))
 
 
-def test_hosts_that_are_all_silent_end_in_the_time_for_all() -> None:
+def test_query_to_silent_hosts_ends_at_the_total_timeout() -> None:
     hosts = [f"lac-{number}" for number in range(300)]
     query = start_query(hosts, cut=set(hosts))
     query.run(3.1)
@@ -68,7 +68,7 @@
     assert all("not asked" in reason for reason in query.silent.values())
 
 
-def test_answer_that_is_too_large_is_told_with_what_to_do() -> None:
+def test_too_large_answer_is_reported_with_advice() -> None:
     big = Random(1).randbytes(MAX_ANSWER_BYTES + 1)
     query = start_query(["lac-1"], answer=big)
     query.run()
@@ -81,7 +81,7 @@
     assert "of another version" in query.silent["lac-1"]
 
 
-def test_answer_that_makes_no_sense_is_the_hosts_reason() -> None:
+def test_error_in_on_answer_is_the_reason_of_the_host() -> None:
     def refuse(host: str, answer: bytes) -> None:
         raise InputError("expected a burn part", step="read", peer=host)
 
@@ -98,7 +98,7 @@
     assert query.answers == {}
 
 
-def test_operator_who_hangs_up_leaves_nothing_behind() -> None:
+def test_cancelled_query_leaves_no_timers() -> None:
     query = start_query(["lac-1"], cut={"lac-1"})
     failures: list[object] = []
     query.done.addErrback(lambda failure: failures.append(failure.type))
--- a/tests/test_spread_readiness.py
+++ b/tests/test_spread_readiness.py
@@ -46,7 +46,7 @@
         pytest.param(STARTED_S, True, id="since-start"),
     ],
 )
-def test_news_of_the_store_counts_from_the_start_on(
+def test_store_contact_counts_only_since_the_start(
     contact_s: float, ready: bool
 ) -> None:
     """A host with new rules restarts, and agrees with a peer that lacks them.
--- a/tests/test_spread_system.py
+++ b/tests/test_spread_system.py
@@ -46,7 +46,7 @@
     assert_reaches_all(cluster)
 
 
-def test_other_keys_of_the_store_are_not_passed_on(cluster: Cluster) -> None:
+def test_other_keys_of_the_store_are_not_replicated(cluster: Cluster) -> None:
     cluster.write(b"holder", key=PREFIX + "control/calendrier")
     cluster.write(b"chunk", key=PREFIX + "table/calendrier/0")
     cluster.write(b"former", key=PREFIX + "rules-history/1")
@@ -54,7 +54,7 @@
     assert {one.spread.state().keys for one in cluster.members.values()} == {2}
 
 
-def test_write_of_its_own_is_passed_on_at_once(cluster: Cluster) -> None:
+def test_published_value_is_forwarded_at_once(cluster: Cluster) -> None:
     """A control holder confirms a move; it reaches all hosts while all watches hang."""
     cluster.fault_all(HANGS)
     cluster.run(8)
@@ -157,7 +157,7 @@
     assert cluster.messages - idle < 10 * len(cluster.hosts)
 
 
-def test_watcher_in_the_tree_of_another_passes_its_bodies_on() -> None:
+def test_watcher_forwards_bodies_in_the_tree_of_another() -> None:
     """The second watcher already has the value when the body from the first arrives.
 
     If it did not forward the body, the hosts below it would have to pull it.
