--- a/tests/test_spread_links.py
+++ b/tests/test_spread_links.py
@@ -18,8 +18,8 @@
     encode_frame,
     encode_hosts,
 )
-from gentianwharf.spread._links import IDLE_AFTER_S, PROBE_EVERY_S, SILENT_AFTER_S
-from gentianwharf.spread._messages import MOST_MESSAGE_BYTES
+from gentianwharf.spread._links import IDLE_TIMEOUT_S, PROBE_INTERVAL_S, PROBE_TIMEOUT_S
+from gentianwharf.spread._messages import MAX_MESSAGE_BYTES
 from gentianwharf.topology import Host
 
 LAC, ARIANA = (
@@ -27,12 +27,12 @@
     for number, name in enumerate(("lac", "ariana"), start=1)
 )
 TICK_S = 0.1
-NOTICED_S = SILENT_AFTER_S + 1.2 * PROBE_EVERY_S + TICK_S
+NOTICED_S = PROBE_TIMEOUT_S + 1.2 * PROBE_INTERVAL_S + TICK_S
 
 
 @final
 class FakeLink:
-    """A connection that delivers at once, or swallows, or is full."""
+    """A connection that delivers immediately, loses all data, or has a full queue."""
 
     def __init__(self, deliver: Callable[[bytes], None]) -> None:
         self._deliver = deliver
@@ -41,50 +41,50 @@
         self.closed = False
 
     def send(self, data: bytes) -> bool:
-        """Deliver, swallow or refuse."""
+        """Deliver, lose or reject a frame."""
         if not self.silent and not self.full:
             self._deliver(data)
         return not self.full
 
     def close(self) -> None:
-        """Note it."""
+        """Record that the connection was closed."""
         self.closed = True
 
 
 @final
 class Pair:
-    """Two hosts' meshes, joined by fake links."""
+    """The meshes of two hosts, connected by fake links."""
 
     def __init__(self) -> None:
         self.clock = Clock()
         self.links: dict[str, list[FakeLink]] = {}
         self.answers = True
-        self.got: list[tuple[str, bytes]] = []
+        self.received: list[tuple[str, bytes]] = []
         self.meshes: dict[str, PeerMesh] = {}
         for host in (LAC, ARIANA):
             self.start(host)
-        self.channel = self.meshes["lac"].channel(Channel.SPREAD, self._note)
+        self.channel = self.meshes["lac"].channel(Channel.SPREAD, self._record_message)
 
     def start(self, host: Host, address: str | None = None) -> None:
-        """Start a host with a new incarnation, at ``address`` if it is another's."""
+        """Start a host with a new incarnation, optionally at another host's address."""
         mesh = PeerMesh(reactor=self.clock, host=host, rng=Random(), dial=self._dial)
         mesh.set_peers([LAC, ARIANA])
-        mesh.channel(Channel.SPREAD, self._note)
+        mesh.channel(Channel.SPREAD, self._record_message)
         self.meshes = {**self.meshes, host.id: mesh}
         self.at = {LAC.peer_address: "lac", ARIANA.peer_address: "ariana"}
         if address is not None:
             self.at[address] = host.id
 
-    def _note(self, host_id: str, message: bytes) -> None:
-        self.got.append((host_id, message))
+    def _record_message(self, host_id: str, message: bytes) -> None:
+        self.received.append((host_id, message))
 
     def _dial(self, address: str) -> FakeLink:
-        link = FakeLink(lambda data: self.meshes[self.at[address]].received_frame(data))
+        link = FakeLink(lambda data: self.meshes[self.at[address]].handle_frame(data))
         self.links.setdefault(address, []).append(link)
         return link
 
     def to_ariana(self) -> FakeLink:
-        """Return lac's present link to ariana."""
+        """Return the current link from lac to ariana."""
         return self.links[ARIANA.peer_address][-1]
 
     def run(self, duration_s: float, *, sending: bool = False) -> None:
@@ -102,7 +102,7 @@
     pair.run(1)
     assert pair.links == {}
     assert pair.channel.send("ariana", b"hello")
-    assert pair.got == [("lac", b"hello")]
+    assert pair.received == [("lac", b"hello")]
 
 
 @pytest.mark.parametrize(
@@ -118,10 +118,10 @@
     ],
 )
 def test_bad_address_in_the_list_leaves_out_that_host_alone(address: str) -> None:
-    """The platform's list gets a line with an address that is none.
+    """The platform's host list contains an invalid address.
 
-    Dialling it raised, and with it ended each tick, in which all rights are renewed:
-    one line took every host of the fleet out of service.
+    Dialling it raised in each tick, in which all rights are renewed, so that a single
+    entry took every host of the fleet out of service.
     """
     pair = Pair()
     mesh = pair.meshes["lac"]
@@ -130,42 +130,43 @@
     assert not pair.channel.send("charguia", b"hello")
     assert pair.channel.send("ariana", b"hello")
     pair.run(1)
-    assert pair.got == [("lac", b"hello")]
+    assert pair.received == [("lac", b"hello")]
     mesh.set_peers([LAC, ARIANA, replace(bad, peer_address=ARIANA.peer_address)])
     assert pair.channel.send("charguia", b"mended")
 
 
-def test_leaving_host_is_answered_and_told_to_nobody() -> None:
-    """The platform lists a host as leaving, and the balancer still sends to it.
+def test_leaving_host_is_answered_and_not_listed_to_others() -> None:
+    """The platform lists a host as leaving while the balancer still sends to it.
 
-    Its peers closed their links to it: its right to send lapsed, and it refused every
-    keyed request until it was stopped.
+    Its peers closed their links to it. Its right to send lapsed, and it refused all
+    keyed requests until it was stopped.
     """
     pair = Pair()
     ariana = pair.meshes["ariana"]
     ariana.set_peers([ARIANA], leaving=[LAC])
     pair.channel.send("ariana", b"may I send?")
-    assert ariana.channel(Channel.SPREAD, pair._note).send("lac", b"yes")
-    assert pair.got == [("lac", b"may I send?"), ("ariana", b"yes")]
+    assert ariana.channel(Channel.SPREAD, pair._record_message).send("lac", b"yes")
+    assert pair.received == [("lac", b"may I send?"), ("ariana", b"yes")]
     assert [one.id for one in ariana._hosts] == ["ariana"]
 
 
-def test_message_that_a_system_stumbles_over_does_not_end_the_mesh() -> None:
-    """A table from the store makes no sense, and its reader raises.
+def test_exception_in_a_handler_does_not_stop_the_mesh() -> None:
+    """A handler raises on an invalid table from the store.
 
-    The reactor closes a reader that raises: the host would hear no peer again.
+    The reactor closes a reader that raises, after which the host would receive no
+    messages from any peer.
     """
     pair = Pair()
 
-    def stumble(host_id: str, message: bytes) -> None:
+    def raise_error(host_id: str, message: bytes) -> None:
         raise IndexError(message)
 
-    pair.meshes["ariana"].channel(Channel.OWNERSHIP, stumble)
-    ownership = pair.meshes["lac"].channel(Channel.OWNERSHIP, stumble)
+    pair.meshes["ariana"].channel(Channel.OWNERSHIP, raise_error)
+    ownership = pair.meshes["lac"].channel(Channel.OWNERSHIP, raise_error)
     assert ownership.send("ariana", b"bad")
     assert pair.meshes["ariana"].stats().failed == 1
     pair.channel.send("ariana", b"hello")
-    assert pair.got == [("lac", b"hello")]
+    assert pair.received == [("lac", b"hello")]
 
 
 def test_answered_link_stays_as_it_is() -> None:
@@ -175,11 +176,11 @@
     assert not pair.meshes["lac"].is_silent("ariana")
 
 
-def test_link_gone_silent_is_made_anew() -> None:
-    """A box between two hosts loses track of their connection.
+def test_half_open_link_is_replaced() -> None:
+    """A middlebox between two hosts loses the state of their connection.
 
-    Both ends keep it open and nng sees nothing; what is sent vanishes. Without probes
-    the rules would stop reaching that host through this peer for good.
+    Both ends keep it open and nng detects nothing, but all data is lost. Without
+    probes, rules would never again reach that host through this peer.
     """
     pair = Pair()
     pair.run(1, sending=True)
@@ -188,17 +189,17 @@
     old, new = pair.links[ARIANA.peer_address]
     assert old.closed
     assert not new.closed
-    pair.got.clear()
+    pair.received.clear()
     pair.run(1, sending=True)
-    assert len(pair.got) == 10
+    assert len(pair.received) == 10
     assert len(pair.links[ARIANA.peer_address]) == 2
     assert not pair.meshes["lac"].is_silent("ariana")
 
 
 def test_frozen_peer_is_silent_until_it_answers_again() -> None:
-    """A peer is paused for a minute and returns.
+    """A peer is paused for a minute and continues.
 
-    It is dialled again at a bounded rate meanwhile, and its return is noticed.
+    It is redialled at a bounded rate meanwhile, and its answers are detected again.
     """
     pair = Pair()
     pair.run(1, sending=True)
@@ -209,30 +210,30 @@
     pair.run(60, sending=True)
     assert pair.meshes["lac"].is_silent("ariana")
     redials = pair.meshes["lac"].stats().links["ariana"].redials
-    assert 30 <= redials <= 60 / SILENT_AFTER_S
+    assert 30 <= redials <= 60 / PROBE_TIMEOUT_S
     pair.meshes["ariana"] = frozen
     pair.run(1, sending=True)
     assert not pair.meshes["lac"].is_silent("ariana")
 
 
 def test_other_host_at_the_address_gets_nothing() -> None:
-    """A host is replaced, and its address goes to another one.
+    """A host is replaced, and its address is assigned to another host.
 
-    A message meant for the former holder must not be taken for the new one's own, and
-    the sender must notice that the former holder is gone.
+    The new host must not handle messages for the previous one, and the sender must
+    detect that the previous one is gone.
     """
     pair = Pair()
     pair.run(1, sending=True)
     other = Host(id="charguia", domain="charguia", peer_address="127.0.0.9:7000")
     pair.start(other, address=ARIANA.peer_address)
-    pair.got.clear()
+    pair.received.clear()
     pair.run(NOTICED_S, sending=True)
-    assert pair.got == []
+    assert pair.received == []
     assert pair.meshes["charguia"].stats().for_another_host > 0
     assert pair.meshes["lac"].is_silent("ariana")
 
 
-def test_answer_for_a_former_life_is_not_taken() -> None:
+def test_answer_to_an_earlier_incarnation_is_ignored() -> None:
     pair = Pair()
     pair.run(1, sending=True)
     pair.to_ariana().silent = True
@@ -245,48 +246,48 @@
     )
     for _ in range(round(NOTICED_S / TICK_S)):
         pair.run(TICK_S, sending=True)
-        pair.meshes["lac"].received_frame(encode_frame(late))
+        pair.meshes["lac"].handle_frame(encode_frame(late))
     assert pair.meshes["lac"].stats().links["ariana"].redials == 1
 
 
 def test_host_without_a_list_gets_that_of_a_peer() -> None:
-    """A host is replaced while the platform is out of reach, its list of hosts too.
+    """A host is replaced while the platform and its host list are unreachable.
 
-    It knows nobody. Its peers still list it and write to it, but it has no address to
-    answer to, and would stay out of service until the platform is back.
+    Its peers still list it and send messages to it. Without a host list it has no
+    addresses to answer to, and would stay out of service until the platform is back.
     """
     pair = Pair()
-    told: list[tuple[Host, ...]] = []
+    lists: list[tuple[Host, ...]] = []
     alone = PeerMesh(
         reactor=pair.clock,
         host=ARIANA,
         rng=Random(3),
         dial=pair._dial,
-        on_hosts=told.append,
+        on_hosts=lists.append,
     )
     pair.meshes["ariana"] = alone
     assert pair.channel.send("ariana", b"hello")
-    assert told == [(LAC, ARIANA)]
-    alone.set_peers(told[0])
+    assert lists == [(LAC, ARIANA)]
+    alone.set_peers(lists[0])
     pair.run(1, sending=True)
-    assert told == [(LAC, ARIANA)]
+    assert lists == [(LAC, ARIANA)]
     assert alone.send("lac", b"found you", channel=Channel.SPREAD)
-    assert ("ariana", b"found you") in pair.got
+    assert ("ariana", b"found you") in pair.received
 
 
 def test_list_of_a_peer_does_not_replace_the_platforms() -> None:
     pair = Pair()
-    told: list[tuple[Host, ...]] = []
-    pair.meshes["lac"]._on_hosts = told.append
+    lists: list[tuple[Host, ...]] = []
+    pair.meshes["lac"]._on_hosts = lists.append
     body = encode_hosts([ARIANA])
-    pair.meshes["lac"].received_frame(_frame(kind=FrameKind.HOSTS, body=body))
-    assert told == []
+    pair.meshes["lac"].handle_frame(_frame(kind=FrameKind.HOSTS, body=body))
+    assert lists == []
 
 
 def test_idle_links_close_on_both_sides() -> None:
     pair = Pair()
     pair.run(1, sending=True)
-    pair.run(3 * IDLE_AFTER_S)
+    pair.run(3 * IDLE_TIMEOUT_S)
     for mesh in pair.meshes.values():
         assert not any(link.open for link in mesh.stats().links.values())
     assert all(link.closed for links in pair.links.values() for link in links)
@@ -326,8 +327,8 @@
 
 
 def test_message_beyond_the_limit_is_an_error_that_says_so() -> None:
-    with pytest.raises(InputError, match=str(MOST_MESSAGE_BYTES)):
-        Pair().channel.send("ariana", b"x" * (MOST_MESSAGE_BYTES + 1))
+    with pytest.raises(InputError, match=str(MAX_MESSAGE_BYTES)):
+        Pair().channel.send("ariana", b"x" * (MAX_MESSAGE_BYTES + 1))
 
 
 def _frame(**changes: object) -> bytes:
@@ -353,11 +354,11 @@
         pytest.param(_frame(channel=99), "unknown_channel", id="channel"),
     ],
 )
-def test_frame_that_fits_not_is_counted_and_dropped(data: bytes, counter: str) -> None:
+def test_unexpected_frame_is_counted_and_dropped(data: bytes, counter: str) -> None:
     pair = Pair()
-    pair.meshes["lac"].received_frame(data)
+    pair.meshes["lac"].handle_frame(data)
     assert getattr(pair.meshes["lac"].stats(), counter) == 1
-    assert pair.got == []
+    assert pair.received == []
 
 
 def test_frame_comes_back_as_sent() -> None:
--- a/tests/test_spread_packing.py
+++ b/tests/test_spread_packing.py
@@ -1,4 +1,4 @@
-"""Values as they travel between hosts."""
+"""Packed values, as sent between hosts."""
 
 import zlib
 from random import Random
@@ -38,7 +38,7 @@
         ),
     ],
 )
-def test_what_is_no_whole_value_is_refused(packed: bytes) -> None:
+def test_invalid_packed_value_is_rejected(packed: bytes) -> None:
     with pytest.raises(PeerMismatchError):
         unpack(packed, peer="lac-1")
 
@@ -47,12 +47,12 @@
     assert pack(b"a" * 100)[:1] == PLAIN
 
 
-def test_version_that_came_packed_is_passed_on_as_it_came() -> None:
+def test_received_packed_form_is_reused() -> None:
     values = PackedValues()
     old, new = (
         VersionedValue(key="rules", value=b"x" * 1_000, revision=number)
         for number in (1, 2)
     )
-    values.keep(old, b"as it came")
-    assert values.of(old) == b"as it came"
-    assert unpack(values.of(new), peer="lac-1") == new.value
+    values.put(old, b"as it came")
+    assert values.get(old) == b"as it came"
+    assert unpack(values.get(new), peer="lac-1") == new.value
