--- a/src/gentianwharf/entryhost/_host.py
+++ b/src/gentianwharf/entryhost/_host.py
@@ -1,4 +1,4 @@
-"""An entry host: everything it is made of, started and stopped together."""
+"""An entry host: creates, starts and stops its components."""
 
 from collections.abc import Callable
 from dataclasses import fields
@@ -13,7 +13,7 @@
 from gentianwharf.platform import (
     Configuration,
     HostSettings,
-    PlatformDialect,
+    PlatformHeaderCodec,
 )
 from gentianwharf.relay import (
     SLOW_HEAD_CHECK_INTERVAL_S,
@@ -24,34 +24,34 @@
 )
 from gentianwharf.topology import BackendServer, Service
 
+from ._answer_log import AnswerLog
 from ._callers_port import CallersPort
-from ._classes import class_of
-from ._control import Control
-from ._entities import limits_of, server_of
+from ._conversions import limits_of, server_of
+from ._coordinator import Coordinator
 from ._gauges import add_gauges
 from ._metrics import METRICS_PORT, HostMetrics, metrics_site
-from ._observer import AnswerLog
 from ._readiness import readiness_site
+from ._request_classes import request_class_of
 
-CONTROL_TICK_S = 0.05
+COORDINATOR_TICK_S = 0.05
 GATE_TICK_S = 0.02
-"""The gate refuses, hedges and finds silent servers at this step, a fraction of the
-shortest wait that callers notice."""
+"""Interval at which the gate refuses and hedges requests and detects silent servers: a
+fraction of the shortest wait that callers notice."""
 
 IDLE_GATE_TICK_S = 0.1
-"""Without a request in flight a tick has nothing to do but to notice the host's own
-pauses, for which it takes gaps of more than 150 ms."""
+"""Interval without requests in flight. The gate then only detects pauses of the
+process, which are gaps of more than 150 ms."""
 
 NOTICE_S = 2.5
-"""The balancer asks once a second and takes a host out after two misses."""
+"""The balancer checks once per second and removes a host after two failed checks."""
 
 STOP_MARGIN_S = 0.3
-"""Before the platform ends the process by force."""
+"""Time between the last answers and the forced end by the platform."""
 
 
 @final
 class EntryHost:
-    """One process; ``start`` it within a running reactor."""
+    """The process of an entry host; ``start`` it within a running reactor."""
 
     def __init__(
         self,
@@ -65,9 +65,9 @@
         self._reactor = reactor
         self._rng = Random(SystemRandom().getrandbits(64))
         self._servers: dict[str, BackendServer] = {}
-        self._control = Control(
+        self._coordinator = Coordinator(
             settings=settings,
-            server_of=self._servers.get,
+            server_by_id=self._servers.get,
             reactor=reactor,
             rng=self._rng,
         )
@@ -79,16 +79,16 @@
             can_serve=self.is_ready,
             reactor=reactor,
         )
-        self._control.on_hosts = self._note_hosts
-        self._control.directory.on_change = self._follow_servers
-        self._control.rules.on_change = self._follow_configuration
+        self._coordinator.on_host_count = self._set_host_count
+        self._coordinator.directory.on_change = self._update_servers
+        self._coordinator.rules.on_change = self._apply_configuration
         self._ticks = PeriodicCalls(reactor=reactor)
-        agreed = settings.agreements
+        agreements = settings.agreements
         self.shutdown = Shutdown(
             target=self,
             clock=reactor,
             notice_s=NOTICE_S,
-            limit_s=agreed.grace_period_s - STOP_MARGIN_S,
+            limit_s=agreements.grace_period_s - STOP_MARGIN_S,
         )
 
     def _build_relay(self) -> None:
@@ -98,7 +98,7 @@
             classes=(),
             domain=self.settings.domain,
             rng=self._rng,
-            daemons=self._control.hosts,
+            daemons=self._coordinator.host_count,
         )
         self._admission = GateAdmission(
             gate=self._gate,
@@ -106,24 +106,24 @@
             now_s=reactor.seconds,
             on_server_outcome=lambda server, answered, busy_s: None,
         )
-        self._admission.on_load = self._control.note_server_load
-        self._admission.on_timeout = self._control.note_unanswered
+        self._admission.on_load = self._coordinator.note_server_load
+        self._admission.on_timeout = self._coordinator.note_unanswered
         self.metrics = HostMetrics()
         self.relay = RelayApp(
-            rules=self._control.rules,
-            ownership=self._control.keys,
+            rules=self._coordinator.rules,
+            ownership=self._coordinator.keys,
             admission=self._admission,
             connections={},
             observer=AnswerLog(
                 metrics=self.metrics,
-                rules_version=lambda: self._control.rules.version,
-                view_age_s=self._control.mirror.age_s,
+                rules_version=lambda: self._coordinator.rules.version,
+                view_age_s=self._coordinator.mirror.age_s,
             ),
             deadlines_ms={},
-            keyed=self._control.keyed,
+            keyed=self._coordinator.keyed,
             reactor=reactor,
             rng=self._rng,
-            codec=PlatformDialect(),
+            codec=PlatformHeaderCodec(),
         )
         self._site = CallerSite(
             resource=self.relay.resource(), reactor=reactor, limits=ConnectionLimits()
@@ -133,7 +133,7 @@
     def _add_gauges(self) -> None:
         add_gauges(
             self.metrics,
-            control=self._control,
+            coordinator=self._coordinator,
             relay=self.relay,
             site=self._site,
             servers=self._servers,
@@ -142,16 +142,16 @@
     # Start and stop.
 
     def start(self) -> None:
-        """Listen, and begin to follow the store."""
+        """Listen, and start to follow the store."""
         self._listen(
             self.settings.readiness_address,
             readiness_site(is_ready=self.is_ready, reactor=self._reactor),
         )
         metrics = metrics_site(metrics=self.metrics, reactor=self._reactor)
         self._listen(f"{self.settings.ip}:{METRICS_PORT}", metrics)
-        self._control.start()
+        self._coordinator.start()
         self._callers_port.start()
-        self._ticks.every(CONTROL_TICK_S, self._control.tick)
+        self._ticks.every(COORDINATOR_TICK_S, self._coordinator.tick)
         gate = self._ticks.every_dynamic(self._gate_interval_s, self._admission.tick)
         self.relay.on_first_in_flight = gate.reschedule
         self._ticks.every(SLOW_HEAD_CHECK_INTERVAL_S, self._site.refuse_slow_heads)
@@ -164,37 +164,37 @@
         ip, _, port = address.rpartition(":")
         self._reactor.listenTCP(int(port), site, interface=ip)
 
-    def take_settings(self, settings: HostSettings) -> None:
-        """Use settings that were read again.
+    def apply_settings(self, settings: HostSettings) -> None:
+        """Apply settings that were read again.
 
-        Addresses, the failure domain and the store stay as they were at the start:
-        the platform restarts a host for these.
+        Addresses, the failure domain and the store keep their values from the start:
+        the platform restarts a host to change them.
         """
         changed = [
             field.name
             for field in fields(settings)
             if getattr(settings, field.name) != getattr(self.settings, field.name)
         ]
-        log.info("settings read again", extra={"changed": changed})
+        log.info("settings reloaded", extra={"changed": changed})
         self.settings = settings
 
     def is_ready(self) -> bool:
-        """Whether a request of each service could be served here."""
+        """Whether this host can serve a request to each service."""
         if self.shutdown.phase is not Phase.SERVING:
             return False
-        configuration = self._control.rules.configuration
+        configuration = self._coordinator.rules.configuration
         if configuration is None:
             return False
         return all(
-            self._control.keys.has_table(name)
+            self._coordinator.keys.has_table(name)
             for name, service in configuration.services.items()
             if service.keyed
         )
 
     def mark_unready(self) -> None:
-        """Tell clients to use other hosts; somebody else should lead."""
+        """Make clients reconnect to other hosts, and resign from leadership."""
         self._site.disable_keep_alive()
-        self._control.resign(self.settings.agreements.grace_period_s)
+        self._coordinator.resign(self.settings.agreements.grace_period_s)
 
     def stop_accepting(self) -> None:
         """Close the callers' port and idle connections."""
@@ -202,11 +202,11 @@
         self._site.close_idle_connections()
 
     def in_flight(self) -> list[str]:
-        """Return the ids of the requests that are being served."""
-        return [one.ticket.request_id for one in self.relay.in_flight]
+        """Return the ids of the requests in flight."""
+        return [exchange.ticket.request_id for exchange in self.relay.in_flight]
 
     def open_connections(self) -> int:
-        """Return how many callers' connections are open."""
+        """Return the number of open connections of callers."""
         return len(self._site.channels)
 
     def answer_in_flight(self) -> None:
@@ -214,25 +214,27 @@
         self.relay.answer_in_flight()
 
     def hand_over(self, done: Callable[[], None]) -> None:
-        """Have nothing left to hand over."""
+        """Call ``done`` at once: an entry host holds nothing to hand over."""
         done()
 
     def end(self) -> None:
-        """Leave the process."""
+        """Stop all components, and call ``on_end``."""
         self._ticks.stop()
-        self._control.stop()
+        self._coordinator.stop()
         self.on_end()
 
-    # What the control says.
+    # Changes from the coordinator.
 
-    def _note_hosts(self, hosts: int) -> None:
-        self._gate.set_daemons(hosts)
+    def _set_host_count(self, host_count: int) -> None:
+        self._gate.set_daemons(host_count)
         for pool in self.relay.connections.values():
-            pool.set_daemon_count(hosts)
+            pool.set_daemon_count(host_count)
 
-    def _follow_configuration(self, configuration: Configuration) -> None:
-        keyed = {name for name, one in configuration.services.items() if one.keyed}
-        self._control.divide(
+    def _apply_configuration(self, configuration: Configuration) -> None:
+        keyed = {
+            name for name, service in configuration.services.items() if service.keyed
+        }
+        self._coordinator.set_keyed_services(
             {name: configuration.services[name].warm_up_s for name in keyed}
         )
         self._gate.add(
@@ -240,7 +242,7 @@
                 Service(name=name, keyed=name in keyed, shards=0)
                 for name in configuration.services
             ],
-            classes=[class_of(kind) for kind in configuration.kinds.values()],
+            classes=[request_class_of(kind) for kind in configuration.kinds.values()],
         )
         if configuration.limits is not None:
             self._site.apply_limits(limits_of(configuration.limits))
@@ -248,19 +250,19 @@
             frozenset(rule.name for rule in configuration.document.rules)
         )
         for name in configuration.services:
-            self._follow_servers(name)
+            self._update_servers(name)
 
-    def _follow_servers(self, service: str) -> None:
-        configuration = self._control.rules.configuration
+    def _update_servers(self, service: str) -> None:
+        configuration = self._coordinator.rules.configuration
         if configuration is None or service not in configuration.services:
             return
         connections = configuration.services[service].connections
-        usable = self._control.directory.usable(service)
-        servers = [server_of(one, connections) for one in usable]
+        usable = self._coordinator.directory.usable(service)
+        servers = [server_of(entry, connections) for entry in usable]
         usable_ids = {server.id for server in servers}
-        for known in list(self._servers.values()):
-            if known.service == service and known.id not in usable_ids:
-                del self._servers[known.id]
+        for current in list(self._servers.values()):
+            if current.service == service and current.id not in usable_ids:
+                del self._servers[current.id]
         for server in servers:
             self._servers[server.id] = server
             pool = self.relay.connections.get(server.id)
@@ -269,6 +271,6 @@
                 self.relay.connections[server.id] = pool
             else:
                 pool.update_server(server)
-            pool.set_daemon_count(self._control.hosts)
+            pool.set_daemon_count(self._coordinator.host_count)
         self._admission.set_servers(service, servers)
-        self._control.note_servers(service)
+        self._coordinator.note_servers(service)
--- a/src/gentianwharf/entryhost/_metrics.py
+++ b/src/gentianwharf/entryhost/_metrics.py
@@ -1,4 +1,4 @@
-"""What a host counts and times, as Prometheus reads it."""
+"""Counters and timings of an entry host in the format of Prometheus."""
 
 import os
 from collections.abc import Callable
@@ -12,60 +12,61 @@
 from ._page_site import PageResponse, PageSite
 
 METRICS_PORT = 9464
-"""A port that Prometheus' exporters commonly use; `deploy/system.toml` names it too."""
+"""A port that Prometheus exporters commonly use; also set in `deploy/system.toml`."""
 
 METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4"
 PREFIX = "gentianwharf_"
 MICROSECONDS = 1_000_000
-LONGEST_US = 60 * MICROSECONDS
-DIGITS = 2
-"""One in a hundred is enough to see which part of a request took its time."""
+MAX_TIME_US = 60 * MICROSECONDS
+SIGNIFICANT_DIGITS = 2
+"""A precision of 1% is sufficient to see which part of a request took how long."""
 
-MOST_SERIES = 500
-"""Classes come from the operators' configuration, which may change often."""
+MAX_SERIES = 500
+"""Limit of the number of series: request classes come from the operators'
+configuration, which may change often."""
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 Gauge = Callable[[], float]
-Key = tuple[str, str, int, str]
+SeriesKey = tuple[str, str, int, str]
 
 
 @final
 class HostMetrics:
-    """Counts answers by service, class, status and reason, and times them."""
+    """Counts answers by service, class, status and reason, and records their times."""
 
     def __init__(self) -> None:
-        self._answers: dict[Key, int] = {}
+        self._answers: dict[SeriesKey, int] = {}
         self._elapsed: dict[tuple[str, str], HdrHistogram] = {}
         self._waited: dict[tuple[str, str], HdrHistogram] = {}
         self._gauges: dict[str, tuple[str, Gauge]] = {}
-        self.add("resident_bytes", "Resident memory", _resident_bytes)
-        self.add("descriptors", "Open file descriptors", _descriptors)
+        self.add_gauge("resident_bytes", "Resident memory", _resident_bytes)
+        self.add_gauge("descriptors", "Open file descriptors", _descriptors)
 
-    def add(self, name: str, help_text: str, gauge: Gauge) -> None:
-        """Serve what ``gauge`` returns when the page is asked for."""
+    def add_gauge(self, name: str, help_text: str, gauge: Gauge) -> None:
+        """Add a gauge, whose function is called whenever the metrics are requested."""
         self._gauges[PREFIX + name] = (help_text, gauge)
 
-    def answered(self, answered: AccessRecord) -> None:
-        """Count one answer and note how long it took."""
-        ticket = answered.ticket
-        kind = (ticket.service, ticket.request_class)
-        self.count(*kind, answered.status, answered.reason)
-        _record(self._elapsed, kind, answered.elapsed_s)
-        if answered.waited_s > 0:
-            _record(self._waited, kind, answered.waited_s)
+    def record_response(self, record: AccessRecord) -> None:
+        """Count an answer, and record how long it took."""
+        ticket = record.ticket
+        group = (ticket.service, ticket.request_class)
+        self.count(*group, record.status, record.reason)
+        _record(self._elapsed, group, record.elapsed_s)
+        if record.waited_s > 0:
+            _record(self._waited, group, record.waited_s)
 
     def count(self, service: str, request_class: str, status: int, reason: str) -> None:
-        """Count an answer; beyond the most series all others are one."""
+        """Count an answer; beyond ``MAX_SERIES`` all other answers share one series."""
         key = (service, request_class, status, reason)
-        if key not in self._answers and len(self._answers) >= MOST_SERIES:
+        if key not in self._answers and len(self._answers) >= MAX_SERIES:
             key = ("other", "other", status, "other")
         self._answers[key] = self._answers.get(key, 0) + 1
 
     def text(self) -> str:
-        """Return everything as Prometheus text."""
-        # Its client library takes 40 ms and 2 MB to import, and on most hosts nobody
-        # ever asks.
+        """Return all metrics as Prometheus text."""
+        # Importing the client library takes 40 ms and 2 MB, and most hosts are never
+        # asked for metrics.
         from gentianwharf.metrics import HistogramSample, Sample, prometheus_text
 
         samples = [
@@ -108,14 +109,14 @@
 
 
 def _record(
-    table: dict[tuple[str, str], HdrHistogram], kind: tuple[str, str], time_s: float
+    table: dict[tuple[str, str], HdrHistogram], group: tuple[str, str], time_s: float
 ) -> None:
-    histogram = table.get(kind)
+    histogram = table.get(group)
     if histogram is None:
-        if len(table) >= MOST_SERIES:
+        if len(table) >= MAX_SERIES:
             return
-        histogram = table[kind] = HdrHistogram(1, LONGEST_US, DIGITS)
-    histogram.record_value(min(LONGEST_US, max(1, int(time_s * MICROSECONDS))))
+        histogram = table[group] = HdrHistogram(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
+    histogram.record_value(min(MAX_TIME_US, max(1, int(time_s * MICROSECONDS))))
 
 
 def _resident_bytes() -> float:
--- a/src/gentianwharf/platform/standin/__init__.py
+++ b/src/gentianwharf/platform/standin/__init__.py
@@ -1,27 +1,27 @@
 """Stand-ins for the users' platform: its store and its backend servers.
 
-For trials and tests on one machine. They speak the users' wire, so that an entry host
-runs there as it runs on the platform.
+For trials and tests on one machine. They implement the platform's HTTP interfaces, so
+an entry host runs against them as it runs on the platform.
 """
 
 from ._items import Items
 from ._rules import ADDED, KEYED, LOOK_UPS, POSTINGS, UNKEYED, UPLOADS, configuration
-from ._server import Run, ServerPlan, StandInServer
+from ._server import RequestRun, ServerSpec, StandInServer
 from ._settings import CALLERS_PORT, settings_text
-from ._store import MOST_VALUE_BYTES, StandInStore
+from ._store import MAX_VALUE_BYTES, StandInStore
 
 __all__ = [
     "ADDED",
     "CALLERS_PORT",
     "KEYED",
     "LOOK_UPS",
-    "MOST_VALUE_BYTES",
+    "MAX_VALUE_BYTES",
     "POSTINGS",
     "UNKEYED",
     "UPLOADS",
     "Items",
-    "Run",
-    "ServerPlan",
+    "RequestRun",
+    "ServerSpec",
     "StandInServer",
     "StandInStore",
     "configuration",
--- a/tests/builders_entryhost.py
+++ b/tests/builders_entryhost.py
@@ -1,4 +1,4 @@
-"""Entry hosts' controls on one store in memory and links without a net."""
+"""Coordinators of entry hosts on a store in memory and simulated links."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -8,8 +8,8 @@
 import pytest
 from twisted.internet.task import Clock, deferLater
 
-from gentianwharf.entryhost import _control, _former_leader, _peers
-from gentianwharf.entryhost._control import Control
+from gentianwharf.entryhost import _coordinator, _peers, _previous_leader
+from gentianwharf.entryhost._coordinator import Coordinator
 from gentianwharf.errors import ConflictError, PeerUnavailableError
 from gentianwharf.platform import decode_host_settings
 from gentianwharf.platform.standin import Items
@@ -30,16 +30,16 @@
 TICK_S = 0.05
 
 ANSWER_S = 1.0
-"""For how long a call waits for its answer, a watch beyond its own wait."""
+"""Time after which an unanswered call fails; for a watch, after its own wait."""
 
 
 @dataclass
-class HostWay:
-    """One host's way to the store, on which a test may let calls fail."""
+class FakeStore:
+    """One host's connection to the store, whose calls a test can make fail."""
 
-    items_: Items
+    backend: Items
     clock: Clock
-    is_turned_away: bool = False
+    refuses_calls: bool = False
     loses_watches: bool = False
     is_silent: bool = False
     history_is_gone: bool = False
@@ -47,65 +47,66 @@
     calls: list[str] = field(default_factory=list)
 
     async def items(self, prefix: str) -> Page:
-        """Return what stands below a prefix."""
-        await self._begin("items")
+        """Return all items below a prefix."""
+        await self._begin_call("items")
         page = Page(
-            items=tuple(self.items_.below(prefix)), revision=self.items_.revision
+            items=tuple(self.backend.with_prefix(prefix)),
+            revision=self.backend.revision,
         )
-        await self._bring(page.items)
+        await self._transfer(page.items)
         return page
 
     async def watch(self, prefix: str, *, after_revision: int, wait_s: float) -> Events:
-        """Wait for a change; a watch that is lost ends a second after its wait."""
-        await self._begin("watch", wait_s=wait_s)
+        """Wait for a change; a lost watch fails a second after its wait."""
+        await self._begin_call("watch", wait_s=wait_s)
         if self.history_is_gone:
             await deferLater(self.clock, TICK_S)
             raise HistoryGoneError("gone", step="watch", peer="store")
         end_s = self.clock.seconds() + wait_s
         while not self.loses_watches and self.clock.seconds() < end_s:
-            changes = self.items_.changes_after(prefix, after_revision)
+            changes = self.backend.changes_after(prefix, after_revision)
             if changes:
                 break
             await deferLater(self.clock, TICK_S / 2)
         if self.loses_watches:
             await deferLater(self.clock, end_s + ANSWER_S - self.clock.seconds())
             raise PeerUnavailableError("lost", step="watch", peer="store")
-        found = self.items_.changes_after(prefix, after_revision) or []
-        events = Events(changes=tuple(found), revision=self.items_.revision)
-        await self._bring(events.changes)
+        returned = self.backend.changes_after(prefix, after_revision) or []
+        events = Events(changes=tuple(returned), revision=self.backend.revision)
+        await self._transfer(events.changes)
         return events
 
     async def change(self, change: Change) -> int:
         """Make a change."""
-        await self._begin("change")
+        await self._begin_call("change")
         try:
-            return self.items_.change(change)
+            return self.backend.change(change)
         except ConditionError as error:
             raise ConflictError("condition", step="change", peer="store") from error
 
     async def open_lease(self, duration_s: float) -> int:
         """Open a lease."""
-        await self._begin("open_lease")
-        return self.items_.open_lease(duration_s)
+        await self._begin_call("open_lease")
+        return self.backend.open_lease(duration_s)
 
     async def renew_lease(self, lease_id: int) -> float:
-        """Let a lease begin anew."""
-        await self._begin("renew_lease")
+        """Renew a lease."""
+        await self._begin_call("renew_lease")
         try:
-            return self.items_.renew_lease(lease_id)
+            return self.backend.renew_lease(lease_id)
         except UnknownLeaseError as error:
             raise LeaseEndedError("none", step="renew", peer="store") from error
 
-    async def _bring(self, changes: Sequence[Item | Removal]) -> None:
-        """Let the time pass that values, as base64, take on this host's link."""
-        values = [one.value for one in changes if isinstance(one, Item)]
-        transfer_s = sum(len(one) for one in values) * 4 / 3 / self.bytes_per_s
+    async def _transfer(self, changes: Sequence[Item | Removal]) -> None:
+        """Wait while the values, encoded as base64, use this host's link."""
+        values = [change.value for change in changes if isinstance(change, Item)]
+        transfer_s = sum(len(value) for value in values) * 4 / 3 / self.bytes_per_s
         if transfer_s > 0:
             await deferLater(self.clock, transfer_s)
 
-    async def _begin(self, call: str, *, wait_s: float = 0.0) -> None:
+    async def _begin_call(self, call: str, *, wait_s: float = 0.0) -> None:
         self.calls.append(call)
-        if self.is_turned_away:
+        if self.refuses_calls:
             raise PeerUnavailableError("turned away", step=call, peer="store")
         if self.is_silent:
             await deferLater(self.clock, wait_s + ANSWER_S)
@@ -114,85 +115,87 @@
 
 @dataclass
 class Host:
-    """One host's control, its address between hosts and its way to the store."""
+    """One host's coordinator, address for other hosts and store connection."""
 
-    control: Control
+    coordinator: Coordinator
     address: str
-    way: HostWay
+    store: FakeStore
 
     def servers(self) -> list[str]:
-        """Return the ids of the servers that this host lists."""
-        return sorted(one.id for one in self.control.directory.all())
+        """Return the ids of the servers that this host has listed."""
+        return sorted(entry.id for entry in self.coordinator.directory.all())
 
 
 class Fleet:
-    """Hosts that run on one clock."""
+    """Hosts that share one clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, hosts: int) -> None:
         self.clock = Clock()
         self.clock.advance(100)
         self.net = LinkNet()
         self.items = Items(now_s=self.clock.seconds)
-        self.ways: list[HostWay] = []
+        self.stores: list[FakeStore] = []
         monkeypatch.setattr(_peers, "dial", self.net.dial)
-        monkeypatch.setattr(_former_leader, "dial", self.net.dial)
+        monkeypatch.setattr(_previous_leader, "dial", self.net.dial)
         monkeypatch.setattr(_peers, "NngListener", self.net.listen)
-        monkeypatch.setattr(_control, "PlatformStore", self._way)
+        monkeypatch.setattr(_coordinator, "PlatformStore", self._make_store)
         self.hosts = [self._host(number) for number in range(hosts)]
-        for one in self.hosts:
-            one.control.start()
+        for host in self.hosts:
+            host.coordinator.start()
 
-    def _way(self, **_: Any) -> HostWay:
-        self.ways.append(HostWay(items_=self.items, clock=self.clock))
-        return self.ways[-1]
+    def _make_store(self, **_: Any) -> FakeStore:
+        self.stores.append(FakeStore(backend=self.items, clock=self.clock))
+        return self.stores[-1]
 
     def _host(self, number: int) -> Host:
         ip = f"10.1.0.{number + 1}"
         text = SETTINGS.replace("10.1.0.18", ip).replace("lac-1", f"lac-{number}")
         settings = decode_host_settings(text, peer="test")
-        control = Control(
+        coordinator = Coordinator(
             settings=settings,
-            server_of=lambda name: None,
+            server_by_id=lambda name: None,
             reactor=self.clock,
             rng=Random(number),
         )
         address = f"{ip}:{settings.first_internal_port}"
-        return Host(control=control, address=address, way=self.ways[-1])
+        return Host(coordinator=coordinator, address=address, store=self.stores[-1])
 
     def write(self, key: str, value: bytes) -> None:
-        """Write as an operator or a server does."""
+        """Write an item, like an operator or a server."""
         self.items.change(Change(puts=(Put(key=key, value=value),)))
 
     def list_server(self, name: str) -> None:
-        """Let a server write its entry."""
+        """Write the entry of a server."""
         self.write(f"servers/{name}", server_entry())
 
     def remove_server(self, name: str) -> None:
-        """Let a server's entry go."""
+        """Remove the entry of a server."""
         self.items.change(Change(removals=(f"servers/{name}",)))
 
-    def restart(self, host: Host, *, is_turned_away: bool) -> Host:
-        """End a host's process and start another one in its place."""
-        host.control.stop()
+    def restart(self, host: Host, *, refuses_calls: bool) -> Host:
+        """Replace a host's process by a new one."""
+        host.coordinator.stop()
         number = self.hosts.index(host)
-        self.hosts[number] = fresh = self._host(number)
-        fresh.way.is_turned_away = is_turned_away
-        fresh.control.start()
-        return fresh
+        self.hosts[number] = restarted = self._host(number)
+        restarted.store.refuses_calls = refuses_calls
+        restarted.coordinator.start()
+        return restarted
 
     def run(self, duration_s: float) -> None:
-        """Let time pass for all hosts."""
+        """Advance the time of all hosts."""
         for _ in range(round(duration_s / TICK_S)):
             self.items.expire()
-            for one in self.hosts:
-                one.control.tick()
+            for host in self.hosts:
+                host.coordinator.tick()
             self.clock.advance(TICK_S)
 
     def leader(self) -> Host:
         """Return the host that leads."""
-        (leader,) = [one for one in self.hosts if one.control.leadership.leads]
+        (leader,) = [host for host in self.hosts if host.coordinator.leadership.leads]
         return leader
 
     def follower(self) -> Host:
         """Return a host that does not lead."""
-        return next(one for one in self.hosts if not one.control.leadership.leads)
+        return next(
+            host for host in self.hosts if not host.coordinator.leadership.leads
+        )
--- a/tests/builders_peers.py
+++ b/tests/builders_peers.py
@@ -1,4 +1,4 @@
-"""Three hosts on links without a net, and what each was told."""
+"""Three hosts on simulated links that record the messages they receive."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,9 +8,9 @@
 from twisted.internet.task import Clock
 
 from gentianwharf.entryhost import _peers
-from gentianwharf.entryhost._messages import HostAddress
+from gentianwharf.entryhost._broadcaster import StorePosition
+from gentianwharf.entryhost._peer_messages import HostAddress
 from gentianwharf.entryhost._peers import Peers
-from gentianwharf.entryhost._telling import Known
 from gentianwharf.store import Events, Item
 from tests.builders_store import LinkNet
 
@@ -19,8 +19,8 @@
 
 
 @dataclass
-class Told:
-    """One host's links, and what it was told."""
+class RecordingHost:
+    """One host's peers, and the messages that it received."""
 
     peers: Peers
     revision: int | None = 10
@@ -30,66 +30,69 @@
     granted: list[tuple[str, int, int, int]] = field(default_factory=list)
     requests: list[tuple[str, Mapping[int, float]]] = field(default_factory=list)
     changes: dict[int, Events] = field(default_factory=dict)
-    lacks_after: int | None = None
-    hosts: int = 0
+    missing_after: int | None = None
+    host_count: int = 0
 
     def __post_init__(self) -> None:
         peers = self.peers
-        peers.on_events = lambda after, told: self.events.append((after, told))
+        peers.on_events = lambda after, events: self.events.append((after, events))
         peers.on_granted = lambda *granted: self.granted.append(granted)
         peers.on_requests = lambda name, counts: self.requests.append((name, counts))
         peers.on_load = lambda service, server, seen: None
-        peers.on_hosts = lambda hosts: setattr(self, "hosts", hosts)
-        peers.known = self.known
-        peers.item = self.items.get
+        peers.on_host_count = lambda count: setattr(self, "host_count", count)
+        peers.store_position = self.store_position
+        peers.stored_item = self.items.get
         peers.changes_after = self.changes.get
-        peers.lacks_after = lambda: self.lacks_after
+        peers.missing_after = lambda: self.missing_after
         peers.start()
 
-    def known(self) -> Known | None:
-        """Return up to where this host knows the store."""
+    def store_position(self) -> StorePosition | None:
+        """Return this host's position in the store."""
         if self.revision is None:
             return None
-        return Known(revision=self.revision, age_s=self.age_s)
+        return StorePosition(revision=self.revision, age_s=self.age_s)
 
 
 @dataclass
 class Trio:
-    """Three hosts; the first one leads."""
+    """Three hosts, the first of which leads."""
 
     clock: Clock
     net: LinkNet
-    hosts: list[Told]
+    hosts: list[RecordingHost]
 
     def run(self, duration_s: float) -> None:
-        """Let all hosts tell what is due."""
+        """Advance the time, and send all messages that are due."""
         for _ in range(round(duration_s / TICK_S)):
-            for one in self.hosts:
-                one.peers.tick()
+            for host in self.hosts:
+                host.peers.tick()
             self.clock.advance(TICK_S)
 
 
 def make_trio(monkeypatch: pytest.MonkeyPatch, clock: Clock, net: LinkNet) -> Trio:
-    """Return hosts, all of them listed, that have followed the first one for 1 s."""
+    """Return three listed hosts that have followed the first one for a second."""
     monkeypatch.setattr(_peers, "dial", net.dial)
     monkeypatch.setattr(_peers, "NngListener", net.listen)
-    hosts = [host_of(clock, number) for number in range(3)]
-    listed = [HostAddress(one.peers.name.host, one.peers.name.address) for one in hosts]
-    for one in hosts:
-        one.peers.roster.note_listed(listed)
-        one.peers.follow(leader_item(hosts[0]))
-    hosts[0].peers.begin_to_lead(5)
+    hosts = [make_host(clock, number) for number in range(3)]
+    listed = [
+        HostAddress(host.peers.identity.host, host.peers.identity.address)
+        for host in hosts
+    ]
+    for host in hosts:
+        host.peers.membership.note_listed(listed)
+        host.peers.follow(leader_item(hosts[0]))
+    hosts[0].peers.start_leading(5)
     trio = Trio(clock=clock, net=net, hosts=hosts)
     trio.run(1)
     return trio
 
 
-def host_of(
+def make_host(
     clock: Clock, number: int, *, link_bytes_per_s: float = SLOW_LINK_BYTES_PER_S
-) -> Told:
+) -> RecordingHost:
     """Return a host that has just started."""
     address = f"10.0.0.{number}:90"
-    return Told(
+    return RecordingHost(
         Peers(
             host=f"h{number}",
             address=address,
@@ -99,7 +102,7 @@
     )
 
 
-def leader_item(host: Told, *, revision: int = 5) -> Item:
-    """Return what stands in the store while a host leads."""
-    value = msgspec.json.encode(host.peers.name)
+def leader_item(host: RecordingHost, *, revision: int = 5) -> Item:
+    """Return the item in the store while a host leads."""
+    value = msgspec.json.encode(host.peers.identity)
     return Item(key="leader", value=value, revision=revision)
