--- a/src/gentianwharf/daemon/_daemon.py
+++ b/src/gentianwharf/daemon/_daemon.py
@@ -119,7 +119,7 @@
         except GentianwharfError:
             # The list that is known stays in force; readiness shows its age.
             return
-        if parts.hosts.take(listed):
+        if parts.hosts.apply_list(listed):
             parts.follow_hosts()
 
     async def _write_initial_rules(self) -> None:
--- a/src/gentianwharf/daemon/_hosts.py
+++ b/src/gentianwharf/daemon/_hosts.py
@@ -39,7 +39,7 @@
         self._now_s = now_s
         self._heard_s: dict[str, float] = {}
 
-    def take(self, listed: Iterable[ListedHost]) -> bool:
+    def apply_list(self, listed: Iterable[ListedHost]) -> bool:
         """Take the platform's list; returns whether anything changed."""
         self._is_listed = True
         listed = tuple(listed)
@@ -58,7 +58,7 @@
         self.leaving_servers = frozenset(leaving)
         return True
 
-    def take_from_peer(self, hosts: Iterable[Host]) -> bool:
+    def apply_peer_list(self, hosts: Iterable[Host]) -> bool:
         """Take a peer's list while the platform's has not come."""
         if self._is_listed:
             return False
--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_parts.py
@@ -124,7 +124,7 @@
         )
 
     def _on_hosts(self, hosts: tuple[Host, ...]) -> None:
-        if self.hosts.take_from_peer(hosts):
+        if self.hosts.apply_peer_list(hosts):
             self.follow_hosts()
 
     def follow_hosts(self) -> None:
--- a/tests/test_daemon_hosts.py
+++ b/tests/test_daemon_hosts.py
@@ -40,9 +40,9 @@
     listed: list[ListedHost], hosts: list[str], leaving: list[str], servers: list[str]
 ) -> None:
     made = table()
-    made.take(listed)
+    made.apply_list(listed)
     assert sorted(made.hosts) == hosts
     assert sorted(made.leaving_hosts) == leaving
     assert sorted(made.leaving_servers) == servers
     assert made.daemons == len(hosts) + len(leaving)
-    assert not made.take(listed)
+    assert not made.apply_list(listed)
--- a/tests/test_load_gate.py
+++ b/tests/test_load_gate.py
@@ -237,7 +237,7 @@
     shares = []
     for leaving, removed in [((), 0), (names[3:], 0), (names[3:], 1)]:
         listed = build.listed_hosts(names[: len(names) - removed], leaving=leaving)
-        assert hosts.take(listed)
+        assert hosts.apply_list(listed)
         assert not hosts.is_live(names[1])
         gate.set_daemons(hosts.daemons)
         shares.append(count_started(gate))
