--- a/src/gentianwharf/daemon/_hosts.py
+++ b/src/gentianwharf/daemon/_hosts.py
@@ -66,7 +66,7 @@
         return True
 
     @property
-    def daemons(self) -> int:
+    def daemon_count(self) -> int:
         """How many daemons share the servers' slots and connections with this one.
 
         One that leaves keeps its connections until its last request has ended, and
--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_parts.py
@@ -129,7 +129,7 @@
 
     def follow_hosts(self) -> None:
         """Let every part know the hosts and the leaving servers of the table."""
-        daemons = self.hosts.daemons
+        daemons = self.hosts.daemon_count
         self.gate.set_daemons(daemons)
         for connections in self.relay.connections.values():
             connections.set_daemon_count(daemons)
@@ -194,7 +194,7 @@
             ],
             domain=self.host.domain,
             rng=seeded(),
-            daemons=self.hosts.daemons,
+            daemons=self.hosts.daemon_count,
         )
         self.admission = GateAdmission(
             gate=self.gate,
--- a/tests/test_daemon_hosts.py
+++ b/tests/test_daemon_hosts.py
@@ -44,5 +44,5 @@
     assert sorted(made.hosts) == hosts
     assert sorted(made.leaving_hosts) == leaving
     assert sorted(made.leaving_servers) == servers
-    assert made.daemons == len(hosts) + len(leaving)
+    assert made.daemon_count == len(hosts) + len(leaving)
     assert not made.apply_list(listed)
--- a/tests/test_load_gate.py
+++ b/tests/test_load_gate.py
@@ -239,7 +239,7 @@
         listed = build.listed_hosts(names[: len(names) - removed], leaving=leaving)
         assert hosts.apply_list(listed)
         assert not hosts.is_live(names[1])
-        gate.set_daemons(hosts.daemons)
+        gate.set_daemons(hosts.daemon_count)
         shares.append(count_started(gate))
     assert shares == [130 // 4, 130 // 4, 130 // 3]
 
