--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_parts.py
@@ -114,7 +114,7 @@
             store=self.store,
             peers=self.mesh.channel(Channel.SPREAD, self._spread_received),
             prefixes=(self.rules_key,),
-            on_value=self.rules.take,
+            on_value=self.rules.apply_value,
             rng=seeded(),
         )
         self.queries = PeerQueries(
--- a/src/gentianwharf/daemon/_rules.py
+++ b/src/gentianwharf/daemon/_rules.py
@@ -59,7 +59,7 @@
             return 0.0
         return self._now_s() - self._behind_since_s
 
-    def take(self, value: VersionedValue) -> None:
+    def apply_value(self, value: VersionedValue) -> None:
         """Put a stored record in force, unless it is older or can't be read.
 
         A record that can't be read leaves the rules that are in force: a host of an
@@ -85,7 +85,7 @@
             return
         self._put_in_force(record.document, value.revision)
 
-    def take_version(self, version: RuleVersion) -> None:
+    def apply_version(self, version: RuleVersion) -> None:
         """Put in force what an operator has just applied here."""
         if self._is_newer(version.revision):
             self._put_in_force(version.document, version.revision)
--- a/src/gentianwharf/daemon/_views.py
+++ b/src/gentianwharf/daemon/_views.py
@@ -83,7 +83,7 @@
         )
         if isinstance(result, RulesApplied):
             # The watch would bring it too, a little later.
-            self._in_force.take_version(result.version)
+            self._in_force.apply_version(result.version)
         return result
 
 
--- a/tests/test_daemon_fleet.py
+++ b/tests/test_daemon_fleet.py
@@ -52,7 +52,7 @@
             store=MemoryStore(clock=clock),
             peers=_Nobody(),
             prefixes=[RULES_KEY],
-            on_value=self.rules.take,
+            on_value=self.rules.apply_value,
             rng=Random(1),
         )
         self.fleet_rules = FleetRulesView(
--- a/tests/test_daemon_rules.py
+++ b/tests/test_daemon_rules.py
@@ -38,18 +38,18 @@
     """
     clock = Clock()
     rules = RulesInForce(shards=SHARDS, now_s=clock.seconds)
-    rules.take(stored(5))
+    rules.apply_value(stored(5))
     assert (rules.revision, rules.refused_s()) == (5, 0.0)
-    rules.take(stored(6, of_a_later_release(0.2)))
+    rules.apply_value(stored(6, of_a_later_release(0.2)))
     clock.advance(2.0)
-    rules.take(stored(7, b"{"))
+    rules.apply_value(stored(7, b"{"))
     clock.advance(1.0)
     assert (rules.revision, rules.refused_s()) == (5, 3.0)
     assert "\ngentianwharf_rules_revision 5.0\n" in rules_text(rules)
     assert "\ngentianwharf_rules_refused_seconds 3.0\n" in rules_text(rules)
-    rules.take(stored(4))
+    rules.apply_value(stored(4))
     assert rules.refused_s() == 3.0
-    rules.take(stored(8))
+    rules.apply_value(stored(8))
     assert (rules.revision, rules.refused_s()) == (8, 0.0)
 
 
@@ -66,7 +66,7 @@
     with monkeypatch.context() as patched:
         patched.setattr("gentianwharf.daemon._rules.RuleSet", stumble)
         with pytest.raises(ValueError, match="fault"):
-            rules.take(stored(5))
+            rules.apply_value(stored(5))
     clock.advance(2.0)
     assert (rules.revision, rules.refused_s()) == (0, 2.0)
 
--- a/tests/test_inputs_fuzz.py
+++ b/tests/test_inputs_fuzz.py
@@ -166,11 +166,11 @@
 @given(value=RECORDS)
 def test_unreadable_stored_rules_leave_the_current_rules_in_force(value: bytes) -> None:
     rules = RulesInForce(shards=SHARDS, now_s=Clock().seconds)
-    rules.take(
+    rules.apply_value(
         VersionedValue(key="rules", value=stored_rules(migration(0.5)), revision=5)
     )
     before = rules.current
-    rules.take(VersionedValue(key="rules", value=value, revision=6))
+    rules.apply_value(VersionedValue(key="rules", value=value, revision=6))
     assert rules.current is not None
     try:
         decode_rules(value, peer="rules@6")
--- a/tests/test_rules_committed.py
+++ b/tests/test_rules_committed.py
@@ -161,7 +161,7 @@
     release reject the whole record, although they can match each of its rules.
     """
     rules = RulesInForce(shards=SHARDS, now_s=Clock().seconds)
-    rules.take(VersionedValue(key="rules", value=record(odd), revision=6))
+    rules.apply_value(VersionedValue(key="rules", value=record(odd), revision=6))
     assert rules.current is not None
     assert rules.current.revision == 6
     match = rules.match(facts("/added/1"))
