--- a/src/gentianwharf/daemon/_admin.py
+++ b/src/gentianwharf/daemon/_admin.py
@@ -1,32 +1,32 @@
-"""The admin port over the daemon's parts."""
+"""The admin port over the daemon's components."""
 
 from gentianwharf.admin import AdminApp, StateView
 from gentianwharf.rules import RuleBook, RuleChecker
 from gentianwharf.settings import rule_scope_of
 
 from . import _views as views
+from ._components import Components, seeded_random
 from ._decisions import FleetDecisions
 from ._fleet import FleetBurnView, FleetRulesView
-from ._gauges import rules_text
-from ._parts import Parts, seeded
+from ._metrics_text import rules_metrics_text
 
 
-def servers_view(parts: Parts) -> views.ServersView:
+def servers_view(components: Components) -> views.ServersView:
     """Return the view of backend servers."""
     return views.ServersView(
-        servers=parts.servers,
-        domains=parts.domains,
-        gate=parts.gate,
-        control=parts.control,
-        ownership=parts.ownership,
-        reports=parts.reports,
-        keyed=frozenset(one.name for one in parts.keyed_services()),
-        hosts=parts.hosts,
+        servers=components.servers,
+        domains=components.domains,
+        gate=components.gate,
+        control=components.control,
+        ownership=components.ownership,
+        reports=components.reports,
+        keyed=frozenset(one.name for one in components.keyed_services()),
+        hosts=components.hosts,
     )
 
 
 def build_admin(
-    parts: Parts,
+    components: Components,
     *,
     state: StateView,
     servers: views.ServersView,
@@ -34,50 +34,52 @@
 ) -> AdminApp:
     """Return the admin port's application."""
     book = RuleBook(
-        store=parts.store,
-        prefix=parts.prefix,
-        checker=RuleChecker(scope=rule_scope_of(parts.settings)),
-        clock=parts.reactor,
-        rng=seeded(),
+        store=components.store,
+        prefix=components.prefix,
+        checker=RuleChecker(scope=rule_scope_of(components.settings)),
+        clock=components.reactor,
+        rng=seeded_random(),
     )
     return AdminApp(
         state=state,
-        rules=views.RulesView(in_force=parts.rules, book=book),
+        rules=views.RulesView(in_force=components.rules, book=book),
         fleet_rules=FleetRulesView(
-            clock=parts.reactor,
-            queries=parts.queries,
-            hosts=parts.hosts,
-            rules=parts.rules,
-            spread=parts.spread,
-            rules_key=parts.rules_key,
+            clock=components.reactor,
+            queries=components.queries,
+            hosts=components.hosts,
+            rules=components.rules,
+            spread=components.spread,
+            rules_key=components.rules_key,
         ),
         keys=views.KeysView(
-            ownership=parts.ownership, services=parts.services, domains=parts.domains
+            ownership=components.ownership,
+            services=components.services,
+            domains=components.domains,
         ),
         servers=servers,
-        hosts=views.HostsView(host_list=parts.host_list),
+        hosts=views.HostsView(host_list=components.host_list),
         domains=views.DomainsView(
-            ownership=parts.ownership,
-            services=parts.services,
-            domains=parts.domains,
-            hosts=parts.hosts,
+            ownership=components.ownership,
+            services=components.services,
+            domains=components.domains,
+            hosts=components.hosts,
         ),
         burn=FleetBurnView(
-            clock=parts.reactor,
-            queries=parts.queries,
-            hosts=parts.hosts,
-            recorder=parts.recorder,
+            clock=components.reactor,
+            queries=components.queries,
+            hosts=components.hosts,
+            recorder=components.recorder,
         ),
         decisions=FleetDecisions(
-            queries=parts.queries,
-            hosts=parts.hosts,
-            recorder=parts.recorder,
-            now_s=parts.reactor.seconds,
+            queries=components.queries,
+            hosts=components.hosts,
+            recorder=components.recorder,
+            now_s=components.reactor.seconds,
         ),
-        metrics=lambda: _metrics_text(parts).encode(),
+        metrics=lambda: _metrics_text(components).encode(),
         token=token,
     )
 
 
-def _metrics_text(parts: Parts) -> str:
-    return parts.recorder.prometheus_text() + rules_text(parts.rules)
+def _metrics_text(components: Components) -> str:
+    return components.recorder.prometheus_text() + rules_metrics_text(components.rules)
--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_components.py
@@ -21,17 +21,17 @@
 from gentianwharf.spread import Channel, PeerMesh, PeerQueries, SpreadSystem
 from gentianwharf.topology import BackendServer, Host, Service
 
-from ._channels import OwnershipLink
 from ._hosts import HostTable
-from ._keyed_servers import WatchedControl
+from ._monitored_control import MonitoredControl
 from ._observer import RecordingObserver
 from ._ownership import RoutedOwnership
+from ._ownership_link import OwnershipLink
 from ._reports import ServerReports
 from ._rules import RulesInForce
 
 
 @final
-class Parts:
+class Components:
     """Every part of one daemon; nothing here listens or ticks yet."""
 
     def __init__(self, *, settings: Settings, reactor: Any) -> None:
@@ -53,7 +53,7 @@
         )
         self._build_platform()
         self._build_links()
-        self._build_deciding()
+        self._build_routing()
         self._build_relay()
 
     def keyed_services(self) -> list[Service]:
@@ -74,7 +74,7 @@
         self.host_list = HttpHostList(
             reactor=reactor, url=platform.hosts_url, call_timeout_s=timeout_s
         )
-        self.control = WatchedControl(control=HttpBackendControl(reactor=reactor))
+        self.control = MonitoredControl(control=HttpBackendControl(reactor=reactor))
         self.hosts = HostTable(
             own=self.host,
             known=[
@@ -87,7 +87,7 @@
         self.reports = ServerReports(
             control=self.control,
             clock=reactor,
-            rng=seeded(),
+            rng=seeded_random(),
             on_report=self._on_report,
         )
 
@@ -98,7 +98,7 @@
         self.mesh = PeerMesh(
             reactor=self.reactor,
             host=self.host,
-            rng=seeded(),
+            rng=seeded_random(),
             on_hosts=self._on_hosts,
         )
         self.link = OwnershipLink(
@@ -115,19 +115,19 @@
             peers=self.mesh.channel(Channel.SPREAD, self._spread_received),
             prefixes=(self.rules_key,),
             on_value=self.rules.apply_value,
-            rng=seeded(),
+            rng=seeded_random(),
         )
         self.queries = PeerQueries(
             clock=self.reactor,
             peers=self.mesh.channel(Channel.QUERIES, self._query_received),
-            rng=seeded(),
+            rng=seeded_random(),
         )
 
     def _on_hosts(self, hosts: tuple[Host, ...]) -> None:
         if self.hosts.apply_peer_list(hosts):
-            self.follow_hosts()
+            self.apply_hosts()
 
-    def follow_hosts(self) -> None:
+    def apply_hosts(self) -> None:
         """Let every part know the hosts and the leaving servers of the table."""
         daemons = self.hosts.daemon_count
         self.gate.set_daemons(daemons)
@@ -156,13 +156,13 @@
         return list(sites.values())
 
     def _spread_received(self, host_id: str, message: bytes) -> None:
-        self.hosts.heard(host_id)
+        self.hosts.record_contact(host_id)
         self.spread.received(host_id, message)
 
     def _query_received(self, host_id: str, message: bytes) -> None:
         self.queries.received(host_id, message)
 
-    def _build_deciding(self) -> None:
+    def _build_routing(self) -> None:
         self.ownership = OwnershipSystem(
             host=self.host,
             domains=self.domains,
@@ -180,7 +180,7 @@
                 churn=self.settings.weights.churn,
                 unavailable_time=self.settings.weights.unavailable_time,
             ),
-            rng=seeded(),
+            rng=seeded_random(),
             log=_log_event,
         )
         self.link.on_message = self.ownership.received
@@ -193,18 +193,18 @@
                 for one in self.settings.classes
             ],
             domain=self.host.domain,
-            rng=seeded(),
+            rng=seeded_random(),
             daemons=self.hosts.daemon_count,
         )
         self.admission = GateAdmission(
             gate=self.gate,
             servers=self.servers,
             now_s=self.reactor.seconds,
-            on_server_outcome=self._on_evidence,
+            on_server_outcome=self._on_server_outcome,
         )
 
-    def _on_evidence(self, server: str, ok: bool, busy_s: float | None) -> None:
-        self.control.note(server, answered=ok)
+    def _on_server_outcome(self, server: str, ok: bool, busy_s: float | None) -> None:
+        self.control.record_outcome(server, answered=ok)
         self.ownership.answered(server, ok=ok, busy_s=busy_s)
 
     def _deadline_caps_s(self) -> dict[str, float]:
@@ -218,7 +218,7 @@
     def _build_relay(self) -> None:
         self.recorder = Recorder(
             clock=self.reactor,
-            random=seeded(),
+            random=seeded_random(),
             objectives=[
                 Objective(
                     request_class=one.name,
@@ -252,7 +252,7 @@
         )
 
 
-def seeded() -> Random:
+def seeded_random() -> Random:
     """Return a generator with a seed of its own, from the system's entropy."""
     return Random(SystemRandom().getrandbits(64))
 
--- a/src/gentianwharf/daemon/_daemon.py
+++ b/src/gentianwharf/daemon/_daemon.py
@@ -16,13 +16,13 @@
 from gentianwharf.settings import Settings, load_initial_rules
 
 from ._admin import build_admin, servers_view
+from ._components import Components
 from ._listen import listen
-from ._parts import Parts
 from ._rules import write_initial_rules
 from ._state import DaemonStateView
 
 # The list lags by itself; a leaving server must get no new work after a few seconds.
-HOSTS_EVERY_S = 1.0
+HOST_LIST_INTERVAL_S = 1.0
 # The gate refuses, hedges and finds silent servers at this step, a fraction of the
 # shortest limit that callers notice (a consultation's late answer, tens of ms).
 GATE_TICK_S = 0.02
@@ -31,10 +31,10 @@
 IDLE_GATE_TICK_S = 0.1
 RECORDER_TICK_S = 1.0
 REPORTS_TICK_S = 0.1
-ALARMS_EVERY_S = 1.0
-FREEZE_EVERY_S = 1.0
+ALARMS_INTERVAL_S = 1.0
+FREEZE_INTERVAL_S = 1.0
 # Until the store has rules, somebody must write the first ones.
-INITIAL_RULES_EVERY_S = 1.0
+INITIAL_RULES_INTERVAL_S = 1.0
 
 
 @final
@@ -42,7 +42,7 @@
     """One daemon."""
 
     def __init__(self, *, settings: Settings, directory: Path, reactor: Any) -> None:
-        self.parts = parts = Parts(settings=settings, reactor=reactor)
+        self.components = components = Components(settings=settings, reactor=reactor)
         self.on_end: Callable[[], None] = lambda: None
         self.shutdown = Shutdown(
             target=self,
@@ -50,97 +50,108 @@
             notice_s=settings.shutdown.balancer_notice_s,
             limit_s=settings.shutdown.drain_limit_s,
         )
-        servers = servers_view(parts)
+        servers = servers_view(components)
         self.state = DaemonStateView(
-            parts=parts,
+            components=components,
             servers=servers,
-            why_not_ready=self.why_not_ready,
+            unready_reasons=self.unready_reasons,
         )
         self.admin = build_admin(
-            parts,
+            components,
             state=self.state,
             servers=servers,
             token=_admin_token(settings, directory),
         )
         self.site = CallerSite(
-            resource=parts.relay.resource(),
+            resource=components.relay.resource(),
             reactor=reactor,
             limits=ConnectionLimits(**settings.caller_limits.model_dump()),
         )
         self.site.noisy = False
         self._initial_rules = load_initial_rules(settings, directory=directory)
-        self._ticks = PeriodicCalls(reactor=reactor)
+        self._periodic_calls = PeriodicCalls(reactor=reactor)
         self._callers_port: Any = None
         self._is_frozen = False
 
     def start(self) -> None:
         """Listen, and begin to tick."""
-        parts = self.parts
-        listen(parts.reactor, parts.settings.host.admin_address, self.admin.site())
-        parts.mesh.listen()
-        self._ticks.every(TICK_S, self._tick)
-        gate = self._ticks.every_dynamic(self._gate_interval_s, parts.admission.tick)
-        parts.relay.on_first_in_flight = gate.reschedule
-        self._ticks.every(RECORDER_TICK_S, parts.recorder.tick)
-        self._ticks.every(REPORTS_TICK_S, parts.reports.tick)
-        self._ticks.every(ALARMS_EVERY_S, self.state.update)
+        components = self.components
+        listen(
+            components.reactor,
+            components.settings.host.admin_address,
+            self.admin.site(),
+        )
+        components.mesh.listen()
+        self._periodic_calls.every(TICK_S, self._tick)
+        gate = self._periodic_calls.every_dynamic(
+            self._gate_interval_s, components.admission.tick
+        )
+        components.relay.on_first_in_flight = gate.reschedule
+        self._periodic_calls.every(RECORDER_TICK_S, components.recorder.tick)
+        self._periodic_calls.every(REPORTS_TICK_S, components.reports.tick)
+        self._periodic_calls.every(ALARMS_INTERVAL_S, self.state.update)
         freeze_objects()
-        self._ticks.every(FREEZE_EVERY_S, self._freeze_tables)
-        parts.follow_hosts()
-        self._ticks.every_async(HOSTS_EVERY_S, self._read_hosts)
-        self._ticks.every_async(INITIAL_RULES_EVERY_S, self._write_initial_rules)
+        self._periodic_calls.every(FREEZE_INTERVAL_S, self._freeze_tables)
+        components.apply_hosts()
+        self._periodic_calls.every_async(HOST_LIST_INTERVAL_S, self._read_hosts)
+        self._periodic_calls.every_async(
+            INITIAL_RULES_INTERVAL_S, self._write_initial_rules
+        )
         self._callers_port = listen(
-            parts.reactor, parts.settings.host.callers_address, self.site
+            components.reactor, components.settings.host.callers_address, self.site
+        )
+        log.info(
+            "started",
+            extra={"host": components.host.id, "domain": components.host.domain},
         )
-        log.info("started", extra={"host": parts.host.id, "domain": parts.host.domain})
 
     def _freeze_tables(self) -> None:
         # Once more when rules and tables are here, the largest things of all; later
         # changes are few.
-        if self._is_frozen or self.why_not_ready():
+        if self._is_frozen or self.unready_reasons():
             return
-        if self.parts.ownership.state().has_read_store:
+        if self.components.ownership.state().has_read_store:
             self._is_frozen = True
             freeze_objects()
 
     def _gate_interval_s(self) -> float:
-        return GATE_TICK_S if self.parts.relay.in_flight else IDLE_GATE_TICK_S
+        return GATE_TICK_S if self.components.relay.in_flight else IDLE_GATE_TICK_S
 
     def _tick(self) -> None:
-        parts = self.parts
-        parts.mesh.tick()
-        parts.spread.tick()
-        parts.ownership.tick()
+        components = self.components
+        components.mesh.tick()
+        components.spread.tick()
+        components.ownership.tick()
 
     async def _read_hosts(self) -> None:
-        parts = self.parts
+        components = self.components
         try:
-            listed = await parts.host_list.read()
+            listed = await components.host_list.read()
         except GentianwharfError:
             # The list that is known stays in force; readiness shows its age.
             return
-        if parts.hosts.apply_list(listed):
-            parts.follow_hosts()
+        if components.hosts.apply_list(listed):
+            components.apply_hosts()
 
     async def _write_initial_rules(self) -> None:
-        parts = self.parts
-        if self._initial_rules is None or parts.rules.current is not None:
+        components = self.components
+        if self._initial_rules is None or components.rules.current is not None:
             return
         written = await write_initial_rules(
-            parts.store, key=parts.rules_key, document=self._initial_rules
+            components.store, key=components.rules_key, document=self._initial_rules
         )
         if written is not None:
-            parts.spread.publish(written)
+            components.spread.publish(written)
 
-    def why_not_ready(self) -> list[str]:
+    def unready_reasons(self) -> list[str]:
         """Return why callers should not be sent here; empty when ready."""
-        parts = self.parts
+        components = self.components
         reasons = []
-        if parts.relay.stopping:
+        if components.relay.stopping:
             reasons.append("stopping")
-        if parts.rules.current is None:
+        if components.rules.current is None:
             reasons.append("no rules are in force yet")
-        if not parts.spread.ready:
+        if not components.spread.ready:
             reasons.append("the newest rules have not been confirmed yet")
         return reasons
 
@@ -148,8 +159,8 @@
 
     def mark_unready(self) -> None:
         """Say to the balancer that no new requests are wanted."""
-        parts = self.parts
-        parts.relay.stopping = True
+        components = self.components
+        components.relay.stopping = True
         self.site.disable_keep_alive()
 
     def stop_accepting(self) -> None:
@@ -161,8 +172,8 @@
 
     def in_flight(self) -> list[str]:
         """Return the ids of the requests that are being served."""
-        parts = self.parts
-        return [one.ticket.request_id for one in parts.relay.in_flight]
+        components = self.components
+        return [one.ticket.request_id for one in components.relay.in_flight]
 
     def open_connections(self) -> int:
         """Return how many callers' connections are open."""
@@ -170,20 +181,20 @@
 
     def answer_in_flight(self) -> None:
         """Send a final answer to each request in flight, and refuse new ones."""
-        self.parts.relay.answer_in_flight()
+        self.components.relay.answer_in_flight()
 
     def hand_over(self, done: Callable[[], None]) -> None:
         """Give up the control work that this host holds."""
-        parts = self.parts
-        handed_over = Deferred.fromCoroutine(parts.ownership.stop())
+        components = self.components
+        handed_over = Deferred.fromCoroutine(components.ownership.stop())
         handed_over.addBoth(lambda _: done())
 
     def end(self) -> None:
         """End every loop and link, then call ``on_end``."""
-        parts = self.parts
-        self._ticks.stop()
-        parts.spread.close()
-        parts.mesh.close()
+        components = self.components
+        self._periodic_calls.stop()
+        components.spread.close()
+        components.mesh.close()
         self.on_end()
 
 
--- a/src/gentianwharf/daemon/_decisions.py
+++ b/src/gentianwharf/daemon/_decisions.py
@@ -11,7 +11,7 @@
 from gentianwharf.spread import PeerQueries
 
 from ._hosts import HostTable
-from ._peer_answers import read_answer
+from ._peer_responses import decode_response
 
 DECISION = "decision"
 
@@ -47,7 +47,9 @@
         kept = self._recorder.decisions.latest(
             limit=limit, always_kept_only=refused_only
         )
-        return RetainedDecisions(decisions=[self._told(one) for one in kept], silent={})
+        return RetainedDecisions(
+            decisions=[self._as_fields(one) for one in kept], silent={}
+        )
 
     async def find(self, request_id: str) -> RetainedDecisions:
         """Return what this host keeps on a request, else what any other does."""
@@ -56,7 +58,7 @@
             return RetainedDecisions(decisions=found, silent={})
 
         def take(host: str, answer: bytes) -> None:
-            kept = read_answer(
+            kept = decode_response(
                 _decoder,
                 answer,
                 expected="a host's decisions",
@@ -79,9 +81,9 @@
 
     def _own(self, request_id: str) -> list[dict[str, Any]]:
         one = self._recorder.decisions.find(request_id)
-        return [self._told(one)] if one is not None else []
+        return [self._as_fields(one)] if one is not None else []
 
-    def _told(self, decision: Decision) -> dict[str, Any]:
+    def _as_fields(self, decision: Decision) -> dict[str, Any]:
         # Of a monotonic clock, which says nothing to another host.
         ago_s = self._now_s() - decision.at_s
         fields = asdict(decision) | {"host": self._hosts.own.id, "ago_s": ago_s}
--- a/src/gentianwharf/daemon/_embedded.py
+++ b/src/gentianwharf/daemon/_embedded.py
@@ -15,7 +15,7 @@
 
 
 @final
-class Embedded:
+class EmbeddedDeployment:
     """Store, host list, every backend server, and a daemon for each failure domain.
 
     Grants are confirmed by a majority of the hosts of a server's own failure domain,
@@ -47,7 +47,7 @@
         own = self._settings.host
         others = [one for one in self._settings.domains if one.name != own.domain]
         return [own] + [
-            _moved(own, domain=one.name, step=number * PORT_STEP)
+            _host_in_domain(own, domain=one.name, step=number * PORT_STEP)
             for number, one in enumerate(others, start=1)
         ]
 
@@ -67,16 +67,16 @@
     )
 
 
-def _moved(host: HostSettings, *, domain: str, step: int) -> HostSettings:
+def _host_in_domain(host: HostSettings, *, domain: str, step: int) -> HostSettings:
     return HostSettings(
         id=f"{domain}-1",
         domain=domain,
-        callers_address=_shifted(host.callers_address, step),
-        admin_address=_shifted(host.admin_address, step),
-        peer_address=_shifted(host.peer_address, step),
+        callers_address=_shift_port(host.callers_address, step),
+        admin_address=_shift_port(host.admin_address, step),
+        peer_address=_shift_port(host.peer_address, step),
     )
 
 
-def _shifted(address: str, step: int) -> str:
+def _shift_port(address: str, step: int) -> str:
     ip, _, port = address.rpartition(":")
     return f"{ip}:{int(port) + step}"
--- a/src/gentianwharf/daemon/_fleet.py
+++ b/src/gentianwharf/daemon/_fleet.py
@@ -19,7 +19,7 @@
 from gentianwharf.spread import PeerQueries, SpreadSystem
 
 from ._hosts import HostTable
-from ._peer_answers import read_answer
+from ._peer_responses import decode_response
 from ._rules import RulesInForce
 
 RULES = "rules"
@@ -31,18 +31,18 @@
 BURN_HOST_TIMEOUT_S = 3.0
 """A host's part takes some tens of milliseconds to put together."""
 
-PART_FRESH_S = 1.0
+PART_CACHE_S = 1.0
 
 RULES_TIMEOUT_S = 3.0
 BURN_TIMEOUT_S = 8.0
 """For all hosts; below the 10 s that the tool waits for an answer."""
 
-ASK_AGAIN_S = 0.1
+POLL_INTERVAL_S = 0.1
 """Between two rounds. A change takes a few tens of milliseconds to be everywhere."""
 
 
 @final
-class RulesHeld(msgspec.Struct, frozen=True, kw_only=True):
+class RuleRevisions(msgspec.Struct, frozen=True, kw_only=True):
     """A host's answer: the revision it matches with, and the newest that it has."""
 
     in_force: int | None
@@ -50,7 +50,7 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(RulesHeld)
+_decoder = msgspec.msgpack.Decoder(RuleRevisions)
 
 
 @final
@@ -84,22 +84,22 @@
     ) -> RolloutStatus:
         """Return once ``revision`` is in force everywhere, or after ``wait_s``."""
         end_s = self._clock.seconds() + wait_s
-        held: dict[str, RulesHeld] = {}
+        held: dict[str, RuleRevisions] = {}
         while True:
             silent = await self._ask(held, revision)
-            found = self._everywhere(revision, held, silent)
+            found = self._rollout(revision, held, silent)
             if found.everywhere or self._clock.seconds() >= end_s:
                 return found
-            await deferLater(self._clock, ASK_AGAIN_S)
+            await deferLater(self._clock, POLL_INTERVAL_S)
 
     async def _ask(
-        self, held: dict[str, RulesHeld], revision: int | None
+        self, held: dict[str, RuleRevisions], revision: int | None
     ) -> dict[str, str]:
         own = self._hosts.own.id
         held[own] = self._own()
 
         def take(host: str, answer: bytes) -> None:
-            held[host] = read_answer(
+            held[host] = decode_response(
                 _decoder,
                 answer,
                 expected="the rules that a host holds",
@@ -112,28 +112,28 @@
             [
                 host
                 for host in sorted(self._hosts.hosts)
-                if host != own and not _has(held.get(host), revision)
+                if host != own and not _is_up_to_date(held.get(host), revision)
             ],
             on_answer=take,
             host_timeout_s=RULES_HOST_TIMEOUT_S,
             timeout_s=RULES_TIMEOUT_S,
         )
 
-    def _own(self) -> RulesHeld:
+    def _own(self) -> RuleRevisions:
         current = self._rules.current
         value = self._spread.value(self._rules_key)
-        return RulesHeld(
+        return RuleRevisions(
             in_force=current.revision if current is not None else None,
             held=value.revision if value is not None else 0,
         )
 
-    def _everywhere(
+    def _rollout(
         self,
         revision: int | None,
-        held: Mapping[str, RulesHeld],
+        held: Mapping[str, RuleRevisions],
         silent: Mapping[str, str],
     ) -> RolloutStatus:
-        wanted = _newest(held.values()) if revision is None else revision
+        wanted = _newest_revision(held.values()) if revision is None else revision
         hosts = tuple(
             _host_rules(
                 host.id, host.domain, wanted, held.get(host.id), silent.get(host.id)
@@ -149,7 +149,7 @@
         )
 
 
-def _has(held: RulesHeld | None, revision: int | None) -> bool:
+def _is_up_to_date(held: RuleRevisions | None, revision: int | None) -> bool:
     """Whether a host needs no asking again; revisions in force never fall."""
     return (
         held is not None
@@ -159,14 +159,14 @@
     )
 
 
-def _newest(held: Iterable[RulesHeld]) -> int:
+def _newest_revision(held: Iterable[RuleRevisions]) -> int:
     return max((max(one.held, one.in_force or 0) for one in held), default=0)
 
 
 def _host_rules(
-    host: str, domain: str, wanted: int, held: RulesHeld | None, reason: str | None
+    host: str, domain: str, wanted: int, held: RuleRevisions | None, reason: str | None
 ) -> HostRules:
-    if held is None or (reason is not None and not _has(held, wanted)):
+    if held is None or (reason is not None and not _is_up_to_date(held, wanted)):
         return HostRules(
             host=host,
             domain=domain,
@@ -175,7 +175,7 @@
             reason=reason or "not asked yet: it has just been listed",
         )
     standing = HostRulesStatus.OLDER
-    if _has(held, wanted):
+    if _is_up_to_date(held, wanted):
         standing = HostRulesStatus.IN_FORCE
     elif held.held >= wanted:
         standing = HostRulesStatus.UNREADABLE
@@ -205,13 +205,13 @@
         queries.answer_with(BURN, lambda _: self._own_part())
 
     def _own_part(self) -> bytes:
-        """Return this host's part, made anew at most once in ``PART_FRESH_S``.
+        """Return this host's part, made anew at most once in ``PART_CACHE_S``.
 
         A question is repeated while its answer is on the way, and several operators
         may ask at once; each part holds the loop for some 20 ms.
         """
         now_s = self._clock.seconds()
-        if now_s - self._part_made_s >= PART_FRESH_S:
+        if now_s - self._part_made_s >= PART_CACHE_S:
             self._part = encode_part(self._recorder.burn_part())
             self._part_made_s = now_s
         return self._part
@@ -219,7 +219,7 @@
     async def burn(self, *, host: str | None) -> Mapping[str, JsonValue]:
         """Return the report as JSON; hosts that did not answer are named in it."""
         own = self._hosts.own.id
-        asked = sorted(self._hosts.hosts) if host is None else [self._known(host)]
+        asked = sorted(self._hosts.hosts) if host is None else [self._check_known(host)]
         whole = BurnAggregator(objectives=self._recorder.objectives)
 
         def take(name: str, answer: bytes) -> None:
@@ -242,7 +242,7 @@
         )
         return cast("Mapping[str, JsonValue]", report.as_builtins())
 
-    def _known(self, host: str) -> str:
+    def _check_known(self, host: str) -> str:
         if host not in self._hosts.hosts:
             raise InputError(
                 f"{host!r} is not a listed host; see: gentianwharf hosts list",
--- a/src/gentianwharf/daemon/_hosts.py
+++ b/src/gentianwharf/daemon/_hosts.py
@@ -8,7 +8,7 @@
 
 # Peers beat every half second at least; three beats that are missing in a row mean
 # that the peer or the path to it is gone.
-LIVE_S = 1.5
+LIVENESS_TIMEOUT_S = 1.5
 
 
 @final
@@ -37,7 +37,7 @@
         self._is_listed = False
         self._servers = frozenset(servers)
         self._now_s = now_s
-        self._heard_s: dict[str, float] = {}
+        self._last_contact_s: dict[str, float] = {}
 
     def apply_list(self, listed: Iterable[ListedHost]) -> bool:
         """Take the platform's list; returns whether anything changed."""
@@ -75,25 +75,25 @@
         """
         return len(self.hosts) + len(self.leaving_hosts)
 
-    def heard(self, host: str) -> None:
+    def record_contact(self, host: str) -> None:
         """Note that a message of ``host`` came."""
-        self._heard_s[host] = self._now_s()
+        self._last_contact_s[host] = self._now_s()
 
     def is_live(self, host: str) -> bool:
         """Whether ``host`` has been heard lately."""
         if host == self.own.id:
             return True
-        heard_s = self._heard_s.get(host)
-        return heard_s is not None and self._now_s() - heard_s < LIVE_S
+        heard_s = self._last_contact_s.get(host)
+        return heard_s is not None and self._now_s() - heard_s < LIVENESS_TIMEOUT_S
 
-    def heard_ago_s(self, domain: str) -> float | None:
+    def last_contact_ago_s(self, domain: str) -> float | None:
         """Return how long ago a host of ``domain`` was heard, None for never."""
         if domain == self.own.domain:
             return 0.0
         heard_s = [
-            self._heard_s[host]
+            self._last_contact_s[host]
             for host in self.hosts_of(domain)
-            if host in self._heard_s
+            if host in self._last_contact_s
         ]
         return self._now_s() - max(heard_s) if heard_s else None
 
--- a/src/gentianwharf/daemon/_main.py
+++ b/src/gentianwharf/daemon/_main.py
@@ -16,7 +16,7 @@
 from ._daemon import Daemon
 
 EXIT_USAGE = 2
-FIRST_PATHS = {
+EXAMPLE_PATHS = {
     "tunis": "/calendrier/fst/visites",
     "brazos-bend": "/clubdesk/lions/roster",
 }
@@ -57,29 +57,31 @@
 def _start(settings: Settings, directory: Path, *, embedded: bool) -> None:
     if embedded:
         # Its stand-ins are no part of a daemon, and their import takes time.
-        from ._embedded import Embedded
+        from ._embedded import EmbeddedDeployment
 
-        around = Embedded(settings=settings, directory=directory, reactor=reactor)
+        around = EmbeddedDeployment(
+            settings=settings, directory=directory, reactor=reactor
+        )
         around.start()
-        print(first_steps(settings), flush=True)
+        print(getting_started(settings), flush=True)
         # Nobody else needs what is in this process: it may end as it stands.
         return
     daemon = Daemon(settings=settings, directory=directory, reactor=reactor)
     daemon.on_end = cast(Any, reactor).stop
     daemon.start()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: _ask_to_stop(daemon))
+        signal.signal(number, lambda *_: _request_stop(daemon))
 
 
-def _ask_to_stop(daemon: Daemon) -> None:
+def _request_stop(daemon: Daemon) -> None:
     # A signal may come in the middle of anything: the loop takes it up.
     cast(Any, reactor).callFromThread(daemon.shutdown.request_stop)
 
 
-def first_steps(settings: Settings) -> str:
+def getting_started(settings: Settings) -> str:
     """Return what a newcomer can do next."""
     host = settings.host
-    path = FIRST_PATHS.get(settings.customer, "/")
+    path = EXAMPLE_PATHS.get(settings.customer, "/")
     return (
         f"Ready. First request:  curl -i http://{host.callers_address}{path}\n"
         "Change a rule:         edit the example's rules.jsonc, then\n"
--- a/src/gentianwharf/daemon/_gauges.py
+++ b/src/gentianwharf/daemon/_metrics_text.py
@@ -5,7 +5,7 @@
 from ._rules import RulesInForce
 
 
-def rules_text(rules: RulesInForce) -> str:
+def rules_metrics_text(rules: RulesInForce) -> str:
     """Return which rules are in force, and whether newer ones are not."""
     return prometheus_text(
         [
--- a/src/gentianwharf/daemon/_keyed_servers.py
+++ b/src/gentianwharf/daemon/_monitored_control.py
@@ -19,7 +19,7 @@
 
 
 @final
-class WatchedControl:
+class MonitoredControl:
     """Passes orders on, and remembers what servers made of them.
 
     Only hosts of a server's own failure domain renew its grants; others know of it by
@@ -39,7 +39,7 @@
         """Whether the server said itself that it is leaving."""
         return server in self._draining
 
-    def note(self, server: str, *, answered: bool) -> None:
+    def record_outcome(self, server: str, *, answered: bool) -> None:
         """Note whether a server answered, a request for instance."""
         if answered:
             self._unanswered.pop(server, None)
@@ -48,7 +48,7 @@
 
     async def grant(self, server: BackendServer, grant: Grant) -> GrantOutcome:
         """Give or renew shards."""
-        return await self._watched(server, self._control.grant(server, grant))
+        return await self._monitored(server, self._control.grant(server, grant))
 
     async def release(
         self, server: BackendServer, service: str, tokens: dict[int, int]
@@ -59,7 +59,7 @@
 
     async def report(self, server: BackendServer) -> ServerReport:
         """Return the server's health, load, stamp and held shards."""
-        report = await self._watched(server, self._control.report(server))
+        report = await self._monitored(server, self._control.report(server))
         if report.draining:
             self._draining.add(server.id)
         else:
@@ -68,15 +68,17 @@
 
     async def drain(self, server: BackendServer) -> None:
         """Tell the server that it is leaving."""
-        await self._watched(server, self._control.drain(server))
+        await self._monitored(server, self._control.drain(server))
         self._draining.add(server.id)
 
-    async def _watched(self, server: BackendServer, call: Awaitable[Answer]) -> Answer:
+    async def _monitored(
+        self, server: BackendServer, call: Awaitable[Answer]
+    ) -> Answer:
         try:
             answer = await call
         except Exception:
             # Also when the caller's own, shorter limit cancelled it.
-            self.note(server.id, answered=False)
+            self.record_outcome(server.id, answered=False)
             raise
-        self.note(server.id, answered=True)
+        self.record_outcome(server.id, answered=True)
         return answer
--- a/src/gentianwharf/daemon/_peer_answers.py
+++ b/src/gentianwharf/daemon/_peer_responses.py
@@ -9,7 +9,7 @@
 Value = TypeVar("Value")
 
 
-def read_answer(
+def decode_response(
     decoder: msgspec.msgpack.Decoder[Value],
     answer: bytes,
     *,
--- a/src/gentianwharf/daemon/_reports.py
+++ b/src/gentianwharf/daemon/_reports.py
@@ -17,7 +17,7 @@
 from gentianwharf.topology import BackendServer
 
 # A leaving server must get no new work after a few seconds.
-REPORT_EVERY_S = 2.0
+REPORT_INTERVAL_S = 2.0
 
 OnReport = Callable[[str, ServerReport], None]
 
@@ -52,7 +52,7 @@
         self._servers = {server.id: server for server in servers}
         now_s = self._clock.seconds()
         self._due_s = {
-            name: self._due_s.get(name, now_s + self._rng.uniform(0, REPORT_EVERY_S))
+            name: self._due_s.get(name, now_s + self._rng.uniform(0, REPORT_INTERVAL_S))
             for name in self._servers
         }
 
@@ -61,7 +61,7 @@
         now_s = self._clock.seconds()
         for name, due_s in self._due_s.items():
             if now_s >= due_s and name not in self._asking:
-                self._due_s[name] = now_s + REPORT_EVERY_S
+                self._due_s[name] = now_s + REPORT_INTERVAL_S
                 self._asking.add(name)
                 Deferred.fromCoroutine(self._ask(self._servers[name]))
 
--- a/src/gentianwharf/daemon/_state.py
+++ b/src/gentianwharf/daemon/_state.py
@@ -10,7 +10,7 @@
 from gentianwharf.ownership import OwnershipState, OwnershipSystem
 from gentianwharf.topology import Service
 
-from ._parts import Parts
+from ._components import Components
 from ._views import ServersView, table_version
 
 
@@ -24,9 +24,9 @@
 class OwnerChanges:
     """Counts shards that changed owner, as this host saw it."""
 
-    def __init__(self, *, on_moved: Callable[[str, int], None]) -> None:
+    def __init__(self, *, on_changes: Callable[[str, int], None]) -> None:
         self.changes: Counter[str] = Counter()
-        self._on_moved = on_moved
+        self._on_changes = on_changes
         self._before: dict[str, list[str]] = {}
         self._versions: dict[str, int] = {}
 
@@ -48,7 +48,7 @@
                 old != new for old, new in zip(before, owners, strict=True) if old
             )
             self.changes[service.name] += moved
-            self._on_moved(service.name, moved)
+            self._on_changes(service.name, moved)
             self._before[service.name] = owners
 
 
@@ -59,25 +59,25 @@
     def __init__(
         self,
         *,
-        parts: Parts,
+        components: Components,
         servers: ServersView,
-        why_not_ready: Callable[[], list[str]],
+        unready_reasons: Callable[[], list[str]],
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._servers = servers
-        self._why_not_ready = why_not_ready
+        self._unready_reasons = unready_reasons
         self._alarms = AlarmEvaluator()
-        self._owners = OwnerChanges(on_moved=parts.recorder.record_owner_changes)
+        self._owners = OwnerChanges(on_changes=components.recorder.record_owner_changes)
         self._state: DaemonState | None = None
-        self._begun_s = parts.reactor.seconds()
+        self._begun_s = components.reactor.seconds()
 
     def update(self) -> None:
         """Look at alarms and owners; call it each second or so."""
-        parts = self._parts
-        self._owners.look(parts.ownership, parts.keyed_services())
+        components = self._components
+        self._owners.look(components.ownership, components.keyed_services())
         before = {one.name for one in self._state.alarms} if self._state else set()
         self._state = self._alarms.update(
-            self._look(), self._servers.servers(), now_s=parts.reactor.seconds()
+            self._look(), self._servers.servers(), now_s=components.reactor.seconds()
         )
         for alarm in self._state.alarms:
             if alarm.name not in before:
@@ -89,7 +89,7 @@
 
     def unready_reasons(self) -> Sequence[str]:
         """Return why the balancer should send no request here."""
-        return self._why_not_ready()
+        return self._unready_reasons()
 
     def state(self) -> DaemonState:
         """Return the whole state."""
@@ -97,27 +97,27 @@
         return replace(self._look(), alarms=alarms)
 
     def _look(self) -> DaemonState:
-        parts = self._parts
-        host = parts.settings.host
-        ownership = parts.ownership.state()
-        sites = {domain.name: domain.site for domain in parts.domains}
-        rules = parts.rules.current
+        components = self._components
+        host = components.settings.host
+        ownership = components.ownership.state()
+        sites = {domain.name: domain.site for domain in components.domains}
+        rules = components.rules.current
         return DaemonState(
-            customer=parts.settings.customer,
+            customer=components.settings.customer,
             host=host.id,
             domain=host.domain,
             site=sites[host.domain],
-            ready=not self._why_not_ready(),
-            stopping=parts.relay.stopping,
+            ready=not self._unready_reasons(),
+            stopping=components.relay.stopping,
             rules_revision=rules.revision if rules is not None else None,
-            store_heard_ago_s=parts.spread.state().store_age_s,
+            store_heard_ago_s=components.spread.state().store_age_s,
             table_versions={
                 service.name: table_version(ownership, service.name)
-                for service in parts.keyed_services()
+                for service in components.keyed_services()
             },
             right_to_send={
                 service.name: _may_send(ownership, service)
-                for service in parts.keyed_services()
+                for service in components.keyed_services()
             },
             control_holders={
                 name: holder if self._is_held(ownership, name) else None
@@ -131,14 +131,17 @@
 
     def _is_held(self, ownership: OwnershipState, service: str) -> bool:
         """Whether the last holder that was heard of still is one."""
-        return service in ownership.controls or self._parts.link.hears_control(service)
+        return (
+            service in ownership.controls
+            or self._components.link.has_live_control_holder(service)
+        )
 
     def _measures(self) -> Measures | None:
-        services = self._parts.recorder.state()["services"]
+        services = self._components.recorder.state()["services"]
         if not services:
             return None
         return Measures(
-            window_s=self._parts.reactor.seconds() - self._begun_s,
+            window_s=self._components.reactor.seconds() - self._begun_s,
             imbalance={
                 name: one["imbalance"]
                 for name, one in services.items()
--- a/src/gentianwharf/daemon/_views.py
+++ b/src/gentianwharf/daemon/_views.py
@@ -1,4 +1,4 @@
-"""What the admin port shows and does, over the daemon's parts."""
+"""What the admin port shows and does, over the daemon's components."""
 
 from collections.abc import Container, Mapping, Sequence
 from typing import final
@@ -30,7 +30,7 @@
 from gentianwharf.topology import BackendServer, Domain, Service
 
 from ._hosts import HostTable
-from ._keyed_servers import WatchedControl
+from ._monitored_control import MonitoredControl
 from ._reports import ServerReports
 from ._rules import RulesInForce
 
@@ -181,7 +181,7 @@
         servers: Mapping[str, BackendServer],
         domains: Sequence[Domain],
         gate: Gate,
-        control: WatchedControl,
+        control: MonitoredControl,
         ownership: OwnershipSystem,
         reports: ServerReports,
         keyed: Container[str],
@@ -286,11 +286,11 @@
         return loss
 
     def _loss(self, domain: str, *, declared: bool) -> DomainLoss:
-        self._known(domain)
+        self._check_known(domain)
         return DomainLoss(
             domain=domain,
             shards=self._count_shards(domain),
-            heard_ago_s=self._hosts.heard_ago_s(domain),
+            heard_ago_s=self._hosts.last_contact_ago_s(domain),
             risks=(
                 "if the domain is only cut off, its servers go on serving keys that"
                 " get second owners",
@@ -309,7 +309,7 @@
             if service.keyed
         }
 
-    def _known(self, domain: str) -> None:
+    def _check_known(self, domain: str) -> None:
         if domain not in self._domains:
             raise InputError(
                 f"expected one of {', '.join(sorted(self._domains))}, got {domain!r}",
--- a/tests/test_daemon_keyed_servers.py
+++ b/tests/test_daemon_keyed_servers.py
@@ -6,9 +6,12 @@
 from twisted.internet.task import Clock
 
 from gentianwharf import ownership
-from gentianwharf.daemon._channels import CONTROL_HEARD_S, OwnershipLink
 from gentianwharf.daemon._hosts import HostTable
-from gentianwharf.daemon._keyed_servers import UNANSWERED_TO_SUSPECT, WatchedControl
+from gentianwharf.daemon._monitored_control import (
+    UNANSWERED_TO_SUSPECT,
+    MonitoredControl,
+)
+from gentianwharf.daemon._ownership_link import CONTROL_TIMEOUT_S, OwnershipLink
 from gentianwharf.errors import OutcomeUnknownError
 from gentianwharf.infra import Grant, GrantOutcome, ServerReport
 from gentianwharf.spread import Channel, PeerMesh
@@ -74,7 +77,7 @@
     servers that it chooses.
     """
     inner = ScriptedControl()
-    control = WatchedControl(control=inner)
+    control = MonitoredControl(control=inner)
     inner.silent = True
     for number in range(UNANSWERED_TO_SUSPECT):
         assert control.is_suspect(SERVER.id) is False, number
@@ -87,18 +90,18 @@
 
 
 def test_requests_of_this_host_count_where_it_gives_no_orders() -> None:
-    control = WatchedControl(control=ScriptedControl())
+    control = MonitoredControl(control=ScriptedControl())
     for _ in range(UNANSWERED_TO_SUSPECT):
-        control.note(SERVER.id, answered=False)
+        control.record_outcome(SERVER.id, answered=False)
     assert control.is_suspect(SERVER.id)
-    control.note(SERVER.id, answered=True)
+    control.record_outcome(SERVER.id, answered=True)
     assert not control.is_suspect(SERVER.id)
 
 
 @pytest.mark.parametrize("by", ["report", "drain"])
 def test_draining_server_is_shown_as_leaving(by: str) -> None:
     inner = ScriptedControl()
-    control = WatchedControl(control=inner)
+    control = MonitoredControl(control=inner)
     run_now(control.report(SERVER))
     assert not control.is_draining(SERVER.id)
     if by == "drain":
@@ -121,7 +124,7 @@
     hosts = HostTable(own=host, known=(), servers=(), now_s=clock.seconds)
     link = OwnershipLink(mesh=mesh, hosts=hosts, now_s=clock.seconds)
     link.on_message = lambda host_id, message: None
-    assert not link.hears_control("calendrier")
+    assert not link.has_live_control_holder("calendrier")
     alive = ownership.ControlAlive(service="calendrier", holder="ariana-1", term=1)
     frame = Frame(
         version=FRAME_VERSION,
@@ -133,6 +136,6 @@
         body=ownership.encode(alive),
     )
     mesh.received_frame(encode_frame(frame))
-    assert link.hears_control("calendrier")
-    clock.advance(CONTROL_HEARD_S + 0.1)
-    assert not link.hears_control("calendrier")
+    assert link.has_live_control_holder("calendrier")
+    clock.advance(CONTROL_TIMEOUT_S + 0.1)
+    assert not link.has_live_control_holder("calendrier")
--- a/tests/test_daemon_reports.py
+++ b/tests/test_daemon_reports.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.task import Clock
 
-from gentianwharf.daemon._reports import REPORT_EVERY_S, ServerReports
+from gentianwharf.daemon._reports import REPORT_INTERVAL_S, ServerReports
 from gentianwharf.errors import PeerUnavailableError
 from gentianwharf.infra import Grant, GrantOutcome, ServerReport
 from gentianwharf.topology import BackendServer
@@ -65,7 +65,7 @@
     servers.silent = {"s0"}
     servers.draining = {"s2"}
     for _ in range(30):
-        clock.advance(REPORT_EVERY_S / 10)
+        clock.advance(REPORT_INTERVAL_S / 10)
         reports.tick()
     assert heard == {"s1": False, "s2": True}
     assert servers.asked.count("s0") >= 2
--- a/tests/test_daemon_rules.py
+++ b/tests/test_daemon_rules.py
@@ -5,7 +5,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from gentianwharf.daemon._gauges import rules_text
+from gentianwharf.daemon._metrics_text import rules_metrics_text
 from gentianwharf.daemon._rules import RulesInForce
 from gentianwharf.errors import InputError
 from gentianwharf.infra import VersionedValue
@@ -45,8 +45,8 @@
     rules.apply_value(stored(7, b"{"))
     clock.advance(1.0)
     assert (rules.revision, rules.refused_s()) == (5, 3.0)
-    assert "\ngentianwharf_rules_revision 5.0\n" in rules_text(rules)
-    assert "\ngentianwharf_rules_refused_seconds 3.0\n" in rules_text(rules)
+    assert "\ngentianwharf_rules_revision 5.0\n" in rules_metrics_text(rules)
+    assert "\ngentianwharf_rules_refused_seconds 3.0\n" in rules_metrics_text(rules)
     rules.apply_value(stored(4))
     assert rules.refused_s() == 3.0
     rules.apply_value(stored(8))
