--- a/src/gentianwharf/daemon/_admin.py
+++ b/src/gentianwharf/daemon/_admin.py
@@ -12,7 +12,7 @@
 
 
 def servers_view(components: Components) -> views.ServersView:
-    """Return the view of backend servers."""
+    """Return the admin port's view of the backend servers."""
     return views.ServersView(
         servers=components.servers,
         domains=components.domains,
@@ -20,7 +20,7 @@
         control=components.control,
         ownership=components.ownership,
         reports=components.reports,
-        keyed=frozenset(one.name for one in components.keyed_services()),
+        keyed=frozenset(service.name for service in components.keyed_services()),
         hosts=components.hosts,
     )
 
--- a/src/gentianwharf/daemon/_components.py
+++ b/src/gentianwharf/daemon/_components.py
@@ -1,4 +1,4 @@
-"""The daemon's parts, put together: what it is told, reaches and decides with."""
+"""Construction and wiring of the daemon's components."""
 
 from collections.abc import Iterable
 from random import Random, SystemRandom
@@ -32,13 +32,13 @@
 
 @final
 class Components:
-    """Every part of one daemon; nothing here listens or ticks yet."""
+    """The components of one daemon; ``Daemon.start`` makes them listen and tick."""
 
     def __init__(self, *, settings: Settings, reactor: Any) -> None:
         self.settings = settings
         self.reactor = reactor
         self.prefix = f"gentianwharf/{settings.customer}/"
-        self.services = {one.name: one for one in services_of(settings)}
+        self.services = {service.name: service for service in services_of(settings)}
         self.domains = domains_of(settings)
         self._sites = {domain.name: domain.site for domain in self.domains}
         self.servers = {
@@ -58,11 +58,11 @@
 
     def keyed_services(self) -> list[Service]:
         """Return the services that are divided by key."""
-        return [one for one in self.services.values() if one.keyed]
+        return [service for service in self.services.values() if service.keyed]
 
     @property
     def rules_key(self) -> str:
-        """The store's key of the rules."""
+        """The key of the rules in the store."""
         return self.prefix + "rules"
 
     def _build_platform(self) -> None:
@@ -78,8 +78,8 @@
         self.hosts = HostTable(
             own=self.host,
             known=[
-                Host(id=one.id, domain=one.domain, peer_address=one.peer_address)
-                for one in self.settings.known_hosts
+                Host(id=host.id, domain=host.domain, peer_address=host.peer_address)
+                for host in self.settings.known_hosts
             ],
             servers=self.servers,
             now_s=reactor.seconds,
@@ -105,7 +105,7 @@
             mesh=self.mesh, hosts=self.hosts, now_s=self.reactor.seconds
         )
         self.rules = RulesInForce(
-            shards={name: one.shards for name, one in self.services.items()},
+            shards={name: service.shards for name, service in self.services.items()},
             now_s=self.reactor.seconds,
         )
         self.spread = SpreadSystem(
@@ -128,7 +128,7 @@
             self.apply_hosts()
 
     def apply_hosts(self) -> None:
-        """Let every part know the hosts and the leaving servers of the table."""
+        """Pass the table's hosts and leaving servers on to the other components."""
         daemons = self.hosts.daemon_count
         self.gate.set_daemons(daemons)
         for connections in self.relay.connections.values():
@@ -140,9 +140,9 @@
         leaving = self.hosts.leaving_servers
         self.ownership.set_leaving(leaving)
         for name, service in self.services.items():
-            kept = [one for one in service.servers if one.id not in leaving]
-            self.admission.set_servers(name, kept)
-            self.recorder.server_loads.set_servers(name, self._by_site(kept))
+            staying = [server for server in service.servers if server.id not in leaving]
+            self.admission.set_servers(name, staying)
+            self.recorder.server_loads.set_servers(name, self._by_site(staying))
         self.reports.set_servers(
             server
             for server in self.servers.values()
@@ -188,9 +188,11 @@
             services=self.services.values(),
             classes=[
                 load.RequestClass.from_deadline(
-                    name=one.name, deadline_ms=one.deadline_ms, weight=one.weight
+                    name=request_class.name,
+                    deadline_ms=request_class.deadline_ms,
+                    weight=request_class.weight,
                 )
-                for one in self.settings.classes
+                for request_class in self.settings.classes
             ],
             domain=self.host.domain,
             rng=seeded_random(),
@@ -208,11 +210,13 @@
         self.ownership.answered(server, ok=ok, busy_s=busy_s)
 
     def _deadline_caps_s(self) -> dict[str, float]:
-        longest_ms = max(one.deadline_ms for one in self.settings.classes)
+        longest_ms = max(
+            request_class.deadline_ms for request_class in self.settings.classes
+        )
         return {
-            one.name: (one.deadline_cap_ms or longest_ms) / 1000
-            for one in self.settings.services
-            if one.keyed
+            service.name: (service.deadline_cap_ms or longest_ms) / 1000
+            for service in self.settings.services
+            if service.keyed
         }
 
     def _build_relay(self) -> None:
@@ -221,13 +225,13 @@
             random=seeded_random(),
             objectives=[
                 Objective(
-                    request_class=one.name,
-                    limit_s=one.objective.limit_ms / 1000,
-                    share=one.objective.share,
-                    unavailable_s=one.objective.unavailable_s,
+                    request_class=request_class.name,
+                    limit_s=request_class.objective.limit_ms / 1000,
+                    share=request_class.objective.share,
+                    unavailable_s=request_class.objective.unavailable_s,
                 )
-                for one in self.settings.classes
-                if one.objective is not None
+                for request_class in self.settings.classes
+                if request_class.objective is not None
             ],
         )
         self.relay = RelayApp(
@@ -245,15 +249,20 @@
                 domain=self.host.domain,
                 now_s=self.reactor.seconds,
             ),
-            deadlines_ms={one.name: one.deadline_ms for one in self.settings.classes},
-            keyed=frozenset(name for name, one in self.services.items() if one.keyed),
+            deadlines_ms={
+                request_class.name: request_class.deadline_ms
+                for request_class in self.settings.classes
+            },
+            keyed=frozenset(
+                name for name, service in self.services.items() if service.keyed
+            ),
             reactor=self.reactor,
             rng=SystemRandom(),
         )
 
 
 def seeded_random() -> Random:
-    """Return a generator with a seed of its own, from the system's entropy."""
+    """Return a random generator, seeded from the system's entropy."""
     return Random(SystemRandom().getrandbits(64))
 
 
--- a/src/gentianwharf/daemon/_daemon.py
+++ b/src/gentianwharf/daemon/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: its parts, listening and ticked, until a shutdown."""
+"""The daemon: starts its components, calls them periodically and shuts them down."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -21,25 +21,27 @@
 from ._rules import write_initial_rules
 from ._state import DaemonStateView
 
-# The list lags by itself; a leaving server must get no new work after a few seconds.
+# A leaving server must get no new work after a few seconds, and the list itself lags
+# behind.
 HOST_LIST_INTERVAL_S = 1.0
-# The gate refuses, hedges and finds silent servers at this step, a fraction of the
-# shortest limit that callers notice (a consultation's late answer, tens of ms).
+# The gate refuses requests, sends hedges and detects silent servers at this interval: a
+# fraction of the shortest delay that callers notice, the tens of milliseconds after
+# which the answer to a consultation is late.
 GATE_TICK_S = 0.02
-# With no request in flight a tick has nothing to do but to notice the host's own
-# pauses, which it takes gaps of more than 150 ms for.
+# Without a request in flight, a tick only detects pauses of the host itself. It counts
+# gaps of more than 150 ms between two ticks as pauses.
 IDLE_GATE_TICK_S = 0.1
 RECORDER_TICK_S = 1.0
 REPORTS_TICK_S = 0.1
 ALARMS_INTERVAL_S = 1.0
 FREEZE_INTERVAL_S = 1.0
-# Until the store has rules, somebody must write the first ones.
+# The daemon tries to write the initial rules until the store has rules.
 INITIAL_RULES_INTERVAL_S = 1.0
 
 
 @final
 class Daemon:
-    """One daemon."""
+    """One daemon: its components, listening ports and shutdown."""
 
     def __init__(self, *, settings: Settings, directory: Path, reactor: Any) -> None:
         self.components = components = Components(settings=settings, reactor=reactor)
@@ -74,7 +76,7 @@
         self._is_frozen = False
 
     def start(self) -> None:
-        """Listen, and begin to tick."""
+        """Listen on every port and start the periodic calls."""
         components = self.components
         listen(
             components.reactor,
@@ -106,8 +108,8 @@
         )
 
     def _freeze_tables(self) -> None:
-        # Once more when rules and tables are here, the largest things of all; later
-        # changes are few.
+        # Rules and owner tables are the largest objects, so the heap is frozen a second
+        # time when they have been read; they seldom change afterwards.
         if self._is_frozen or self.unready_reasons():
             return
         if self.components.ownership.state().has_read_store:
@@ -128,7 +130,7 @@
         try:
             listed = await components.host_list.read()
         except GentianwharfError:
-            # The list that is known stays in force; readiness shows its age.
+            # The last list that was read stays in force.
             return
         if components.hosts.apply_list(listed):
             components.apply_hosts()
@@ -144,7 +146,7 @@
             components.spread.publish(written)
 
     def unready_reasons(self) -> list[str]:
-        """Return why callers should not be sent here; empty when ready."""
+        """Return the reasons not to route callers to this host; empty when ready."""
         components = self.components
         reasons = []
         if components.relay.stopping:
@@ -155,10 +157,10 @@
             reasons.append("the newest rules have not been confirmed yet")
         return reasons
 
-    # What a shutdown asks for.
+    # The methods of ``ShutdownTarget``.
 
     def mark_unready(self) -> None:
-        """Say to the balancer that no new requests are wanted."""
+        """Report this host as unready, so that the balancer sends no new requests."""
         components = self.components
         components.relay.stopping = True
         self.site.disable_keep_alive()
@@ -173,7 +175,7 @@
     def in_flight(self) -> list[str]:
         """Return the ids of the requests that are being served."""
         components = self.components
-        return [one.ticket.request_id for one in components.relay.in_flight]
+        return [exchange.ticket.request_id for exchange in components.relay.in_flight]
 
     def open_connections(self) -> int:
         """Return how many callers' connections are open."""
@@ -184,13 +186,13 @@
         self.components.relay.answer_in_flight()
 
     def hand_over(self, done: Callable[[], None]) -> None:
-        """Give up the control work that this host holds."""
+        """Release the control of services that this host holds, then call ``done``."""
         components = self.components
         handed_over = Deferred.fromCoroutine(components.ownership.stop())
         handed_over.addBoth(lambda _: done())
 
     def end(self) -> None:
-        """End every loop and link, then call ``on_end``."""
+        """Stop the periodic calls, close the peer links, then call ``on_end``."""
         components = self.components
         self._periodic_calls.stop()
         components.spread.close()
--- a/src/gentianwharf/daemon/_decisions.py
+++ b/src/gentianwharf/daemon/_decisions.py
@@ -1,4 +1,4 @@
-"""Why requests went where they went, on this host or whichever served them."""
+"""Routing decisions on requests, from this host or from the one that served them."""
 
 from collections.abc import Callable
 from dataclasses import asdict
@@ -24,7 +24,10 @@
 
 @final
 class FleetDecisions:
-    """A caller knows its request's id and not the host that the balancer chose."""
+    """The decisions that the hosts retain, found by request id.
+
+    A caller can give the id of its request, but not the host that the balancer chose.
+    """
 
     def __init__(
         self,
@@ -43,24 +46,24 @@
         )
 
     def latest(self, *, refused_only: bool, limit: int) -> RetainedDecisions:
-        """Return this host's newest kept decisions."""
+        """Return the newest decisions that this host retains."""
         kept = self._recorder.decisions.latest(
             limit=limit, always_kept_only=refused_only
         )
         return RetainedDecisions(
-            decisions=[self._as_fields(one) for one in kept], silent={}
+            decisions=[self._as_fields(decision) for decision in kept], silent={}
         )
 
     async def find(self, request_id: str) -> RetainedDecisions:
-        """Return what this host keeps on a request, else what any other does."""
+        """Return this host's decisions on a request, or else those of other hosts."""
         found = self._own(request_id)
         if found:
             return RetainedDecisions(decisions=found, silent={})
 
-        def take(host: str, answer: bytes) -> None:
+        def add_response(host: str, response: bytes) -> None:
             kept = decode_response(
                 _decoder,
-                answer,
+                response,
                 expected="a host's decisions",
                 step="ask for a decision",
                 peer=host,
@@ -69,9 +72,9 @@
 
         silent = await self._queries.gather(
             DECISION,
-            [one for one in sorted(self._hosts.hosts) if one != self._hosts.own.id],
+            [host for host in sorted(self._hosts.hosts) if host != self._hosts.own.id],
             argument=request_id,
-            on_answer=take,
+            on_answer=add_response,
             host_timeout_s=HOST_TIMEOUT_S,
             timeout_s=TIMEOUT_S,
         )
@@ -80,11 +83,11 @@
         )
 
     def _own(self, request_id: str) -> list[dict[str, Any]]:
-        one = self._recorder.decisions.find(request_id)
-        return [self._as_fields(one)] if one is not None else []
+        decision = self._recorder.decisions.find(request_id)
+        return [self._as_fields(decision)] if decision is not None else []
 
     def _as_fields(self, decision: Decision) -> dict[str, Any]:
-        # Of a monotonic clock, which says nothing to another host.
+        # ``at_s`` is a reading of this host's monotonic clock, meaningless elsewhere.
         ago_s = self._now_s() - decision.at_s
         fields = asdict(decision) | {"host": self._hosts.own.id, "ago_s": ago_s}
         del fields["at_s"]
--- a/src/gentianwharf/daemon/_embedded.py
+++ b/src/gentianwharf/daemon/_embedded.py
@@ -1,4 +1,4 @@
-"""Everything around the daemon, in its own process and loop, for a first look."""
+"""A whole deployment in one process and event loop, for trying the daemon out."""
 
 from pathlib import Path
 from typing import Any, final
@@ -10,13 +10,14 @@
 from ._daemon import Daemon
 from ._listen import listen
 
-# Ports of the daemons of the other failure domains, above those of the settings' own.
+# Each further failure domain's daemon listens on the ports of the settings plus a
+# multiple of this step.
 PORT_STEP = 100
 
 
 @final
 class EmbeddedDeployment:
-    """Store, host list, every backend server, and a daemon for each failure domain.
+    """A store, a host list, every backend server and a daemon per failure domain.
 
     Grants are confirmed by a majority of the hosts of a server's own failure domain,
     so every domain needs one.
@@ -45,10 +46,12 @@
 
     def _hosts(self) -> list[HostSettings]:
         own = self._settings.host
-        others = [one for one in self._settings.domains if one.name != own.domain]
+        others = [
+            domain for domain in self._settings.domains if domain.name != own.domain
+        ]
         return [own] + [
-            _host_in_domain(own, domain=one.name, step=number * PORT_STEP)
-            for number, one in enumerate(others, start=1)
+            _host_in_domain(own, domain=domain.name, step=number * PORT_STEP)
+            for number, domain in enumerate(others, start=1)
         ]
 
     def _start_daemon(self, host: HostSettings) -> None:
--- a/src/gentianwharf/daemon/_fleet.py
+++ b/src/gentianwharf/daemon/_fleet.py
@@ -1,4 +1,4 @@
-"""What the admin port tells of every host: rules in force and service-level burn."""
+"""Fleet-wide views of the admin port: rules in force and service-level burn."""
 
 from collections.abc import Iterable, Mapping
 from typing import cast, final
@@ -26,24 +26,27 @@
 BURN = "burn"
 
 RULES_HOST_TIMEOUT_S = 0.5
-"""A host that is silent for so long is asked again in the next round, or named."""
+"""A host that has not answered within this time is asked again in the next round. After
+the last round, the status lists it as silent."""
 
 BURN_HOST_TIMEOUT_S = 3.0
-"""A host's part takes some tens of milliseconds to put together."""
+"""A host takes some tens of milliseconds to compute its part of the report."""
 
 PART_CACHE_S = 1.0
 
 RULES_TIMEOUT_S = 3.0
 BURN_TIMEOUT_S = 8.0
-"""For all hosts; below the 10 s that the tool waits for an answer."""
+"""For all hosts together; less than the 10 s that the command-line tool waits for an
+answer."""
 
 POLL_INTERVAL_S = 0.1
-"""Between two rounds. A change takes a few tens of milliseconds to be everywhere."""
+"""Time between two rounds of queries. A change reaches all hosts within a few tens of
+milliseconds."""
 
 
 @final
 class RuleRevisions(msgspec.Struct, frozen=True, kw_only=True):
-    """A host's answer: the revision it matches with, and the newest that it has."""
+    """A host's answer: the revision in force, and the newest one that it received."""
 
     in_force: int | None
     held: int
@@ -55,10 +58,11 @@
 
 @final
 class FleetRulesView:
-    """Which listed hosts have which rules in force.
+    """The revision of the rules that each listed host has in force.
 
-    What counts is the revision that a host matches with: one that has a newer document
-    and can't read it goes on with its older rules, and must not pass for up to date.
+    A host counts as up to date by the revision that it matches requests with. A host
+    that has received a newer document but can't read it keeps its older rules in force,
+    so it must not be reported as up to date.
     """
 
     def __init__(
@@ -82,26 +86,26 @@
     async def rollout_status(
         self, *, revision: int | None, wait_s: float
     ) -> RolloutStatus:
-        """Return once ``revision`` is in force everywhere, or after ``wait_s``."""
+        """Return once ``revision`` is in force on all hosts, or after ``wait_s``."""
         end_s = self._clock.seconds() + wait_s
         held: dict[str, RuleRevisions] = {}
         while True:
-            silent = await self._ask(held, revision)
-            found = self._rollout(revision, held, silent)
-            if found.everywhere or self._clock.seconds() >= end_s:
-                return found
+            silent = await self._query_hosts(held, revision)
+            status = self._rollout(revision, held, silent)
+            if status.everywhere or self._clock.seconds() >= end_s:
+                return status
             await deferLater(self._clock, POLL_INTERVAL_S)
 
-    async def _ask(
+    async def _query_hosts(
         self, held: dict[str, RuleRevisions], revision: int | None
     ) -> dict[str, str]:
         own = self._hosts.own.id
         held[own] = self._own()
 
-        def take(host: str, answer: bytes) -> None:
+        def add_response(host: str, response: bytes) -> None:
             held[host] = decode_response(
                 _decoder,
-                answer,
+                response,
                 expected="the rules that a host holds",
                 step="ask for rules",
                 peer=host,
@@ -114,7 +118,7 @@
                 for host in sorted(self._hosts.hosts)
                 if host != own and not _is_up_to_date(held.get(host), revision)
             ],
-            on_answer=take,
+            on_answer=add_response,
             host_timeout_s=RULES_HOST_TIMEOUT_S,
             timeout_s=RULES_TIMEOUT_S,
         )
@@ -133,24 +137,33 @@
         held: Mapping[str, RuleRevisions],
         silent: Mapping[str, str],
     ) -> RolloutStatus:
-        wanted = _newest_revision(held.values()) if revision is None else revision
+        target_revision = (
+            _newest_revision(held.values()) if revision is None else revision
+        )
         hosts = tuple(
             _host_rules(
-                host.id, host.domain, wanted, held.get(host.id), silent.get(host.id)
+                host.id,
+                host.domain,
+                target_revision,
+                held.get(host.id),
+                silent.get(host.id),
             )
             for host in sorted(
-                self._hosts.hosts.values(), key=lambda one: (one.domain, one.id)
+                self._hosts.hosts.values(), key=lambda host: (host.domain, host.id)
             )
         )
         return RolloutStatus(
-            revision=wanted,
-            everywhere=all(one.standing is HostRulesStatus.IN_FORCE for one in hosts),
+            revision=target_revision,
+            everywhere=all(host.standing is HostRulesStatus.IN_FORCE for host in hosts),
             hosts=hosts,
         )
 
 
 def _is_up_to_date(held: RuleRevisions | None, revision: int | None) -> bool:
-    """Whether a host needs no asking again; revisions in force never fall."""
+    """Whether a host need not be queried again.
+
+    The revision in force on a host never decreases.
+    """
     return (
         held is not None
         and revision is not None
@@ -160,13 +173,21 @@
 
 
 def _newest_revision(held: Iterable[RuleRevisions]) -> int:
-    return max((max(one.held, one.in_force or 0) for one in held), default=0)
+    return max(
+        (max(revisions.held, revisions.in_force or 0) for revisions in held), default=0
+    )
 
 
 def _host_rules(
-    host: str, domain: str, wanted: int, held: RuleRevisions | None, reason: str | None
+    host: str,
+    domain: str,
+    target_revision: int,
+    held: RuleRevisions | None,
+    reason: str | None,
 ) -> HostRules:
-    if held is None or (reason is not None and not _is_up_to_date(held, wanted)):
+    if held is None or (
+        reason is not None and not _is_up_to_date(held, target_revision)
+    ):
         return HostRules(
             host=host,
             domain=domain,
@@ -175,9 +196,9 @@
             reason=reason or "not asked yet: it has just been listed",
         )
     standing = HostRulesStatus.OLDER
-    if _is_up_to_date(held, wanted):
+    if _is_up_to_date(held, target_revision):
         standing = HostRulesStatus.IN_FORCE
-    elif held.held >= wanted:
+    elif held.held >= target_revision:
         standing = HostRulesStatus.UNREADABLE
     return HostRules(
         host=host, domain=domain, standing=standing, in_force_revision=held.in_force
@@ -186,7 +207,7 @@
 
 @final
 class FleetBurnView:
-    """The service-level burn over all listed hosts, or of one."""
+    """The service-level burn of all listed hosts together, or of one host."""
 
     def __init__(
         self,
@@ -201,40 +222,42 @@
         self._hosts = hosts
         self._recorder = recorder
         self._part = b""
-        self._part_made_s = float("-inf")
+        self._part_computed_s = float("-inf")
         queries.answer_with(BURN, lambda _: self._own_part())
 
     def _own_part(self) -> bytes:
-        """Return this host's part, made anew at most once in ``PART_CACHE_S``.
+        """Return this host's part, computed at most once in ``PART_CACHE_S``.
 
-        A question is repeated while its answer is on the way, and several operators
-        may ask at once; each part holds the loop for some 20 ms.
+        Computing a part blocks the event loop for some 20 ms. A query is repeated while
+        its answer is on the way, and several operators may send one at the same time.
         """
         now_s = self._clock.seconds()
-        if now_s - self._part_made_s >= PART_CACHE_S:
+        if now_s - self._part_computed_s >= PART_CACHE_S:
             self._part = encode_part(self._recorder.burn_part())
-            self._part_made_s = now_s
+            self._part_computed_s = now_s
         return self._part
 
     async def burn(self, *, host: str | None) -> Mapping[str, JsonValue]:
-        """Return the report as JSON; hosts that did not answer are named in it."""
+        """Return the report as JSON; it names the hosts that did not answer."""
         own = self._hosts.own.id
-        asked = sorted(self._hosts.hosts) if host is None else [self._check_known(host)]
-        whole = BurnAggregator(objectives=self._recorder.objectives)
+        queried = (
+            sorted(self._hosts.hosts) if host is None else [self._check_listed(host)]
+        )
+        aggregator = BurnAggregator(objectives=self._recorder.objectives)
 
-        def take(name: str, answer: bytes) -> None:
-            whole.add(name, decode_part(answer, peer=name))
+        def add_response(name: str, response: bytes) -> None:
+            aggregator.add(name, decode_part(response, peer=name))
 
-        if own in asked:
-            whole.add(own, self._recorder.burn_part())
+        if own in queried:
+            aggregator.add(own, self._recorder.burn_part())
         silent = await self._queries.gather(
             BURN,
-            [one for one in asked if one != own],
-            on_answer=take,
+            [name for name in queried if name != own],
+            on_answer=add_response,
             host_timeout_s=BURN_HOST_TIMEOUT_S,
             timeout_s=BURN_TIMEOUT_S,
         )
-        report = whole.report(
+        report = aggregator.report(
             silent=[
                 MissingHost(host=name, reason=reason)
                 for name, reason in sorted(silent.items())
@@ -242,7 +265,7 @@
         )
         return cast("Mapping[str, JsonValue]", report.as_builtins())
 
-    def _check_known(self, host: str) -> str:
+    def _check_listed(self, host: str) -> str:
         if host not in self._hosts.hosts:
             raise InputError(
                 f"{host!r} is not a listed host; see: gentianwharf hosts list",
--- a/src/gentianwharf/daemon/_hosts.py
+++ b/src/gentianwharf/daemon/_hosts.py
@@ -1,4 +1,4 @@
-"""The entry hosts and leaving servers, as the platform's list and peers tell."""
+"""Entry hosts and leaving servers, from the platform's host list and from peers."""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import final
@@ -6,18 +6,18 @@
 from gentianwharf.infra import ListedHost
 from gentianwharf.topology import Host
 
-# Peers beat every half second at least; three beats that are missing in a row mean
-# that the peer or the path to it is gone.
+# Peers send a heartbeat at least every half second. After three missing heartbeats in a
+# row, the peer or the path to it is assumed to be lost.
 LIVENESS_TIMEOUT_S = 1.5
 
 
 @final
 class HostTable:
-    """Every entry host that is listed, when it was heard, and who is leaving.
+    """The listed entry hosts, their last contact, and the hosts and servers leaving.
 
-    The list lags and may be out of reach: the newest one that came stays in force,
-    and until one has come, the hosts that the settings know.
-    The own host is always in it.
+    The platform's list lags and may be out of reach, so the last list received stays in
+    force. Until the first one arrives, the table holds the hosts of the settings.
+    This host is always in the table.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self.own = own
         self.hosts: Mapping[str, Host] = {}
         self._ids_by_domain: dict[str, tuple[str, ...]] = {}
-        self._set_hosts({one.id: one for one in (*known, own)})
+        self._set_hosts({host.id: host for host in (*known, own)})
         self.leaving_servers: frozenset[str] = frozenset()
         self.leaving_hosts: Mapping[str, Host] = {}
         self._is_listed = False
@@ -40,15 +40,17 @@
         self._last_contact_s: dict[str, float] = {}
 
     def apply_list(self, listed: Iterable[ListedHost]) -> bool:
-        """Take the platform's list; returns whether anything changed."""
+        """Apply the platform's list; returns whether anything changed."""
         self._is_listed = True
         listed = tuple(listed)
-        leaving = {one.id for one in listed if one.leaving and one.id in self._servers}
-        entry_hosts = [one for one in listed if one.id not in self._servers]
-        hosts = _hosts_of(one for one in entry_hosts if not one.leaving)
+        leaving = {
+            entry.id for entry in listed if entry.leaving and entry.id in self._servers
+        }
+        entry_hosts = [entry for entry in listed if entry.id not in self._servers]
+        hosts = _hosts_of(entry for entry in entry_hosts if not entry.leaving)
         hosts[self.own.id] = self.own
         leaving_hosts = _hosts_of(
-            one for one in entry_hosts if one.leaving and one.id not in hosts
+            entry for entry in entry_hosts if entry.leaving and entry.id not in hosts
         )
         same_hosts = hosts == self.hosts and leaving_hosts == self.leaving_hosts
         if same_hosts and leaving == self.leaving_servers:
@@ -59,43 +61,53 @@
         return True
 
     def apply_peer_list(self, hosts: Iterable[Host]) -> bool:
-        """Take a peer's list while the platform's has not come."""
+        """Apply a peer's list, unless the platform's list has already arrived.
+
+        Returns whether the list was applied.
+        """
         if self._is_listed:
             return False
-        self._set_hosts({one.id: one for one in (*hosts, self.own)})
+        self._set_hosts({host.id: host for host in (*hosts, self.own)})
         return True
 
     @property
     def daemon_count(self) -> int:
-        """How many daemons share the servers' slots and connections with this one.
+        """The number of daemons that share the servers' slots and connections.
 
-        One that leaves keeps its connections until its last request has ended, and
-        counts while it is listed. One that is not heard counts too: a host cut off
-        from its peers sees none of them, and would take their shares beside them.
+        It includes this daemon. A leaving daemon counts while it is listed, since it
+        keeps its connections until its last request has ended. A silent daemon counts
+        too: a host that is cut off from its peers receives nothing from them, and would
+        otherwise use their shares as well while they go on using them.
         """
         return len(self.hosts) + len(self.leaving_hosts)
 
     def record_contact(self, host: str) -> None:
-        """Note that a message of ``host`` came."""
+        """Record the arrival of a message from ``host``."""
         self._last_contact_s[host] = self._now_s()
 
     def is_live(self, host: str) -> bool:
-        """Whether ``host`` has been heard lately."""
+        """Whether a message of ``host`` arrived within ``LIVENESS_TIMEOUT_S``.
+
+        This host itself is always live.
+        """
         if host == self.own.id:
             return True
-        heard_s = self._last_contact_s.get(host)
-        return heard_s is not None and self._now_s() - heard_s < LIVENESS_TIMEOUT_S
+        contact_s = self._last_contact_s.get(host)
+        return contact_s is not None and self._now_s() - contact_s < LIVENESS_TIMEOUT_S
 
     def last_contact_ago_s(self, domain: str) -> float | None:
-        """Return how long ago a host of ``domain`` was heard, None for never."""
+        """Return the time since the last message of any host of ``domain``.
+
+        It is 0 for this host's own domain, and None if no message ever arrived.
+        """
         if domain == self.own.domain:
             return 0.0
-        heard_s = [
+        contacts_s = [
             self._last_contact_s[host]
             for host in self.hosts_of(domain)
             if host in self._last_contact_s
         ]
-        return self._now_s() - max(heard_s) if heard_s else None
+        return self._now_s() - max(contacts_s) if contacts_s else None
 
     def hosts_of(self, domain: str) -> Sequence[str]:
         """Return the ids of a domain's hosts."""
@@ -103,16 +115,19 @@
 
     def _set_hosts(self, hosts: Mapping[str, Host]) -> None:
         self.hosts = hosts
-        domains = {one.domain for one in hosts.values()}
-        # Asked for many times a second; the list changes a few times a day.
+        domains = {host.domain for host in hosts.values()}
+        # Computed once per list: the ids are read many times a second, and the list
+        # changes a few times a day.
         self._ids_by_domain = {
-            domain: tuple(sorted(o.id for o in hosts.values() if o.domain == domain))
+            domain: tuple(
+                sorted(host.id for host in hosts.values() if host.domain == domain)
+            )
             for domain in domains
         }
 
 
 def _hosts_of(listed: Iterable[ListedHost]) -> dict[str, Host]:
     return {
-        one.id: Host(id=one.id, domain=one.domain, peer_address=one.address)
-        for one in listed
+        entry.id: Host(id=entry.id, domain=entry.domain, peer_address=entry.address)
+        for entry in listed
     }
--- a/src/gentianwharf/daemon/_listen.py
+++ b/src/gentianwharf/daemon/_listen.py
@@ -1,4 +1,4 @@
-"""Listening on addresses of the settings."""
+"""Listening on the addresses of the settings."""
 
 from typing import Any
 
@@ -7,10 +7,11 @@
 from gentianwharf.errors import InputError
 
 BACKLOG = 4096
-"""Connections that the kernel takes while the loop is busy, as far as it allows.
+"""Connections that the kernel queues while the event loop is busy; it may allow fewer.
 
-With Twisted's 50, a pause of 50 ms at 1,000 new connections a second overflows it; the
-kernel then drops their first packets, and callers wait a second until they send again.
+Twisted's default of 50 overflows in a pause of 50 ms at 1,000 new connections a second.
+The kernel then drops the first packets of new connections, and callers retransmit them
+only after a second.
 """
 
 
--- a/src/gentianwharf/daemon/_main.py
+++ b/src/gentianwharf/daemon/_main.py
@@ -56,30 +56,32 @@
 
 def _start(settings: Settings, directory: Path, *, embedded: bool) -> None:
     if embedded:
-        # Its stand-ins are no part of a daemon, and their import takes time.
+        # Imported here since a plain daemon does not need the stand-ins, and importing
+        # them takes time.
         from ._embedded import EmbeddedDeployment
 
-        around = EmbeddedDeployment(
+        deployment = EmbeddedDeployment(
             settings=settings, directory=directory, reactor=reactor
         )
-        around.start()
+        deployment.start()
         print(getting_started(settings), flush=True)
-        # Nobody else needs what is in this process: it may end as it stands.
+        # Nothing outside this process depends on it, so it ends without a graceful
+        # shutdown.
         return
     daemon = Daemon(settings=settings, directory=directory, reactor=reactor)
     daemon.on_end = cast(Any, reactor).stop
     daemon.start()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: _request_stop(daemon))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: _request_stop(daemon))
 
 
 def _request_stop(daemon: Daemon) -> None:
-    # A signal may come in the middle of anything: the loop takes it up.
+    # A signal may interrupt any statement, so the event loop does the work.
     cast(Any, reactor).callFromThread(daemon.shutdown.request_stop)
 
 
 def getting_started(settings: Settings) -> str:
-    """Return what a newcomer can do next."""
+    """Return the first commands to try, for a new user."""
     host = settings.host
     path = EXAMPLE_PATHS.get(settings.customer, "/")
     return (
--- a/src/gentianwharf/daemon/_metrics_text.py
+++ b/src/gentianwharf/daemon/_metrics_text.py
@@ -1,4 +1,4 @@
-"""What a daemon's metrics show beside its answers."""
+"""Metrics of the rules in force, in the Prometheus text format."""
 
 from gentianwharf.metrics import Sample, prometheus_text
 
@@ -6,7 +6,7 @@
 
 
 def rules_metrics_text(rules: RulesInForce) -> str:
-    """Return which rules are in force, and whether newer ones are not."""
+    """Return the gauges of the rules in force and of newer rules that were refused."""
     return prometheus_text(
         [
             Sample(
--- a/src/gentianwharf/daemon/_monitored_control.py
+++ b/src/gentianwharf/daemon/_monitored_control.py
@@ -1,8 +1,8 @@
-"""How the servers of keyed services do, as this host sees it.
+"""Health of the servers of keyed services, as observed by this host.
 
-The gate judges servers by the requests that it chooses them for. A keyed service's
-request goes to its owner whatever the gate thinks, so that these servers looked active
-to the operator while they were dead or draining.
+The gate derives the health of a server from the requests that it chose the server for.
+A request of a keyed service goes to the owner of its key without that choice. By the
+gate's state alone, such a server would be shown as active while it is dead or draining.
 """
 
 from collections import Counter
@@ -13,17 +13,18 @@
 from gentianwharf.topology import BackendServer
 
 UNANSWERED_TO_SUSPECT = 2
-"""In a row; one may be lost on its way."""
+"""Consecutive calls or requests without an answer; a single one may be lost on the
+network."""
 
 Answer = TypeVar("Answer")
 
 
 @final
 class MonitoredControl:
-    """Passes orders on, and remembers what servers made of them.
+    """Forwards calls to backend servers, and records whether they were answered.
 
-    Only hosts of a server's own failure domain renew its grants; others know of it by
-    the requests that they send (``note``).
+    Only hosts of a server's own failure domain renew its grants. Other hosts record the
+    outcome of the requests that they send to it (``record_outcome``).
     """
 
     def __init__(self, *, control: BackendControl) -> None:
@@ -32,29 +33,30 @@
         self._draining: set[str] = set()
 
     def is_suspect(self, server: str) -> bool:
-        """Whether the server left the last orders or requests unanswered."""
+        """Whether the server left the last calls or requests unanswered."""
         return self._unanswered[server] >= UNANSWERED_TO_SUSPECT
 
     def is_draining(self, server: str) -> bool:
-        """Whether the server said itself that it is leaving."""
+        """Whether the server reported that it is leaving, or was ordered to drain."""
         return server in self._draining
 
     def record_outcome(self, server: str, *, answered: bool) -> None:
-        """Note whether a server answered, a request for instance."""
+        """Record whether a server answered a call or a request."""
         if answered:
             self._unanswered.pop(server, None)
         else:
             self._unanswered[server] += 1
 
     async def grant(self, server: BackendServer, grant: Grant) -> GrantOutcome:
-        """Give or renew shards."""
+        """Grant shards to the server, or renew their grants."""
         return await self._monitored(server, self._control.grant(server, grant))
 
     async def release(
         self, server: BackendServer, service: str, tokens: dict[int, int]
     ) -> GrantOutcome:
-        """Take shards back; answers once what ran for them is done."""
-        # A release takes as long as the longest request: its silence tells nothing.
+        """Revoke shards; returns once the server's requests for them have ended."""
+        # A release may last as long as the longest request, so a missing answer is no
+        # sign of a dead server.
         return await self._control.release(server, service, tokens)
 
     async def report(self, server: BackendServer) -> ServerReport:
@@ -67,7 +69,7 @@
         return report
 
     async def drain(self, server: BackendServer) -> None:
-        """Tell the server that it is leaving."""
+        """Order the server to drain."""
         await self._monitored(server, self._control.drain(server))
         self._draining.add(server.id)
 
@@ -77,7 +79,7 @@
         try:
             answer = await call
         except Exception:
-            # Also when the caller's own, shorter limit cancelled it.
+            # Includes a cancellation by the caller's own, shorter time-out.
             self.record_outcome(server.id, answered=False)
             raise
         self.record_outcome(server.id, answered=True)
--- a/src/gentianwharf/daemon/_observer.py
+++ b/src/gentianwharf/daemon/_observer.py
@@ -1,4 +1,4 @@
-"""Answers, as the recorder and the log take them."""
+"""Passes responses and refusals on to the recorder and the log."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 
 
 class RecordingObserver:
-    """Records every answer, and logs those that brought no answer of a server."""
+    """Records every response, and logs each request whose outcome is unknown."""
 
     def __init__(
         self, *, recorder: Recorder, domain: str, now_s: Callable[[], float]
@@ -17,42 +17,42 @@
         self._domain = domain
         self._now_s = now_s
 
-    def record_response(self, answered: AccessRecord) -> None:
-        """Record an answer."""
-        ticket = answered.ticket
-        refused = answered.reason if answered.run is RunStatus.NOT_RUN else None
+    def record_response(self, record: AccessRecord) -> None:
+        """Record a response."""
+        ticket = record.ticket
+        refused = record.reason if record.run is RunStatus.NOT_RUN else None
         self._recorder.record_answer(
             Answer(
                 service=ticket.service,
                 request_class=ticket.request_class,
-                rule=answered.rule,
-                domain=answered.domain or self._domain,
-                server=answered.server,
-                status=answered.status,
-                run=answered.run,
-                waited_s=answered.waited_s,
-                elapsed_s=answered.elapsed_s,
+                rule=record.rule,
+                domain=record.domain or self._domain,
+                server=record.server,
+                status=record.status,
+                run=record.run,
+                waited_s=record.waited_s,
+                elapsed_s=record.elapsed_s,
                 refused=refused,
                 shard=ticket.shard,
             )
         )
-        if refused is None and answered.run is not RunStatus.UNKNOWN:
-            self._sample(answered)
+        if refused is None and record.run is not RunStatus.UNKNOWN:
+            self._sample(record)
             return
-        self._recorder.record_decision(self._decision(answered, refused))
-        if answered.run is RunStatus.UNKNOWN:
+        self._recorder.record_decision(self._decision(record, refused))
+        if record.run is RunStatus.UNKNOWN:
             log.warning(
-                "answer is unknown: {}",
-                answered.reason,
+                "outcome of the request is unknown: {}",
+                record.reason,
                 extra={
-                    "step": answered.step,
-                    "peer": answered.peer,
+                    "step": record.step,
+                    "peer": record.peer,
                     "request_id": ticket.request_id,
                 },
             )
 
     def record_refusal(self, request_id: str, problem: Problem) -> None:
-        """Keep why a request was refused before a rule decided on it."""
+        """Record a request that was refused before it was matched with the rules."""
         self._recorder.record_decision(
             Decision(
                 request_id=request_id,
@@ -68,23 +68,23 @@
             )
         )
 
-    def _sample(self, answered: AccessRecord) -> None:
-        # Building a decision costs as much as counting the answer: draw first.
+    def _sample(self, record: AccessRecord) -> None:
+        # Sampled first: building a decision costs as much as counting the response.
         ring = self._recorder.decisions
         if ring.should_sample():
-            ring.add_sampled(self._decision(answered, None))
+            ring.add_sampled(self._decision(record, None))
 
-    def _decision(self, answered: AccessRecord, refused: str | None) -> Decision:
-        ticket = answered.ticket
+    def _decision(self, record: AccessRecord, refused: str | None) -> Decision:
+        ticket = record.ticket
         return Decision(
             request_id=ticket.request_id,
             at_s=self._now_s(),
             service=ticket.service,
             request_class=ticket.request_class,
-            rule=answered.rule,
-            server=answered.server,
-            run=answered.run,
-            waited_s=answered.waited_s,
+            rule=record.rule,
+            server=record.server,
+            run=record.run,
+            waited_s=record.waited_s,
             refused=refused,
-            reasons=(answered.reason,) if answered.reason else (),
+            reasons=(record.reason,) if record.reason else (),
         )
--- a/src/gentianwharf/daemon/_ownership.py
+++ b/src/gentianwharf/daemon/_ownership.py
@@ -1,4 +1,4 @@
-"""Owners of shards, as the relay awaits them."""
+"""Look-up of a shard's owner for the relay."""
 
 from collections.abc import Mapping
 from typing import Any, final
@@ -12,7 +12,7 @@
 
 @final
 class RoutedOwnership:
-    """Asks the ownership system, and waits while a shard is about to be served."""
+    """Resolves owners with the ownership system, and waits while a shard is moving."""
 
     def __init__(
         self,
@@ -29,8 +29,8 @@
         """Return the owner of the ticket's shard."""
         assert ticket.shard is not None
         while True:
-            # Read before the decision: were the host paused between the two, the
-            # deadline would reach further than was allowed.
+            # The clock is read before the decision: after a pause between the two, a
+            # later reading would put the deadline beyond the one allowed.
             now_s = self._reactor.seconds()
             route = self._system.route(
                 ticket.service,
@@ -45,7 +45,7 @@
             await self._wait(route)
 
     def report_not_owner(self, ticket: Ticket, owner: Owner) -> None:
-        """Note that a server refused the shard under this token."""
+        """Report that a server refused the shard with this token."""
         self._system.refused_not_owner(ticket.service, owner.shard, owner.token)
 
     def _owner(self, send: Send, now_s: float) -> Owner:
@@ -57,9 +57,11 @@
         )
 
     def _wait(self, hold: Hold) -> Deferred[None]:
-        left_s = max(0.0, hold.until_s - self._reactor.seconds())
+        remaining_s = max(0.0, hold.until_s - self._reactor.seconds())
         done: Deferred[None] = Deferred(lambda _: call.cancel())
-        call = self._reactor.callLater(min(left_s, hold.step_s), done.callback, None)
+        call = self._reactor.callLater(
+            min(remaining_s, hold.step_s), done.callback, None
+        )
         return done
 
 
--- a/src/gentianwharf/daemon/_peer_responses.py
+++ b/src/gentianwharf/daemon/_peer_responses.py
@@ -1,4 +1,4 @@
-"""Reading of what fellow hosts answer."""
+"""Decoding of the responses of other hosts."""
 
 from typing import TypeVar
 
@@ -11,15 +11,18 @@
 
 def decode_response(
     decoder: msgspec.msgpack.Decoder[Value],
-    answer: bytes,
+    response: bytes,
     *,
     expected: str,
     step: str,
     peer: str,
 ) -> Value:
-    """Return a host's answer; raises ``InputError`` when it is not ``expected``."""
+    """Return the decoded response; raises ``InputError`` if it can't be decoded.
+
+    ``expected`` names the content of the response in the error message.
+    """
     try:
-        return decoder.decode(answer)
+        return decoder.decode(response)
     except msgspec.MsgspecError as error:
         raise InputError(
             f"expected {expected}: {error}; is the host of another version?",
--- a/src/gentianwharf/daemon/_reports.py
+++ b/src/gentianwharf/daemon/_reports.py
@@ -1,8 +1,8 @@
-"""What backend servers say of themselves, asked now and then.
+"""Periodic collection of the backend servers' reports.
 
-A server that drains or starts cold says so in its report before the platform's list
-shows it. Reports lag and may mislead, so the gate takes them as hints, and believes
-"draining" alone.
+A server that drains or starts cold reports it before the platform's list shows it.
+Reports lag and may be wrong, so the gate uses them as hints only, except for
+"draining", which it always follows.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,10 +24,10 @@
 
 @final
 class ServerReports:
-    """Asks each server in turn, spread over the interval.
+    """Requests each server's report, at times spread over the interval.
 
-    Servers of keyed services are left out: the renewal of their grants asks them
-    far more often.
+    Servers of keyed services are left out, since the renewal of their grants requests
+    their reports far more often.
     """
 
     def __init__(
@@ -45,10 +45,13 @@
         self._on_report = on_report
         self._servers: dict[str, BackendServer] = {}
         self._due_s: dict[str, float] = {}
-        self._asking: set[str] = set()
+        self._in_flight: set[str] = set()
 
     def set_servers(self, servers: Iterable[BackendServer]) -> None:
-        """Take the servers to ask; new ones are asked soon, at a time of their own."""
+        """Set the servers to request reports from.
+
+        The first report of a new server is due at a random time within one interval.
+        """
         self._servers = {server.id: server for server in servers}
         now_s = self._clock.seconds()
         self._due_s = {
@@ -57,21 +60,21 @@
         }
 
     def tick(self) -> None:
-        """Ask the servers that are due."""
+        """Request the reports that are due."""
         now_s = self._clock.seconds()
         for name, due_s in self._due_s.items():
-            if now_s >= due_s and name not in self._asking:
+            if now_s >= due_s and name not in self._in_flight:
                 self._due_s[name] = now_s + REPORT_INTERVAL_S
-                self._asking.add(name)
-                Deferred.fromCoroutine(self._ask(self._servers[name]))
+                self._in_flight.add(name)
+                Deferred.fromCoroutine(self._request_report(self._servers[name]))
 
-    async def _ask(self, server: BackendServer) -> None:
+    async def _request_report(self, server: BackendServer) -> None:
         try:
             report = await self._control.report(server)
         except GentianwharfError:
-            # A silent server is found by its requests, much sooner than here.
+            # The gate detects a silent server by its requests, much sooner.
             return
         finally:
-            self._asking.discard(server.id)
+            self._in_flight.discard(server.id)
         self.latest[server.id] = report
         self._on_report(server.id, report)
--- a/src/gentianwharf/daemon/_rules.py
+++ b/src/gentianwharf/daemon/_rules.py
@@ -1,4 +1,4 @@
-"""The rules in force on this host: the newest record of the store that was heard."""
+"""The rules in force on this host: the newest readable record of the store."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import replace
@@ -34,7 +34,7 @@
 
 @final
 class RulesInForce:
-    """Matches with the newest rules; a lower revision never replaces a higher one."""
+    """Matches requests with the newest rules; revisions in force never decrease."""
 
     def __init__(
         self, *, shards: Mapping[str, int], now_s: Callable[[], float]
@@ -50,10 +50,10 @@
         return self.current.revision if self.current is not None else ABSENT_REVISION
 
     def refused_s(self) -> float:
-        """Return for how long newer rules are known and not in force, 0 if none are.
+        """Return for how long newer rules were received but are not in force, else 0.
 
-        Without it a host that refuses what all others have in force looks like them: it
-        is ready and serves, by older rules.
+        It tells a host that refuses rules that all others have in force from those
+        others: it is ready as well, and serves requests by its older rules.
         """
         if self._behind_since_s is None:
             return 0.0
@@ -62,7 +62,7 @@
     def apply_value(self, value: VersionedValue) -> None:
         """Put a stored record in force, unless it is older or can't be read.
 
-        A record that can't be read leaves the rules that are in force: a host of an
+        If the record can't be read, the current rules stay in force, since a host of an
         older release must go on serving.
         """
         if not self._is_newer(value.revision):
@@ -86,7 +86,7 @@
         self._put_in_force(record.document, value.revision)
 
     def apply_version(self, version: RuleVersion) -> None:
-        """Put in force what an operator has just applied here."""
+        """Put rules in force that an operator has just applied on this host."""
         if self._is_newer(version.revision):
             self._put_in_force(version.document, version.revision)
 
@@ -101,28 +101,28 @@
         log.info("rules in force", extra={"revision": revision})
 
     def match(self, facts: RequestFacts) -> RuleMatch | None:
-        """Return what the first matching rule says; raises ``Problem`` without rules.
+        """Return the first matching rule's match; raises ``Problem`` without rules.
 
-        A host that has just started knows no rules yet, which is not the same as
-        that no rule matches: its callers should come back.
+        A host that has just started has no rules yet. That differs from no rule
+        matching: its callers should retry.
         """
         if self.current is None:
             raise replace(NO_RULES_YET)
         return self.current.match(facts)
 
     def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
-        """Return ``match`` with another service of its rule's split."""
+        """Return ``match`` with another service of its rule's split as the service."""
         assert self.current is not None, "a match comes from rules"
         return self.current.with_service(match, service)
 
     def site_of(self, service: str, shard: int) -> str | None:
-        """Return the site where the rules want a shard."""
+        """Return the site that the rules assign a shard to, None for no preference."""
         if self.current is None:
             return None
         return self.current.site_of(service, shard)
 
     def single_key_sites(self, service: str) -> Mapping[str, str | None]:
-        """Return the keys that a rule of their own sends to a site."""
+        """Return the site by key, for the keys that have a rule of their own."""
         if self.current is None:
             return {}
         return self.current.single_key_sites(service)
@@ -131,10 +131,10 @@
 async def write_initial_rules(
     store: KeyValueStore, *, key: str, document: RuleDocument
 ) -> VersionedValue | None:
-    """Write the settings' rules if the store has none yet.
+    """Write the rules of the settings if the store has none yet.
 
-    Returns None when the store has rules, whoever wrote them, or can't be reached:
-    rules that operators applied are never replaced by those of a settings file.
+    Returns None if the store already has rules or can't be reached. Rules that
+    operators applied are never replaced by those of a settings file.
     """
     record = StoredRules(
         format=1,
--- a/src/gentianwharf/daemon/_state.py
+++ b/src/gentianwharf/daemon/_state.py
@@ -1,4 +1,4 @@
-"""A daemon's state as the admin port shows it, with its measures and alarms."""
+"""The daemon's state for the admin port, with its measures and alarms."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
@@ -22,20 +22,20 @@
 
 @final
 class OwnerChanges:
-    """Counts shards that changed owner, as this host saw it."""
+    """Counts the changes of shard owners that this host observes."""
 
     def __init__(self, *, on_changes: Callable[[str, int], None]) -> None:
         self.changes: Counter[str] = Counter()
         self._on_changes = on_changes
-        self._before: dict[str, list[str]] = {}
+        self._previous: dict[str, list[str]] = {}
         self._versions: dict[str, int] = {}
 
-    def look(self, ownership: OwnershipSystem, services: Iterable[Service]) -> None:
-        """Compare the owners with those of the last look."""
+    def update(self, ownership: OwnershipSystem, services: Iterable[Service]) -> None:
+        """Count the changes of owners since the last call."""
         versions = ownership.state().versions
         if versions == self._versions:
-            # Nothing was assigned since: a look over all shards of a large service
-            # would hold the loop for nothing.
+            # No assignment has changed. Comparing all shards of a large service would
+            # block the event loop needlessly.
             return
         self._versions = dict(versions)
         for service in services:
@@ -43,18 +43,18 @@
                 ownership.owner(service.name, shard).owner
                 for shard in range(service.shards)
             ]
-            before = self._before.get(service.name, owners)
-            moved = sum(
+            before = self._previous.get(service.name, owners)
+            changed = sum(
                 old != new for old, new in zip(before, owners, strict=True) if old
             )
-            self.changes[service.name] += moved
-            self._on_changes(service.name, moved)
-            self._before[service.name] = owners
+            self.changes[service.name] += changed
+            self._on_changes(service.name, changed)
+            self._previous[service.name] = owners
 
 
 @final
 class DaemonStateView:
-    """Health and state."""
+    """Liveness, readiness and state of the daemon."""
 
     def __init__(
         self,
@@ -67,36 +67,40 @@
         self._servers = servers
         self._unready_reasons = unready_reasons
         self._alarms = AlarmEvaluator()
-        self._owners = OwnerChanges(on_changes=components.recorder.record_owner_changes)
+        self._owner_changes = OwnerChanges(
+            on_changes=components.recorder.record_owner_changes
+        )
         self._state: DaemonState | None = None
-        self._begun_s = components.reactor.seconds()
+        self._started_s = components.reactor.seconds()
 
     def update(self) -> None:
-        """Look at alarms and owners; call it each second or so."""
+        """Evaluate the alarms and count owner changes; called about once a second."""
         components = self._components
-        self._owners.look(components.ownership, components.keyed_services())
-        before = {one.name for one in self._state.alarms} if self._state else set()
+        self._owner_changes.update(components.ownership, components.keyed_services())
+        before = {alarm.name for alarm in self._state.alarms} if self._state else set()
         self._state = self._alarms.update(
-            self._look(), self._servers.servers(), now_s=components.reactor.seconds()
+            self._snapshot(),
+            self._servers.servers(),
+            now_s=components.reactor.seconds(),
         )
         for alarm in self._state.alarms:
             if alarm.name not in before:
                 log.error("alarm: {}", alarm.detail, extra={"alarm": alarm.name})
 
     def is_live(self) -> bool:
-        """Return True: whoever can answer this needs no restart."""
+        """Return True: a process that can answer needs no restart."""
         return True
 
     def unready_reasons(self) -> Sequence[str]:
-        """Return why the balancer should send no request here."""
+        """Return the reasons why the balancer should send no requests to this host."""
         return self._unready_reasons()
 
     def state(self) -> DaemonState:
         """Return the whole state."""
         alarms = self._state.alarms if self._state is not None else ()
-        return replace(self._look(), alarms=alarms)
+        return replace(self._snapshot(), alarms=alarms)
 
-    def _look(self) -> DaemonState:
+    def _snapshot(self) -> DaemonState:
         components = self._components
         host = components.settings.host
         ownership = components.ownership.state()
@@ -130,7 +134,7 @@
         )
 
     def _is_held(self, ownership: OwnershipState, service: str) -> bool:
-        """Whether the last holder that was heard of still is one."""
+        """Whether the last known holder of the service's control still holds it."""
         return (
             service in ownership.controls
             or self._components.link.has_live_control_holder(service)
@@ -141,14 +145,15 @@
         if not services:
             return None
         return Measures(
-            window_s=self._components.reactor.seconds() - self._begun_s,
+            window_s=self._components.reactor.seconds() - self._started_s,
             imbalance={
-                name: one["imbalance"]
-                for name, one in services.items()
-                if one["imbalance"] is not None
+                name: service["imbalance"]
+                for name, service in services.items()
+                if service["imbalance"] is not None
             },
-            churn=dict(self._owners.changes),
+            churn=dict(self._owner_changes.changes),
             unavailable_s={
-                name: one["unavailable_shard_s"] for name, one in services.items()
+                name: service["unavailable_shard_s"]
+                for name, service in services.items()
             },
         )
--- a/src/gentianwharf/daemon/_views.py
+++ b/src/gentianwharf/daemon/_views.py
@@ -1,4 +1,4 @@
-"""What the admin port shows and does, over the daemon's components."""
+"""Views and operations of the admin port on the daemon's components."""
 
 from collections.abc import Container, Mapping, Sequence
 from typing import final
@@ -36,7 +36,7 @@
 
 
 def table_version(ownership: OwnershipState, service: str) -> int:
-    """Return the newest store revision of the service's chunks that is known."""
+    """Return the newest store revision that this host has of the service's chunks."""
     prefix = f"table/{service}/"
     known = [
         revision
@@ -55,7 +55,7 @@
         self._book = book
 
     def in_force(self) -> RuleSet | None:
-        """Return what this host matches requests with."""
+        """Return the rules that this host matches requests with."""
         return self._in_force.current
 
     async def read(self) -> RuleVersion | None:
@@ -63,7 +63,7 @@
         return await self._book.read()
 
     async def history(self) -> list[RuleVersion]:
-        """Return the documents still kept, newest first."""
+        """Return the retained documents, newest first."""
         return await self._book.history()
 
     async def apply(
@@ -74,7 +74,10 @@
         author: str,
         change_id: str | None = None,
     ) -> ApplyResult:
-        """Put ``document`` in force if nobody else was faster."""
+        """Put ``document`` in force unless another change came first.
+
+        The change counts as the first if ``edited_from_revision`` is still current.
+        """
         result = await self._book.apply(
             document,
             edited_from_revision=edited_from_revision,
@@ -82,7 +85,7 @@
             change_id=change_id,
         )
         if isinstance(result, RulesApplied):
-            # The watch would bring it too, a little later.
+            # The watch on the store would deliver it too, a little later.
             self._in_force.apply_version(result.version)
         return result
 
@@ -100,7 +103,7 @@
 
 @final
 class KeysView:
-    """Owners of keys."""
+    """Owners of keys, and their moves and pins."""
 
     def __init__(
         self,
@@ -114,13 +117,13 @@
         self._sites = {domain.name: domain.site for domain in domains}
 
     def owner(self, service: str, key: str) -> KeyOwner:
-        """Return who owns ``key`` as this host knows it."""
+        """Return the owner of ``key`` in this host's copy of the table."""
         shard = shard_of(key, self._keyed(service).shards)
         assignment = self._ownership.owner(service, shard, key)
         return self._owner(service, key, shard, assignment)
 
     async def move(self, service: str, key: str, server: str, author: str) -> KeyOwner:
-        """Begin to move the key's shard; returns once the store has the move."""
+        """Start to move the key's shard; returns once the move is in the store."""
         shard = shard_of(key, self._keyed(service).shards)
         _check_confirmed(
             await self._ownership.move(service, shard, server),
@@ -132,7 +135,7 @@
     async def pin(
         self, service: str, key: str, server: str | None, author: str
     ) -> KeyOwner:
-        """Give ``key`` an entry of its own on ``server``, or take it away."""
+        """Pin ``key`` to ``server`` with an entry of its own; None removes the pin."""
         self._keyed(service)
         _check_confirmed(
             await self._ownership.pin(service, key, server or ""),
@@ -144,7 +147,9 @@
     def _keyed(self, name: str) -> Service:
         service = self._services.get(name)
         if service is None or not service.keyed:
-            keyed = ", ".join(one.name for one in self._services.values() if one.keyed)
+            keyed = ", ".join(
+                known.name for known in self._services.values() if known.keyed
+            )
             raise InputError(
                 f"expected a service that is divided by key ({keyed}), got {name!r}",
                 step="find service",
@@ -155,15 +160,15 @@
     def _owner(
         self, service: str, key: str, shard: int, assignment: Assignment
     ) -> KeyOwner:
-        servers = {one.id: one for one in self._services[service].servers}
-        found = servers.get(assignment.owner)
+        servers = {server.id: server for server in self._services[service].servers}
+        owner = servers.get(assignment.owner)
         return KeyOwner(
             service=service,
             key=key,
             shard=shard,
             single=assignment.shard != shard,
             server=assignment.owner or None,
-            site=self._sites[found.domain] if found is not None else None,
+            site=self._sites[owner.domain] if owner is not None else None,
             token=assignment.token,
             table_version=table_version(self._ownership.state(), service),
             moving_to=assignment.target or None,
@@ -173,7 +178,7 @@
 
 @final
 class ServersView:
-    """Backend servers."""
+    """The backend servers: their status, and orders to drain."""
 
     def __init__(
         self,
@@ -197,8 +202,10 @@
         self._ownership = ownership
 
     def servers(self) -> Sequence[ServerStatus]:
-        """Return every backend server."""
-        snapshots = {one.id: one for one in self._gate.snapshot().servers}
+        """Return the status of every backend server."""
+        snapshots = {
+            snapshot.id: snapshot for snapshot in self._gate.snapshot().servers
+        }
         return [
             self._status(server, snapshots.get(server.id))
             for server in self._servers.values()
@@ -233,7 +240,7 @@
         return str(snapshot.health)
 
     async def drain(self, server: str, author: str) -> ServerStatus:
-        """Tell ``server`` that it is leaving; its shards move away."""
+        """Order ``server`` to drain; its shards move to other servers."""
         found = self._servers.get(server)
         if found is None:
             raise InputError(
@@ -242,7 +249,7 @@
                 peer=server,
             )
         await self._control.drain(found)
-        return next(one for one in self.servers() if one.id == server)
+        return next(status for status in self.servers() if status.id == server)
 
 
 @final
@@ -259,7 +266,7 @@
 
 @final
 class DomainsView:
-    """Failure domains that an operator may declare lost."""
+    """Failure domains, which an operator may declare lost."""
 
     def __init__(
         self,
@@ -275,18 +282,18 @@
         self._domains = {domain.name: domain for domain in domains}
 
     def preview_loss(self, domain: str) -> DomainLoss:
-        """Return what it would do and risk, without doing it."""
+        """Return the effects and risks of declaring ``domain`` lost."""
         return self._loss(domain, declared=False)
 
     async def declare_lost(self, domain: str, author: str) -> DomainLoss:
-        """Write an operator's word that ``domain`` is lost."""
+        """Record in the store that an operator declared ``domain`` lost."""
         loss = self._loss(domain, declared=True)
         log.warning("domain declared lost", extra={"domain": domain, "author": author})
         await self._ownership.declare_lost(domain)
         return loss
 
     def _loss(self, domain: str, *, declared: bool) -> DomainLoss:
-        self._check_known(domain)
+        self._check_domain(domain)
         return DomainLoss(
             domain=domain,
             shards=self._count_shards(domain),
@@ -309,7 +316,7 @@
             if service.keyed
         }
 
-    def _check_known(self, domain: str) -> None:
+    def _check_domain(self, domain: str) -> None:
         if domain not in self._domains:
             raise InputError(
                 f"expected one of {', '.join(sorted(self._domains))}, got {domain!r}",
