--- a/src/gentianwharf/daemon/_rules.py
+++ b/src/gentianwharf/daemon/_rules.py
@@ -116,7 +116,7 @@
         return self.current.with_service(match, service)
 
     def site_of(self, service: str, shard: int) -> str | None:
-        """Return the site that the rules assign a shard to, None for no preference."""
+        """Return the site that the rules assign a shard to, None for any."""
         if self.current is None:
             return None
         return self.current.site_of(service, shard)
--- a/tests/test_daemon_fleet.py
+++ b/tests/test_daemon_fleet.py
@@ -1,4 +1,4 @@
-"""What one daemon tells of all: rules in force everywhere, and burn of all hosts."""
+"""Fleet-wide views of one daemon: rules in force, burn and decisions of all hosts."""
 
 from collections.abc import Iterable
 from random import Random
@@ -31,14 +31,14 @@
 
 
 def record(revision: int, share: float = 0.1) -> VersionedValue:
-    """Return the migration's rules as the store holds them."""
+    """Return the rules of the migration as a stored value."""
     value = stored_rules(migration(share))
     return VersionedValue(key=RULES_KEY, value=value, revision=revision)
 
 
 @final
 class FleetHost:
-    """A host's parts that take part in answering for the fleet."""
+    """The components of a host that answer fleet-wide queries."""
 
     def __init__(self, *, host: Host, network: QueryNetwork) -> None:
         clock = network.clock
@@ -50,7 +50,7 @@
             host=host,
             clock=clock,
             store=MemoryStore(clock=clock),
-            peers=_Nobody(),
+            peers=_NoPeers(),
             prefixes=[RULES_KEY],
             on_value=self.rules.apply_value,
             rng=Random(1),
@@ -71,21 +71,21 @@
         )
 
 
-class _Nobody:
+class _NoPeers:
     def send(self, host_id: str, message: bytes) -> bool:
-        """Drop; versions are published to each host by hand."""
+        """Drop the message; the tests publish versions to each host directly."""
         return False
 
 
 @final
 class Fleet:
-    """Three hosts, one in each failure domain; ``lac-1`` is the one that is asked."""
+    """Three hosts, one in each failure domain; queries are sent to ``lac-1``."""
 
     def __init__(self, cut: Iterable[str] = ()) -> None:
         self.clock = Clock()
         self.network = QueryNetwork(clock=self.clock, cut=cut)
         self.hosts = {
-            one.id: FleetHost(host=one, network=self.network) for one in HOSTS
+            host.id: FleetHost(host=host, network=self.network) for host in HOSTS
         }
 
     def publish(self, value: VersionedValue, *hosts: str) -> None:
@@ -96,7 +96,9 @@
         for _ in range(int(duration_s * 100)):
             self.clock.advance(0.01)
 
-    def ask(self, revision: int | None, wait_s: float) -> "Deferred[RolloutStatus]":
+    def query_rules(
+        self, revision: int | None, wait_s: float
+    ) -> "Deferred[RolloutStatus]":
         view = self.hosts["lac-1"].fleet_rules
         return Deferred.fromCoroutine(
             view.rollout_status(revision=revision, wait_s=wait_s)
@@ -108,103 +110,110 @@
         return result_of(done)
 
 
-def standings(found: RolloutStatus) -> dict[str, HostRulesStatus]:
-    return {one.host: one.standing for one in found.hosts}
+def standing_by_host(status: RolloutStatus) -> dict[str, HostRulesStatus]:
+    return {host.host: host.standing for host in status.hosts}
 
 
 def test_wait_ends_when_the_last_host_has_the_rules_in_force() -> None:
     fleet = Fleet()
     fleet.publish(record(7), "lac-1", "charguia-1")
-    waiting = fleet.ask(7, 20)
+    pending = fleet.query_rules(7, 20)
     fleet.run(3)
-    assert not waiting.called
+    assert not pending.called
     fleet.publish(record(7), "ariana-1")
     fleet.run(0.2)
-    found = result_of(waiting)
-    assert found.everywhere
-    assert set(standings(found).values()) == {HostRulesStatus.IN_FORCE}
+    status = result_of(pending)
+    assert status.everywhere
+    assert set(standing_by_host(status).values()) == {HostRulesStatus.IN_FORCE}
 
 
 def test_newer_rules_in_force_are_enough() -> None:
     fleet = Fleet()
     fleet.publish(record(9))
-    waiting = fleet.ask(7, 20)
+    pending = fleet.query_rules(7, 20)
     fleet.run(0.2)
-    assert result_of(waiting).everywhere
+    assert result_of(pending).everywhere
 
 
 def test_host_that_is_cut_off_is_named_after_the_wait() -> None:
-    """A failure domain is cut off while an operator applies a migration step."""
+    """Guards against a status that omits a host that is cut off.
+
+    The failure domain is cut off while an operator applies a migration step.
+    """
     fleet = Fleet(cut={"ariana-1"})
     fleet.publish(record(7))
-    waiting = fleet.ask(7, 5)
+    pending = fleet.query_rules(7, 5)
     fleet.run(4.8)
-    assert not waiting.called
+    assert not pending.called
     fleet.run(1)
-    found = result_of(waiting)
-    (late,) = [
-        one for one in found.hosts if one.standing is not HostRulesStatus.IN_FORCE
+    status = result_of(pending)
+    (outdated,) = [
+        host for host in status.hosts if host.standing is not HostRulesStatus.IN_FORCE
     ]
-    assert (late.host, late.standing) == ("ariana-1", HostRulesStatus.SILENT)
-    assert late.reason == "no answer within 0.5 s"
+    assert (outdated.host, outdated.standing) == ("ariana-1", HostRulesStatus.SILENT)
+    assert outdated.reason == "no answer within 0.5 s"
 
 
 def test_host_that_falls_silent_does_not_pass_for_up_to_date() -> None:
-    """A host answers with the old revision and is cut off before it has the new one.
+    """Guards against an earlier answer standing for a host that has become silent.
 
-    What it said before must not stand as its answer to the end of the wait.
+    The host answers with the old revision and is cut off before it has the new one.
     """
     fleet = Fleet()
     fleet.publish(record(5))
-    waiting = fleet.ask(7, 2)
+    pending = fleet.query_rules(7, 2)
     fleet.run(0.5)
     fleet.network.cut.add("ariana-1")
     fleet.publish(record(7))
     fleet.run(3)
-    found = result_of(waiting)
-    late = {one.host: one for one in found.hosts}["ariana-1"]
-    assert (late.standing, late.in_force_revision) == (HostRulesStatus.SILENT, 5)
-    assert not found.everywhere
+    status = result_of(pending)
+    outdated = {host.host: host for host in status.hosts}["ariana-1"]
+    assert (outdated.standing, outdated.in_force_revision) == (
+        HostRulesStatus.SILENT,
+        5,
+    )
+    assert not status.everywhere
 
 
 def test_host_that_holds_rules_it_cannot_read_does_not_pass_for_up_to_date() -> None:
-    """A host of an older release gets a record of a newer one and keeps its rules.
+    """Guards against judging a host by the revision that it received, not by its rules.
 
-    Its table of versions has the new revision; its callers follow the old rules.
+    A host of an older release receives a record of a newer release and keeps its rules.
+    Its versions include the new revision, but it routes callers by the old rules.
     """
     fleet = Fleet()
     fleet.publish(record(5))
     fleet.publish(record(7), "lac-1", "charguia-1")
     unreadable = VersionedValue(key=RULES_KEY, value=b'{"format": 9}', revision=7)
     fleet.publish(unreadable, "ariana-1")
-    waiting = fleet.ask(7, 1)
+    pending = fleet.query_rules(7, 1)
     fleet.run(2)
-    found = result_of(waiting)
-    assert standings(found)["ariana-1"] is HostRulesStatus.UNREADABLE
-    assert not found.everywhere
+    status = result_of(pending)
+    assert standing_by_host(status)["ariana-1"] is HostRulesStatus.UNREADABLE
+    assert not status.everywhere
 
 
 def test_status_compares_with_the_newest_that_any_host_has() -> None:
     fleet = Fleet()
     fleet.publish(record(5))
     fleet.publish(record(7), "ariana-1")
-    waiting = fleet.ask(None, 0)
+    pending = fleet.query_rules(None, 0)
     fleet.run(1)
-    found = result_of(waiting)
-    assert (found.revision, found.everywhere) == (7, False)
-    assert standings(found)["ariana-1"] is HostRulesStatus.IN_FORCE
-    assert standings(found)["lac-1"] is HostRulesStatus.OLDER
+    status = result_of(pending)
+    assert (status.revision, status.everywhere) == (7, False)
+    assert standing_by_host(status)["ariana-1"] is HostRulesStatus.IN_FORCE
+    assert standing_by_host(status)["lac-1"] is HostRulesStatus.OLDER
 
 
-def test_fleet_without_rules_is_told() -> None:
-    waiting = (fleet := Fleet()).ask(None, 0)
+def test_fleet_without_rules_is_reported() -> None:
+    pending = (fleet := Fleet()).query_rules(None, 0)
     fleet.run(1)
-    found = result_of(waiting)
-    assert (found.revision, found.everywhere) == (0, False)
+    status = result_of(pending)
+    assert (status.revision, status.everywhere) == (0, False)
 
 
 def test_burn_of_all_hosts_adds_counts_and_histograms() -> None:
-    """Percentiles of hosts can't be averaged: a slow host must show in the whole."""
+    """Guards against averaged percentiles, which would hide a slow host."""
     fleet = Fleet()
     for host, elapsed_s in (("lac-1", 0.01), ("charguia-1", 0.01), ("ariana-1", 0.9)):
         for _ in range(10):
@@ -212,7 +221,7 @@
     report = fleet.burn()
     assert report["hosts"] == ["ariana-1", "charguia-1", "lac-1"]
     assert report["silent"] == []
-    (hour,) = [one for one in report["classes"] if one["window_s"] == 3600]
+    (hour,) = [burn for burn in report["classes"] if burn["window_s"] == 3600]
     assert (hour["answers"], hour["bad"]) == (30, 10)
     (latency,) = report["latencies"]
     assert latency["answers"] == 30
@@ -221,7 +230,10 @@
 
 
 def test_part_is_made_once_for_several_operators() -> None:
-    """Several operators ask for the report in an incident; each part holds the loop."""
+    """Guards against a blocked event loop when several operators query the burn.
+
+    Computing a part blocks the loop for some 20 ms, so it is cached.
+    """
     fleet = Fleet()
     ariana = fleet.hosts["ariana-1"]
     for _ in range(3):
@@ -248,10 +260,13 @@
 
 
 @pytest.mark.parametrize("encoded", [b"", b"nonsense", b"HISTFAAAAAA=", b"\xff" * 40])
-def test_histogram_that_makes_no_sense_leaves_out_the_host(
+def test_host_with_an_invalid_histogram_is_left_out(
     monkeypatch: pytest.MonkeyPatch, encoded: bytes
 ) -> None:
-    """A host of another version sends something else; the others' sum must stand."""
+    """Guards against one host's invalid histogram spoiling the sum of the others.
+
+    A host of another version may send another format.
+    """
     fleet = Fleet()
     fleet.hosts["lac-1"].recorder.record_answer(answer())
     ariana = fleet.hosts["ariana-1"].recorder
@@ -272,21 +287,24 @@
 
 @pytest.mark.parametrize("served_by", ["lac-1", "ariana-1"])
 def test_decision_is_found_on_whichever_host_served(served_by: str) -> None:
-    """A caller complains and gives its request id; the balancer chose the host."""
+    """Guards against a search on this host alone.
+
+    A caller gives the id of its request, but the balancer chose the host.
+    """
     fleet = Fleet()
     fleet.hosts[served_by].recorder.record_decision(decision(refused="queue-full"))
     fleet.run(1)
-    asked = fleet.hosts["lac-1"].decisions.find("r1")
-    waiting = Deferred.fromCoroutine(asked)
+    search = fleet.hosts["lac-1"].decisions.find("r1")
+    pending = Deferred.fromCoroutine(search)
     fleet.run(1)
-    (one,) = result_of(waiting).decisions
-    assert (one["host"], one["refused"]) == (served_by, "queue-full")
-    assert one["ago_s"] == pytest.approx(1, abs=0.1)
+    (found,) = result_of(pending).decisions
+    assert (found["host"], found["refused"]) == (served_by, "queue-full")
+    assert found["ago_s"] == pytest.approx(1, abs=0.1)
 
 
 def test_decision_that_a_silent_host_may_keep_is_not_denied() -> None:
     fleet = Fleet(cut={"ariana-1"})
-    waiting = Deferred.fromCoroutine(fleet.hosts["lac-1"].decisions.find("r1"))
+    pending = Deferred.fromCoroutine(fleet.hosts["lac-1"].decisions.find("r1"))
     fleet.run(1)
-    kept = result_of(waiting)
-    assert (kept.decisions, list(kept.silent)) == ([], ["ariana-1"])
+    retained = result_of(pending)
+    assert (retained.decisions, list(retained.silent)) == ([], ["ariana-1"])
--- a/tests/test_daemon_hosts.py
+++ b/tests/test_daemon_hosts.py
@@ -1,4 +1,4 @@
-"""The table of entry hosts, as the platform's list tells."""
+"""The table of entry hosts, as filled from the platform's host list."""
 
 import pytest
 
@@ -36,13 +36,13 @@
         ),
     ],
 )
-def test_who_is_live_and_who_leaves(
+def test_listed_hosts_and_servers_are_live_or_leaving(
     listed: list[ListedHost], hosts: list[str], leaving: list[str], servers: list[str]
 ) -> None:
-    made = table()
-    made.apply_list(listed)
-    assert sorted(made.hosts) == hosts
-    assert sorted(made.leaving_hosts) == leaving
-    assert sorted(made.leaving_servers) == servers
-    assert made.daemon_count == len(hosts) + len(leaving)
-    assert not made.apply_list(listed)
+    hosts_table = table()
+    hosts_table.apply_list(listed)
+    assert sorted(hosts_table.hosts) == hosts
+    assert sorted(hosts_table.leaving_hosts) == leaving
+    assert sorted(hosts_table.leaving_servers) == servers
+    assert hosts_table.daemon_count == len(hosts) + len(leaving)
+    assert not hosts_table.apply_list(listed)
--- a/tests/test_daemon_keyed_servers.py
+++ b/tests/test_daemon_keyed_servers.py
@@ -1,4 +1,4 @@
-"""How servers of keyed services and control holders are shown, and their alarms."""
+"""Health of keyed services' servers and liveness of control holders."""
 
 from random import Random
 
@@ -30,7 +30,7 @@
 
 
 class ScriptedControl:
-    """A server that answers, or does not."""
+    """A backend server that answers, or is silent."""
 
     def __init__(self) -> None:
         self.silent = False
@@ -53,7 +53,7 @@
         return GrantOutcome.ACCEPTED
 
     async def report(self, server: BackendServer) -> ServerReport:
-        """Tell of nothing but draining."""
+        """Return a report in which only ``draining`` varies."""
         self._answer()
         return ServerReport(
             server=server.id,
@@ -66,30 +66,29 @@
         )
 
     async def drain(self, server: BackendServer) -> None:
-        """Take it."""
+        """Accept."""
         self._answer()
 
 
-def test_server_that_answers_no_order_is_suspect_until_it_does() -> None:
-    """A keyed service's server is killed, and the operator looks at the servers.
+def test_server_that_leaves_calls_unanswered_is_suspect_until_it_answers() -> None:
+    """Guards against a killed server of a keyed service that stays shown as active.
 
-    It was shown as active for good, and no alarm was raised: the gate judges only
-    servers that it chooses.
+    The gate only judges servers that it chooses, so its state alone raised no alarm.
     """
-    inner = ScriptedControl()
-    control = MonitoredControl(control=inner)
-    inner.silent = True
+    server = ScriptedControl()
+    control = MonitoredControl(control=server)
+    server.silent = True
     for number in range(UNANSWERED_TO_SUSPECT):
         assert control.is_suspect(SERVER.id) is False, number
         with pytest.raises(OutcomeUnknownError):
             run_now(control.report(SERVER))
     assert control.is_suspect(SERVER.id)
-    inner.silent = False
+    server.silent = False
     run_now(control.report(SERVER))
     assert not control.is_suspect(SERVER.id)
 
 
-def test_requests_of_this_host_count_where_it_gives_no_orders() -> None:
+def test_request_outcomes_count_where_this_host_makes_no_calls() -> None:
     control = MonitoredControl(control=ScriptedControl())
     for _ in range(UNANSWERED_TO_SUSPECT):
         control.record_outcome(SERVER.id, answered=False)
@@ -100,23 +99,23 @@
 
 @pytest.mark.parametrize("by", ["report", "drain"])
 def test_draining_server_is_shown_as_leaving(by: str) -> None:
-    inner = ScriptedControl()
-    control = MonitoredControl(control=inner)
+    server = ScriptedControl()
+    control = MonitoredControl(control=server)
     run_now(control.report(SERVER))
     assert not control.is_draining(SERVER.id)
     if by == "drain":
         run_now(control.drain(SERVER))
     else:
-        inner.draining = True
+        server.draining = True
         run_now(control.report(SERVER))
     assert control.is_draining(SERVER.id)
 
 
-def test_control_holder_that_falls_silent_holds_nothing_any_more() -> None:
-    """The store goes down, and every control lease lapses.
+def test_silent_control_holder_loses_control_after_the_timeout() -> None:
+    """Guards against a last known control holder that stays shown as the holder.
 
-    The host that was heard of last was shown as the holder for good, and
-    ``no-control-holder`` was never raised.
+    When the store goes down, every control lease lapses; without a time-out, the alarm
+    ``no-control-holder`` is never raised.
     """
     clock = Clock()
     host = Host(id="lac-1", domain="lac", peer_address="127.0.0.1:7000")
--- a/tests/test_daemon_reports.py
+++ b/tests/test_daemon_reports.py
@@ -1,4 +1,4 @@
-"""A leaving server is noticed by its own word."""
+"""Draining servers are detected by their own reports."""
 
 from random import Random
 
@@ -12,15 +12,15 @@
 
 
 class Servers:
-    """Servers that report, unless they are silent."""
+    """Backend servers that answer with a report, unless they are silent."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.requested: list[str] = []
         self.silent: set[str] = set()
         self.draining: set[str] = set()
 
     async def report(self, server: BackendServer) -> ServerReport:
-        self.asked.append(server.id)
+        self.requested.append(server.id)
         if server.id in self.silent:
             raise PeerUnavailableError("no answer", step="report", peer=server.id)
         return ServerReport(
@@ -45,21 +45,19 @@
         raise AssertionError(server)
 
 
-def test_draining_server_is_heard_within_seconds_and_a_silent_one_stops_nobody() -> (
-    None
-):
-    """A server that leaves goes on getting seats to reserve.
+def test_draining_server_is_reported_in_seconds_despite_a_silent_one() -> None:
+    """Guards against new requests going to a server that is leaving.
 
-    The platform's list still shows it as live, and a silent server beside it keeps
-    the reports from being asked.
+    The platform's list still shows it as live, and a silent server must not keep the
+    daemon from requesting the reports of the others.
     """
     clock, servers = Clock(), Servers()
-    heard: dict[str, bool] = {}
+    draining: dict[str, bool] = {}
     reports = ServerReports(
         control=servers,
         clock=clock,
         rng=Random(1),
-        on_report=lambda name, report: heard.__setitem__(name, report.draining),
+        on_report=lambda name, report: draining.__setitem__(name, report.draining),
     )
     reports.set_servers([make_server(number, 1) for number in range(3)])
     servers.silent = {"s0"}
@@ -67,5 +65,5 @@
     for _ in range(30):
         clock.advance(REPORT_INTERVAL_S / 10)
         reports.tick()
-    assert heard == {"s1": False, "s2": True}
-    assert servers.asked.count("s0") >= 2
+    assert draining == {"s1": False, "s2": True}
+    assert servers.requested.count("s0") >= 2
--- a/tests/test_daemon_rules.py
+++ b/tests/test_daemon_rules.py
@@ -1,4 +1,4 @@
-"""The rules in force on a daemon, and what shows of those that are not."""
+"""The rules in force on a daemon, and the metrics of rules that it refused."""
 
 import json
 
@@ -21,26 +21,26 @@
     )
 
 
-def of_a_later_release(share: float) -> bytes:
-    """Return a record in a later format, with a condition that is not known here."""
+def later_release_record(share: float) -> bytes:
+    """Return a record in a later format, with a condition that this release lacks."""
     data = json.loads(stored_rules(migration(share)))
     data["format"] = 2
     data["document"]["rules"][0]["when"]["season"] = "winter"
     return json.dumps(data).encode()
 
 
-def test_refused_rules_show_until_a_later_record_is_in_force() -> None:
-    """Operators apply rules in the format of a later release; some hosts lag behind.
+def test_refused_rules_are_reported_until_a_later_record_is_in_force() -> None:
+    """Guards against refused rules that show in one log line only.
 
-    A host of an older release refuses the record and goes on with the rules before. But
-    for one line of its log it looks as well as all others: it is ready, raises no
-    alarm, and its metrics do not say which rules it follows.
+    Operators apply rules in the format of a later release. A host of an older release
+    refuses the record and keeps the rules before. It is ready and raises no alarm, so
+    the metrics must show which rules it has in force, and that it refused others.
     """
     clock = Clock()
     rules = RulesInForce(shards=SHARDS, now_s=clock.seconds)
     rules.apply_value(stored(5))
     assert (rules.revision, rules.refused_s()) == (5, 0.0)
-    rules.apply_value(stored(6, of_a_later_release(0.2)))
+    rules.apply_value(stored(6, later_release_record(0.2)))
     clock.advance(2.0)
     rules.apply_value(stored(7, b"{"))
     clock.advance(1.0)
@@ -53,29 +53,29 @@
     assert (rules.revision, rules.refused_s()) == (8, 0.0)
 
 
-def test_rules_that_can_not_be_put_in_force_show_as_refused(
+def test_rules_that_fail_to_take_effect_are_reported_as_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A fault of ours keeps a version from being in force; it must show as one."""
+    """Guards against an internal error that keeps rules from force without a trace."""
     clock = Clock()
     rules = RulesInForce(shards=SHARDS, now_s=clock.seconds)
 
-    def stumble(**_: object) -> None:
-        raise ValueError("a fault of ours")
+    def raise_error(**_: object) -> None:
+        raise ValueError("an internal fault")
 
     with monkeypatch.context() as patched:
-        patched.setattr("gentianwharf.daemon._rules.RuleSet", stumble)
+        patched.setattr("gentianwharf.daemon._rules.RuleSet", raise_error)
         with pytest.raises(ValueError, match="fault"):
             rules.apply_value(stored(5))
     clock.advance(2.0)
     assert (rules.revision, rules.refused_s()) == (0, 2.0)
 
 
-def test_record_of_a_later_release_is_called_one() -> None:
-    """An operator reads that the rules can't be read and should be applied again.
+def test_error_names_the_format_of_a_later_release() -> None:
+    """Guards against an error message that advises to apply the rules again.
 
-    Applied again by an older release they would lose what only the later one knows.
-    The format was looked at last, when an unknown field had been refused already.
+    An older release that applied them again would drop the fields of the later one. So
+    the format is checked first, before an unknown field is refused.
     """
     with pytest.raises(InputError, match="format 2, expected 1.*older release"):
-        decode_rules(of_a_later_release(0.1), peer="rules@6")
+        decode_rules(later_release_record(0.1), peer="rules@6")
