--- a/src/gentianwharf/daemon/_decisions.py
+++ b/src/gentianwharf/daemon/_decisions.py
@@ -42,33 +42,34 @@
         self._recorder = recorder
         self._now_s = now_s
         queries.answer_with(
-            DECISION, lambda request_id: _encoder.encode(self._own(request_id))
+            DECISION,
+            lambda request_id: _encoder.encode(self._own_decisions(request_id)),
         )
 
     def latest(self, *, refused_only: bool, limit: int) -> RetainedDecisions:
         """Return the newest decisions that this host retains."""
-        kept = self._recorder.decisions.latest(
+        retained = self._recorder.decisions.latest(
             limit=limit, always_kept_only=refused_only
         )
         return RetainedDecisions(
-            decisions=[self._as_fields(decision) for decision in kept], silent={}
+            decisions=[self._as_fields(decision) for decision in retained], silent={}
         )
 
     async def find(self, request_id: str) -> RetainedDecisions:
         """Return this host's decisions on a request, or else those of other hosts."""
-        found = self._own(request_id)
+        found = self._own_decisions(request_id)
         if found:
             return RetainedDecisions(decisions=found, silent={})
 
         def add_response(host: str, response: bytes) -> None:
-            kept = decode_response(
+            decisions = decode_response(
                 _decoder,
                 response,
                 expected="a host's decisions",
                 step="ask for a decision",
                 peer=host,
             )
-            found.extend(kept)
+            found.extend(decisions)
 
         silent = await self._queries.gather(
             DECISION,
@@ -82,7 +83,7 @@
             decisions=cast("list[dict[str, JsonValue]]", found), silent=silent
         )
 
-    def _own(self, request_id: str) -> list[dict[str, Any]]:
+    def _own_decisions(self, request_id: str) -> list[dict[str, Any]]:
         decision = self._recorder.decisions.find(request_id)
         return [self._as_fields(decision)] if decision is not None else []
 
--- a/src/gentianwharf/daemon/_fleet.py
+++ b/src/gentianwharf/daemon/_fleet.py
@@ -26,8 +26,8 @@
 BURN = "burn"
 
 RULES_HOST_TIMEOUT_S = 0.5
-"""A host that has not answered within this time is asked again in the next round. After
-the last round, the status lists it as silent."""
+"""A host that has not answered within this time is queried again in the next round.
+After the last round, the status lists it as silent."""
 
 BURN_HOST_TIMEOUT_S = 3.0
 """A host takes some tens of milliseconds to compute its part of the report."""
@@ -81,7 +81,7 @@
         self._rules = rules
         self._spread = spread
         self._rules_key = rules_key
-        queries.answer_with(RULES, lambda _: _encoder.encode(self._own()))
+        queries.answer_with(RULES, lambda _: _encoder.encode(self._own_revisions()))
 
     async def rollout_status(
         self, *, revision: int | None, wait_s: float
@@ -100,7 +100,7 @@
         self, held: dict[str, RuleRevisions], revision: int | None
     ) -> dict[str, str]:
         own = self._hosts.own.id
-        held[own] = self._own()
+        held[own] = self._own_revisions()
 
         def add_response(host: str, response: bytes) -> None:
             held[host] = decode_response(
@@ -123,7 +123,7 @@
             timeout_s=RULES_TIMEOUT_S,
         )
 
-    def _own(self) -> RuleRevisions:
+    def _own_revisions(self) -> RuleRevisions:
         current = self._rules.current
         value = self._spread.value(self._rules_key)
         return RuleRevisions(
--- a/src/gentianwharf/daemon/_rules.py
+++ b/src/gentianwharf/daemon/_rules.py
@@ -52,8 +52,8 @@
     def refused_s(self) -> float:
         """Return for how long newer rules were received but are not in force, else 0.
 
-        It tells a host that refuses rules that all others have in force from those
-        others: it is ready as well, and serves requests by its older rules.
+        Without this value, a host that refuses rules that all others have in force
+        looks the same as they do: it is ready, and serves requests by older rules.
         """
         if self._behind_since_s is None:
             return 0.0
--- a/src/gentianwharf/daemon/_state.py
+++ b/src/gentianwharf/daemon/_state.py
@@ -96,7 +96,7 @@
         return self._unready_reasons()
 
     def state(self) -> DaemonState:
-        """Return the whole state."""
+        """Return the current state, with the alarms of the last update."""
         alarms = self._state.alarms if self._state is not None else ()
         return replace(self._snapshot(), alarms=alarms)
 
--- a/src/gentianwharf/daemon/_views.py
+++ b/src/gentianwharf/daemon/_views.py
@@ -38,12 +38,12 @@
 def table_version(ownership: OwnershipState, service: str) -> int:
     """Return the newest store revision that this host has of the service's chunks."""
     prefix = f"table/{service}/"
-    known = [
+    revisions = [
         revision
         for key, revision in ownership.versions.items()
         if key.startswith(prefix)
     ]
-    return max(known, default=0)
+    return max(revisions, default=0)
 
 
 @final
@@ -241,14 +241,14 @@
 
     async def drain(self, server: str, author: str) -> ServerStatus:
         """Order ``server`` to drain; its shards move to other servers."""
-        found = self._servers.get(server)
-        if found is None:
+        backend = self._servers.get(server)
+        if backend is None:
             raise InputError(
                 f"{server!r} is not a backend server; see: gentianwharf servers list",
                 step="drain server",
                 peer=server,
             )
-        await self._control.drain(found)
+        await self._control.drain(backend)
         return next(status for status in self.servers() if status.id == server)
 
 
