--- a/bench/capacity_placement.py
+++ b/bench/capacity_placement.py
@@ -29,7 +29,7 @@
         lambda: place(
             range(shards),
             demand=demand,
-            busy={},
+            current_load={},
             candidates=candidates,
             site_of=lambda shard: None,
         ),
@@ -54,9 +54,9 @@
             owned,
             demand=demand,
             candidates=candidates,
-            is_bound=False,
+            within_sites=False,
             weights=PlacementWeights(),
-            room=MOVES,
+            max_moves=MOVES,
         ),
         times=1,
     )
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -13,7 +13,7 @@
 
 from gentianwharf.keys import shard_of
 from gentianwharf.placement import (
-    EVEN,
+    UNIFORM_DEMAND,
     Candidate,
     PlacementWeights,
     place,
@@ -88,9 +88,9 @@
             shards_of(owners),
             demand=demand_of(loads),
             candidates=candidates(servers),
-            is_bound=False,
+            within_sites=False,
             weights=PlacementWeights(),
-            room=ROOM,
+            max_moves=ROOM,
         )
         owners.update({move.shard: move.target for move in moves})
         count += len(moves)
@@ -108,8 +108,8 @@
         busy[owner] += 1
     placed = place(
         [shard for shard in owners if shard not in kept],
-        demand=EVEN,
-        busy=busy,
+        demand=UNIFORM_DEMAND,
+        current_load=busy,
         candidates=candidates(left),
         site_of=lambda shard: None,
     )
@@ -125,8 +125,8 @@
     servers = names(count)
     first = place(
         range(SHARDS),
-        demand=EVEN,
-        busy={},
+        demand=UNIFORM_DEMAND,
+        current_load={},
         candidates=candidates(servers),
         site_of=lambda shard: None,
     )
--- a/src/gentianwharf/ownership/_plans.py
+++ b/src/gentianwharf/ownership/_plans.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Sequence
 from typing import final
 
-from gentianwharf.placement import EVEN, Candidate, Demand, place
+from gentianwharf.placement import UNIFORM_DEMAND, Candidate, Demand, place
 from gentianwharf.topology import Service
 
 from ._context import Context
@@ -120,8 +120,8 @@
         """Return the owners of a service that has no table yet."""
         return place(
             range(self._service.shards),
-            demand=EVEN,
-            busy={},
+            demand=UNIFORM_DEMAND,
+            current_load={},
             candidates=self._states().usable(),
             site_of=self._site_of,
         )
@@ -140,7 +140,7 @@
         for shard, move in self._mover.moves.items():
             # A key's own entry that is taken away has no target.
             if move.entry.target:
-                busy[move.entry.target] += demand.of(shard)
+                busy[move.entry.target] += demand.shard_slots(shard)
         return busy
 
     def _placed(self, shards: Sequence[int], states: ServerStates) -> dict[int, str]:
@@ -155,7 +155,7 @@
         return place(
             shards,
             demand=demand,
-            busy=self._busy_slots(demand),
+            current_load=self._busy_slots(demand),
             candidates=states.usable(),
             site_of=self._site_of,
         )
