--- a/tests/test_daemon_keyed_servers.py
+++ b/tests/test_daemon_keyed_servers.py
@@ -134,7 +134,7 @@
         channel=Channel.OWNERSHIP,
         body=ownership.encode(alive),
     )
-    mesh.received_frame(encode_frame(frame))
+    mesh.handle_frame(encode_frame(frame))
     assert link.has_live_control_holder("calendrier")
     clock.advance(CONTROL_TIMEOUT_S + 0.1)
     assert not link.has_live_control_holder("calendrier")
