--- a/src/gentianwharf/daemon/_parts.py
+++ b/src/gentianwharf/daemon/_components.py
@@ -1,4 +1,4 @@
-"""The daemon's parts, put together: what it is told, reaches and decides with."""
+"""Construction and wiring of the daemon's components."""
 
 from collections.abc import Iterable
 from random import Random, SystemRandom
@@ -21,24 +21,24 @@
 from gentianwharf.spread import Channel, PeerMesh, PeerQueries, SpreadSystem
 from gentianwharf.topology import BackendServer, Host, Service
 
-from ._channels import OwnershipLink
 from ._hosts import HostTable
-from ._keyed_servers import WatchedControl
+from ._monitored_control import MonitoredControl
 from ._observer import RecordingObserver
 from ._ownership import RoutedOwnership
+from ._ownership_link import OwnershipLink
 from ._reports import ServerReports
 from ._rules import RulesInForce
 
 
 @final
-class Parts:
-    """Every part of one daemon; nothing here listens or ticks yet."""
+class Components:
+    """The components of one daemon; ``Daemon.start`` makes them listen and tick."""
 
     def __init__(self, *, settings: Settings, reactor: Any) -> None:
         self.settings = settings
         self.reactor = reactor
         self.prefix = f"gentianwharf/{settings.customer}/"
-        self.services = {one.name: one for one in services_of(settings)}
+        self.services = {service.name: service for service in services_of(settings)}
         self.domains = domains_of(settings)
         self._sites = {domain.name: domain.site for domain in self.domains}
         self.servers = {
@@ -53,16 +53,16 @@
         )
         self._build_platform()
         self._build_links()
-        self._build_deciding()
+        self._build_routing()
         self._build_relay()
 
     def keyed_services(self) -> list[Service]:
         """Return the services that are divided by key."""
-        return [one for one in self.services.values() if one.keyed]
+        return [service for service in self.services.values() if service.keyed]
 
     @property
     def rules_key(self) -> str:
-        """The store's key of the rules."""
+        """The key of the rules in the store."""
         return self.prefix + "rules"
 
     def _build_platform(self) -> None:
@@ -74,12 +74,12 @@
         self.host_list = HttpHostList(
             reactor=reactor, url=platform.hosts_url, call_timeout_s=timeout_s
         )
-        self.control = WatchedControl(control=HttpBackendControl(reactor=reactor))
+        self.control = MonitoredControl(control=HttpBackendControl(reactor=reactor))
         self.hosts = HostTable(
             own=self.host,
             known=[
-                Host(id=one.id, domain=one.domain, peer_address=one.peer_address)
-                for one in self.settings.known_hosts
+                Host(id=host.id, domain=host.domain, peer_address=host.peer_address)
+                for host in self.settings.known_hosts
             ],
             servers=self.servers,
             now_s=reactor.seconds,
@@ -87,7 +87,7 @@
         self.reports = ServerReports(
             control=self.control,
             clock=reactor,
-            rng=seeded(),
+            rng=seeded_random(),
             on_report=self._on_report,
         )
 
@@ -98,14 +98,14 @@
         self.mesh = PeerMesh(
             reactor=self.reactor,
             host=self.host,
-            rng=seeded(),
+            rng=seeded_random(),
             on_hosts=self._on_hosts,
         )
         self.link = OwnershipLink(
             mesh=self.mesh, hosts=self.hosts, now_s=self.reactor.seconds
         )
         self.rules = RulesInForce(
-            shards={name: one.shards for name, one in self.services.items()},
+            shards={name: service.shards for name, service in self.services.items()},
             now_s=self.reactor.seconds,
         )
         self.spread = SpreadSystem(
@@ -114,22 +114,22 @@
             store=self.store,
             peers=self.mesh.channel(Channel.SPREAD, self._spread_received),
             prefixes=(self.rules_key,),
-            on_value=self.rules.take,
-            rng=seeded(),
+            on_value=self.rules.apply_value,
+            rng=seeded_random(),
         )
         self.queries = PeerQueries(
             clock=self.reactor,
             peers=self.mesh.channel(Channel.QUERIES, self._query_received),
-            rng=seeded(),
+            rng=seeded_random(),
         )
 
     def _on_hosts(self, hosts: tuple[Host, ...]) -> None:
-        if self.hosts.take_from_peer(hosts):
-            self.follow_hosts()
+        if self.hosts.apply_peer_list(hosts):
+            self.apply_hosts()
 
-    def follow_hosts(self) -> None:
-        """Let every part know the hosts and the leaving servers of the table."""
-        daemons = self.hosts.daemons
+    def apply_hosts(self) -> None:
+        """Pass the table's hosts and leaving servers on to the other components."""
+        daemons = self.hosts.daemon_count
         self.gate.set_daemons(daemons)
         for connections in self.relay.connections.values():
             connections.set_daemon_count(daemons)
@@ -140,9 +140,9 @@
         leaving = self.hosts.leaving_servers
         self.ownership.set_leaving(leaving)
         for name, service in self.services.items():
-            kept = [one for one in service.servers if one.id not in leaving]
-            self.admission.set_servers(name, kept)
-            self.recorder.server_loads.set_servers(name, self._by_site(kept))
+            staying = [server for server in service.servers if server.id not in leaving]
+            self.admission.set_servers(name, staying)
+            self.recorder.server_loads.set_servers(name, self._by_site(staying))
         self.reports.set_servers(
             server
             for server in self.servers.values()
@@ -156,13 +156,13 @@
         return list(sites.values())
 
     def _spread_received(self, host_id: str, message: bytes) -> None:
-        self.hosts.heard(host_id)
+        self.hosts.record_contact(host_id)
         self.spread.received(host_id, message)
 
     def _query_received(self, host_id: str, message: bytes) -> None:
         self.queries.received(host_id, message)
 
-    def _build_deciding(self) -> None:
+    def _build_routing(self) -> None:
         self.ownership = OwnershipSystem(
             host=self.host,
             domains=self.domains,
@@ -180,7 +180,7 @@
                 churn=self.settings.weights.churn,
                 unavailable_time=self.settings.weights.unavailable_time,
             ),
-            rng=seeded(),
+            rng=seeded_random(),
             log=_log_event,
         )
         self.link.on_message = self.ownership.received
@@ -188,46 +188,50 @@
             services=self.services.values(),
             classes=[
                 load.RequestClass.from_deadline(
-                    name=one.name, deadline_ms=one.deadline_ms, weight=one.weight
+                    name=request_class.name,
+                    deadline_ms=request_class.deadline_ms,
+                    weight=request_class.weight,
                 )
-                for one in self.settings.classes
+                for request_class in self.settings.classes
             ],
             domain=self.host.domain,
-            rng=seeded(),
-            daemons=self.hosts.daemons,
+            rng=seeded_random(),
+            daemons=self.hosts.daemon_count,
         )
         self.admission = GateAdmission(
             gate=self.gate,
             servers=self.servers,
             now_s=self.reactor.seconds,
-            on_server_outcome=self._on_evidence,
+            on_server_outcome=self._on_server_outcome,
         )
 
-    def _on_evidence(self, server: str, ok: bool, busy_s: float | None) -> None:
-        self.control.note(server, answered=ok)
+    def _on_server_outcome(self, server: str, ok: bool, busy_s: float | None) -> None:
+        self.control.record_outcome(server, answered=ok)
         self.ownership.answered(server, ok=ok, busy_s=busy_s)
 
     def _deadline_caps_s(self) -> dict[str, float]:
-        longest_ms = max(one.deadline_ms for one in self.settings.classes)
+        longest_ms = max(
+            request_class.deadline_ms for request_class in self.settings.classes
+        )
         return {
-            one.name: (one.deadline_cap_ms or longest_ms) / 1000
-            for one in self.settings.services
-            if one.keyed
+            service.name: (service.deadline_cap_ms or longest_ms) / 1000
+            for service in self.settings.services
+            if service.keyed
         }
 
     def _build_relay(self) -> None:
         self.recorder = Recorder(
             clock=self.reactor,
-            random=seeded(),
+            random=seeded_random(),
             objectives=[
                 Objective(
-                    request_class=one.name,
-                    limit_s=one.objective.limit_ms / 1000,
-                    share=one.objective.share,
-                    unavailable_s=one.objective.unavailable_s,
+                    request_class=request_class.name,
+                    limit_s=request_class.objective.limit_ms / 1000,
+                    share=request_class.objective.share,
+                    unavailable_s=request_class.objective.unavailable_s,
                 )
-                for one in self.settings.classes
-                if one.objective is not None
+                for request_class in self.settings.classes
+                if request_class.objective is not None
             ],
         )
         self.relay = RelayApp(
@@ -245,15 +249,20 @@
                 domain=self.host.domain,
                 now_s=self.reactor.seconds,
             ),
-            deadlines_ms={one.name: one.deadline_ms for one in self.settings.classes},
-            keyed=frozenset(name for name, one in self.services.items() if one.keyed),
+            deadlines_ms={
+                request_class.name: request_class.deadline_ms
+                for request_class in self.settings.classes
+            },
+            keyed=frozenset(
+                name for name, service in self.services.items() if service.keyed
+            ),
             reactor=self.reactor,
             rng=SystemRandom(),
         )
 
 
-def seeded() -> Random:
-    """Return a generator with a seed of its own, from the system's entropy."""
+def seeded_random() -> Random:
+    """Return a random generator, seeded from the system's entropy."""
     return Random(SystemRandom().getrandbits(64))
 
 
--- a/tests/test_load_gate.py
+++ b/tests/test_load_gate.py
@@ -237,9 +237,9 @@
     shares = []
     for leaving, removed in [((), 0), (names[3:], 0), (names[3:], 1)]:
         listed = build.listed_hosts(names[: len(names) - removed], leaving=leaving)
-        assert hosts.take(listed)
+        assert hosts.apply_list(listed)
         assert not hosts.is_live(names[1])
-        gate.set_daemons(hosts.daemons)
+        gate.set_daemons(hosts.daemon_count)
         shares.append(count_started(gate))
     assert shares == [130 // 4, 130 // 4, 130 // 3]
 
