--- a/src/gentianwharf/loadtool/__init__.py
+++ b/src/gentianwharf/loadtool/__init__.py
@@ -4,7 +4,7 @@
 timed from that moment. Each answer is checked to be whole and its own request's.
 """
 
-from ._judge import Judgement, Received, Verdict, judge
+from ._check_response import CheckResult, ReceivedResponse, Verdict, check_response
 from ._main import app, exit_code, main, run_load
 from ._merge import merge_reports, read_report
 from ._mix import BRAZOS_BEND, MIXES, TUNIS, Mix, RequestKind
@@ -21,14 +21,14 @@
     "TUNIS",
     "Bounds",
     "HttpSender",
-    "Judgement",
+    "CheckResult",
     "LoadReport",
     "LoadRun",
     "LoadTally",
     "Mix",
     "Part",
     "PlannedRequest",
-    "Received",
+    "ReceivedResponse",
     "RequestKind",
     "SendError",
     "Sender",
@@ -37,7 +37,7 @@
     "Verdict",
     "app",
     "exit_code",
-    "judge",
+    "check_response",
     "main",
     "make_report",
     "merge_reports",
--- a/src/gentianwharf/loadtool/_judge.py
+++ b/src/gentianwharf/loadtool/_check_response.py
@@ -29,19 +29,19 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Received:
-    """An answer as it came; ``whole`` is false when it ended before its length."""
+class ReceivedResponse:
+    """An answer as it came; ``complete`` is false when it ended before its length."""
 
     status: int
     content_type: str
     request_id: str
     body: bytes
-    whole: bool
+    complete: bool
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Judgement:
+class CheckResult:
     """The verdict, what was wrong, and the server and id that the answer names."""
 
     verdict: Verdict
@@ -50,39 +50,39 @@
     request_id: str = ""
 
 
-def judge(request: PlannedRequest, received: Received) -> Judgement:
+def check_response(request: PlannedRequest, received: ReceivedResponse) -> CheckResult:
     """Compare an answer with its request."""
-    if not received.whole:
-        return Judgement(verdict=Verdict.BROKEN, reason="ended before its length")
+    if not received.complete:
+        return CheckResult(verdict=Verdict.BROKEN, reason="ended before its length")
     if not received.content_type.startswith(("application/json", "application/prob")):
-        return Judgement(
+        return CheckResult(
             verdict=Verdict.BROKEN,
             reason=f"expected JSON, got {received.content_type or 'no type'}",
         )
     try:
         fields = msgspec.json.decode(received.body)
     except msgspec.DecodeError as error:
-        return Judgement(verdict=Verdict.BROKEN, reason=f"not JSON: {error}")
+        return CheckResult(verdict=Verdict.BROKEN, reason=f"not JSON: {error}")
     if not isinstance(fields, dict):
-        return Judgement(verdict=Verdict.BROKEN, reason="not a JSON object")
+        return CheckResult(verdict=Verdict.BROKEN, reason="not a JSON object")
     if received.status >= 400:
-        return _judge_refusal(received, fields)
-    return _judge_served(request, received, fields)
+        return _check_refusal(received, fields)
+    return _check_served(request, received, fields)
 
 
-def _judge_refusal(received: Received, fields: dict[str, Any]) -> Judgement:
+def _check_refusal(received: ReceivedResponse, fields: dict[str, Any]) -> CheckResult:
     verdicts = {"not-run": Verdict.NOT_RUN, "unknown": Verdict.UNKNOWN}
     verdict = verdicts.get(str(fields.get("run")), Verdict.FAILED)
-    return Judgement(
+    return CheckResult(
         verdict=verdict,
         reason=f"{received.status} {fields.get('title', '')}".strip(),
         request_id=received.request_id,
     )
 
 
-def _judge_served(
-    request: PlannedRequest, received: Received, fields: dict[str, Any]
-) -> Judgement:
+def _check_served(
+    request: PlannedRequest, received: ReceivedResponse, fields: dict[str, Any]
+) -> CheckResult:
     expected = {"service": request.kind.service}
     if request.kind.keyed:
         expected["key"] = request.key
@@ -90,14 +90,14 @@
         expected["request_id"] = received.request_id
     for name, value in expected.items():
         if fields.get(name) != value:
-            return Judgement(
+            return CheckResult(
                 verdict=Verdict.WRONG_ANSWER,
                 reason=f"{name}: expected {value!r}, got {fields.get(name)!r}",
             )
     runs = fields.get("runs", 1)
     if request.kind.once and isinstance(runs, int) and runs > 1:
-        return Judgement(verdict=Verdict.RAN_TWICE, reason=f"runs is {runs}")
-    return Judgement(
+        return CheckResult(verdict=Verdict.RAN_TWICE, reason=f"runs is {runs}")
+    return CheckResult(
         verdict=Verdict.SERVED,
         server=str(fields.get("server", "")),
         request_id=str(fields.get("request_id", "")),
--- a/src/gentianwharf/loadtool/_main.py
+++ b/src/gentianwharf/loadtool/_main.py
@@ -12,7 +12,7 @@
 from gentianwharf.collector import freeze_objects
 from gentianwharf.errors import InputError
 
-from ._judge import Verdict
+from ._check_response import Verdict
 from ._merge import merge_reports, read_report
 from ._mix import MIXES, Mix
 from ._plan import Part, plan
--- a/src/gentianwharf/loadtool/_runner.py
+++ b/src/gentianwharf/loadtool/_runner.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IReactorTime
 
-from ._judge import Judgement, judge
+from ._check_response import CheckResult, check_response
 from ._plan import PlannedRequest
 from ._sender import Sender, SendError
 from ._tally import LoadTally
@@ -77,13 +77,13 @@
     async def _send(self, request: PlannedRequest) -> None:
         sent_s = self._clock.seconds() - self._started_s
         try:
-            judgement = judge(request, await self._sender.send(request))
+            result = check_response(request, await self._sender.send(request))
         except SendError as error:
-            judgement = Judgement(verdict=error.verdict, reason=str(error))
+            result = CheckResult(verdict=error.verdict, reason=str(error))
         done_s = self._clock.seconds() - self._started_s
         self.tally.add(
             request,
-            judgement,
+            result,
             elapsed_s=done_s - request.due_s,
             service_s=done_s - sent_s,
         )
--- a/src/gentianwharf/loadtool/_sender.py
+++ b/src/gentianwharf/loadtool/_sender.py
@@ -19,7 +19,7 @@
 from gentianwharf.relay import ServerConnectionPool
 from gentianwharf.topology import BackendServer
 
-from ._judge import Received, Verdict
+from ._check_response import ReceivedResponse, Verdict
 from ._plan import PlannedRequest
 from ._target import Target
 
@@ -39,7 +39,7 @@
 class Sender(TypingProtocol):
     """Sends one request and waits for its answer."""
 
-    async def send(self, request: PlannedRequest) -> Received:
+    async def send(self, request: PlannedRequest) -> ReceivedResponse:
         """Return the answer, or raise ``SendError``."""
 
 
@@ -72,7 +72,7 @@
         )
         self._connections = ServerConnectionPool(server=server, reactor=reactor)
 
-    async def send(self, request: PlannedRequest) -> Received:
+    async def send(self, request: PlannedRequest) -> ReceivedResponse:
         """Send one request; the caller's limit covers the whole answer."""
         waiting = Deferred.fromCoroutine(self._exchange(request))
         waiting.addTimeout(request.kind.limit_s, self._clock)
@@ -87,7 +87,7 @@
                 f"{type(error).__name__}: {error}", verdict=Verdict.BROKEN
             ) from error
 
-    async def _exchange(self, request: PlannedRequest) -> Received:
+    async def _exchange(self, request: PlannedRequest) -> ReceivedResponse:
         kind = request.kind
         connection = await self._connections.acquire()
         response = await connection.send_request(
@@ -98,13 +98,13 @@
         )
         reader = _BodyReader(cancel=connection.abort_now)
         response.deliverBody(reader)
-        whole = await reader.done
-        return Received(
+        complete = await reader.done
+        return ReceivedResponse(
             status=response.code,
             content_type=_header(response, "content-type"),
             request_id=_header(response, "gentianwharf-request-id"),
             body=b"".join(reader.parts),
-            whole=whole,
+            complete=complete,
         )
 
     def _headers(self, request: PlannedRequest) -> Headers:
@@ -162,6 +162,6 @@
             self.parts.append(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        whole = reason.check(ResponseDone) is not None
+        complete = reason.check(ResponseDone) is not None
         if not self.done.called:
-            self.done.callback(whole and self._read_bytes <= MOST_BODY_BYTES)
+            self.done.callback(complete and self._read_bytes <= MOST_BODY_BYTES)
--- a/src/gentianwharf/loadtool/_tally.py
+++ b/src/gentianwharf/loadtool/_tally.py
@@ -7,7 +7,7 @@
 
 from gentianwharf.metrics import new_histogram, record_s
 
-from ._judge import VIOLATIONS, Judgement, Verdict
+from ._check_response import VIOLATIONS, CheckResult, Verdict
 from ._plan import PlannedRequest
 
 MOST_EXAMPLES = 5
@@ -39,47 +39,47 @@
     def add(
         self,
         request: PlannedRequest,
-        judgement: Judgement,
+        result: CheckResult,
         *,
         elapsed_s: float,
         service_s: float,
     ) -> None:
         """Take in one outcome; times run from when the request was due and sent."""
-        judgement = self._seen_before(judgement)
+        result = self._seen_before(result)
         request_class = request.kind.request_class
-        self.verdicts[request_class, judgement.verdict] += 1
+        self.verdicts[request_class, result.verdict] += 1
         record_s(self.service_time, service_s)
-        if judgement.verdict is Verdict.SERVED:
-            self._add_served(request, judgement, elapsed_s)
+        if result.verdict is Verdict.SERVED:
+            self._add_served(request, result, elapsed_s)
             return
-        if judgement.verdict is Verdict.NOT_RUN:
+        if result.verdict is Verdict.NOT_RUN:
             record_s(self.refused, elapsed_s)
-        examples = self.examples.setdefault(judgement.verdict, [])
+        examples = self.examples.setdefault(result.verdict, [])
         if len(examples) < MOST_EXAMPLES:
-            examples.append(f"{request.kind.method} {request.path}: {judgement.reason}")
+            examples.append(f"{request.kind.method} {request.path}: {result.reason}")
 
     def _add_served(
-        self, request: PlannedRequest, judgement: Judgement, elapsed_s: float
+        self, request: PlannedRequest, result: CheckResult, elapsed_s: float
     ) -> None:
         request_class = request.kind.request_class
         if request_class not in self.elapsed:
             self.elapsed[request_class] = new_histogram()
         record_s(self.elapsed[request_class], elapsed_s)
         counts = self.servers.setdefault(request.kind.service, Counter())
-        counts[judgement.server] += 1
+        counts[result.server] += 1
 
-    def _seen_before(self, judgement: Judgement) -> Judgement:
+    def _seen_before(self, result: CheckResult) -> CheckResult:
         """Return a violation when another answer had the same request id.
 
         Two requests for one key get bodies that differ in the id alone, so that
         crossed answers show in nothing else.
         """
-        if not judgement.request_id:
-            return judgement
-        if judgement.request_id in self._request_ids:
-            return Judgement(
+        if not result.request_id:
+            return result
+        if result.request_id in self._request_ids:
+            return CheckResult(
                 verdict=Verdict.WRONG_ANSWER,
-                reason=f"request id {judgement.request_id} came twice",
+                reason=f"request id {result.request_id} came twice",
             )
-        self._request_ids.add(judgement.request_id)
-        return judgement
+        self._request_ids.add(result.request_id)
+        return result
--- a/tests/builders_loadtool.py
+++ b/tests/builders_loadtool.py
@@ -11,7 +11,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Request, Site
 
-from gentianwharf.loadtool import TUNIS, PlannedRequest, Received, plan
+from gentianwharf.loadtool import TUNIS, PlannedRequest, ReceivedResponse, plan
 
 SERVICE_OF_PATH = {
     "calendrier": "calendrier",
@@ -27,7 +27,7 @@
     return PlannedRequest(number=1, due_s=due_s, kind=TUNIS.kinds[kind], key=key)
 
 
-def received(**changes: Any) -> Received:
+def received(**changes: Any) -> ReceivedResponse:
     """Return a right answer to ``request()``; ``fields`` changes its JSON."""
     fields: dict[str, Any] = {
         "service": "calendrier",
@@ -42,9 +42,9 @@
         "content_type": "application/json",
         "request_id": "id-1",
         "body": msgspec.json.encode(fields),
-        "whole": True,
+        "complete": True,
     }
-    return Received(**(answer | changes))
+    return ReceivedResponse(**(answer | changes))
 
 
 def planned(rate_per_s: float, duration_s: float) -> list[PlannedRequest]:
--- a/tests/test_loadtool_judge.py
+++ b/tests/test_loadtool_judge.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from gentianwharf.loadtool import LoadTally, Verdict, judge
+from gentianwharf.loadtool import LoadTally, Verdict, check_response
 from tests.builders_loadtool import received, request
 
 
@@ -13,7 +13,7 @@
     ("changes", "verdict"),
     [
         pytest.param({}, Verdict.SERVED, id="right"),
-        pytest.param({"whole": False}, Verdict.BROKEN, id="cut-short"),
+        pytest.param({"complete": False}, Verdict.BROKEN, id="cut-short"),
         pytest.param({"body": b'{"servi'}, Verdict.BROKEN, id="half-json"),
         pytest.param({"body": b"[]"}, Verdict.BROKEN, id="not-an-object"),
         pytest.param({"content_type": "text/html"}, Verdict.BROKEN, id="html"),
@@ -38,7 +38,7 @@
     ],
 )
 def test_verdict(changes: dict[str, Any], verdict: Verdict) -> None:
-    assert judge(request(), received(**changes)).verdict is verdict
+    assert check_response(request(), received(**changes)).verdict is verdict
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
 ) -> None:
     planned = request(kind)
     fields = {"service": planned.kind.service, "runs": 2}
-    assert judge(planned, received(fields=fields)).verdict is verdict
+    assert check_response(planned, received(fields=fields)).verdict is verdict
 
 
 def test_crossed_answers_of_one_key_show_in_the_request_id() -> None:
@@ -64,15 +64,15 @@
     """
     tally = LoadTally()
     for _ in range(2):
-        judgement = judge(request(), received())
-        tally.add(request(), judgement, elapsed_s=0.01, service_s=0.01)
+        result = check_response(request(), received())
+        tally.add(request(), result, elapsed_s=0.01, service_s=0.01)
     assert tally.violations == 1
 
 
 def test_example_of_a_verdict_names_request_and_reason() -> None:
     tally = LoadTally()
     body = msgspec.json.encode({"run": "not-run", "title": "queue full"})
-    judgement = judge(request(), received(status=503, body=body))
-    tally.add(request(), judgement, elapsed_s=0.01, service_s=0.01)
+    result = check_response(request(), received(status=503, body=body))
+    tally.add(request(), result, elapsed_s=0.01, service_s=0.01)
     expected = "GET /calendrier/faculte-1/seances: 503 queue full"
     assert tally.examples[Verdict.NOT_RUN] == [expected]
--- a/tests/test_loadtool_run.py
+++ b/tests/test_loadtool_run.py
@@ -20,11 +20,11 @@
     LoadTally,
     Part,
     PlannedRequest,
-    Received,
+    ReceivedResponse,
     SendError,
     Target,
     Verdict,
-    judge,
+    check_response,
     make_report,
     merge_reports,
 )
@@ -43,7 +43,7 @@
         self._normal_s = normal_s
         self._sent = 0
 
-    async def send(self, planned: PlannedRequest) -> Received:
+    async def send(self, planned: PlannedRequest) -> ReceivedResponse:
         """Answer when its time has come."""
         answered: Deferred[None] = Deferred()
         delay_s = next(self._times_s, self._normal_s)
@@ -58,7 +58,7 @@
 class UnreachableSender:
     """Reaches nobody."""
 
-    async def send(self, planned: PlannedRequest) -> Received:
+    async def send(self, planned: PlannedRequest) -> ReceivedResponse:
         """Fail at once."""
         raise SendError("refused", verdict=Verdict.NOT_CONNECTED)
 
@@ -183,11 +183,11 @@
     tally.duration_s = 1.0
     for index in range(10):
         request_id = f"id-{number}-{index}"
-        judgement = judge(
+        result = check_response(
             request(),
             received(request_id=request_id, fields={"request_id": request_id}),
         )
-        tally.add(request(), judgement, elapsed_s=elapsed_s, service_s=elapsed_s)
+        tally.add(request(), result, elapsed_s=elapsed_s, service_s=elapsed_s)
     part = Part(number=number, count=2)
     return make_report(tally, mix="tunis", seed=seed, offered_per_s=10, part=part)
 
