--- a/src/gentianwharf/loadtool/__init__.py
+++ b/src/gentianwharf/loadtool/__init__.py
@@ -9,7 +9,7 @@
 from ._merge import merge_reports, read_report
 from ._mix import BRAZOS_BEND, MIXES, TUNIS, Mix, RequestKind
 from ._plan import Part, PlannedRequest, plan, zipf_weights
-from ._report import LoadReport, Times, make_report
+from ._report import LatencySummary, LoadReport, make_report
 from ._runner import LoadRun
 from ._sender import HttpSender, Sender, SendError
 from ._tally import LoadTally
@@ -33,7 +33,7 @@
     "SendError",
     "Sender",
     "Target",
-    "Times",
+    "LatencySummary",
     "Verdict",
     "app",
     "exit_code",
--- a/src/gentianwharf/loadtool/_merge.py
+++ b/src/gentianwharf/loadtool/_merge.py
@@ -10,7 +10,7 @@
 from gentianwharf.errors import InputError
 from gentianwharf.metrics import imbalance, new_histogram
 
-from ._report import LoadReport, Times, times_of
+from ._report import LatencySummary, LoadReport, summarize_latencies
 from ._tally import MOST_EXAMPLES
 
 
@@ -50,11 +50,13 @@
         duration_s=max(one.duration_s for one in reports),
         verdicts=_added(one.verdicts for one in reports),
         classes={
-            name: _times([one.classes[name] for one in reports if name in one.classes])
+            name: _merge_latencies(
+                [one.classes[name] for one in reports if name in one.classes]
+            )
             for name in sorted({name for one in reports for name in one.classes})
         },
-        refused=_times([one.refused for one in reports]),
-        sent=_times([one.sent for one in reports]),
+        refused=_merge_latencies([one.refused for one in reports]),
+        sent=_merge_latencies([one.sent for one in reports]),
         imbalance={name: imbalance(counts) for name, counts in servers.items()},
         servers=servers,
         parts=sorted(parts),
@@ -71,11 +73,11 @@
     return {name: dict(counts) for name, counts in total.items()}
 
 
-def _times(times: Iterable[Times]) -> Times:
+def _merge_latencies(times: Iterable[LatencySummary]) -> LatencySummary:
     total = new_histogram()
     for one in times:
         total.add(HdrHistogram.decode(one.encoded))
-    return times_of(total)
+    return summarize_latencies(total)
 
 
 def _examples(reports: Iterable[LoadReport]) -> dict[str, list[str]]:
--- a/src/gentianwharf/loadtool/_report.py
+++ b/src/gentianwharf/loadtool/_report.py
@@ -16,7 +16,7 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Times:
+class LatencySummary:
     """Percentiles in milliseconds, and the histogram to add to others."""
 
     count: int
@@ -45,9 +45,9 @@
     served_per_s: float
     duration_s: float
     verdicts: dict[str, dict[str, int]]
-    classes: dict[str, Times]
-    refused: Times
-    sent: Times
+    classes: dict[str, LatencySummary]
+    refused: LatencySummary
+    sent: LatencySummary
     imbalance: dict[str, float]
     servers: dict[str, dict[str, int]]
     parts: list[str]
@@ -99,9 +99,9 @@
         served_per_s=served / tally.duration_s if tally.duration_s else 0.0,
         duration_s=tally.duration_s,
         verdicts=verdicts,
-        classes={name: times_of(one) for name, one in tally.elapsed.items()},
-        refused=times_of(tally.refused),
-        sent=times_of(tally.service_time),
+        classes={name: summarize_latencies(one) for name, one in tally.elapsed.items()},
+        refused=summarize_latencies(tally.refused),
+        sent=summarize_latencies(tally.service_time),
         imbalance={name: imbalance(counts) for name, counts in tally.servers.items()},
         servers={name: dict(counts) for name, counts in tally.servers.items()},
         parts=[str(part or Part())],
@@ -110,9 +110,9 @@
     )
 
 
-def times_of(histogram: HdrHistogram) -> Times:
+def summarize_latencies(histogram: HdrHistogram) -> LatencySummary:
     """Return the percentiles of a histogram."""
-    return Times(
+    return LatencySummary(
         count=histogram.get_total_count(),
         p50_ms=value_at_s(histogram, 50) * MILLISECONDS,
         p99_ms=value_at_s(histogram, 99) * MILLISECONDS,
@@ -122,7 +122,7 @@
     )
 
 
-def _row(name: str, times: Times) -> str:
+def _row(name: str, times: LatencySummary) -> str:
     return (
         f"{name:<14}{times.count:>9}{times.p50_ms:>10.2f}{times.p99_ms:>10.2f}"
         f"{times.p999_ms:>10.2f}{times.max_ms:>10.2f}"
