--- a/src/gentianwharf/loadtool/_check_response.py
+++ b/src/gentianwharf/loadtool/_check_response.py
@@ -95,7 +95,7 @@
                 reason=f"{name}: expected {value!r}, got {fields.get(name)!r}",
             )
     runs = fields.get("runs", 1)
-    if request.kind.once and isinstance(runs, int) and runs > 1:
+    if request.kind.at_most_once and isinstance(runs, int) and runs > 1:
         return CheckResult(verdict=Verdict.RAN_TWICE, reason=f"runs is {runs}")
     return CheckResult(
         verdict=Verdict.SERVED,
--- a/src/gentianwharf/loadtool/_main.py
+++ b/src/gentianwharf/loadtool/_main.py
@@ -137,7 +137,7 @@
     run = LoadRun(
         clock=reactor,
         sender=sender,
-        planned=part.of(
+        planned=part.select(
             plan(
                 mix,
                 rate_per_s=bounds.rate_per_s,
--- a/src/gentianwharf/loadtool/_mix.py
+++ b/src/gentianwharf/loadtool/_mix.py
@@ -7,12 +7,12 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestKind:
-    """One kind of request; ``path`` has ``{key}`` where the key goes.
+    """One kind of request; ``path`` holds ``{key}`` in place of the key.
 
-    ``share`` is its share of all requests, ``limit_s`` how long a caller waits
-    before it leaves. ``keyed`` says that the service is divided by key, so that the
-    answer must name the key. ``once`` marks what must not repeat: each such request
-    carries an ``Idempotency-Key`` of its own.
+    ``share`` is its share of all requests, ``timeout_s`` how long a caller waits for
+    the whole answer. ``keyed`` marks a service that is divided by key, whose answers
+    must contain the key. ``at_most_once`` marks requests that must not be repeated:
+    each carries an ``Idempotency-Key`` of its own.
     """
 
     service: str
@@ -20,21 +20,21 @@
     method: str
     path: str
     share: float
-    limit_s: float
+    timeout_s: float
     body_bytes: int = 0
     keyed: bool = False
-    once: bool = False
+    at_most_once: bool = False
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Mix:
-    """The requests of a deployment; keys are drawn by Zipf's law from ``keys``."""
+    """The requests of a deployment; keys are drawn by Zipf's law from ``key_count``."""
 
     name: str
     kinds: tuple[RequestKind, ...]
     key_prefix: str
-    keys: int
+    key_count: int
     zipf_exponent: float = 1.0
 
 
@@ -43,7 +43,7 @@
 TUNIS = Mix(
     name="tunis",
     key_prefix="faculte",
-    keys=2_000,
+    key_count=2_000,
     kinds=(
         RequestKind(
             service="calendrier",
@@ -51,7 +51,7 @@
             method="GET",
             path="/calendrier/{key}/seances",
             share=0.72,
-            limit_s=2.0,
+            timeout_s=2.0,
             keyed=True,
         ),
         RequestKind(
@@ -60,9 +60,9 @@
             method="POST",
             path="/inscription/{key}/places",
             share=0.15,
-            limit_s=5.0,
+            timeout_s=5.0,
             body_bytes=300,
-            once=True,
+            at_most_once=True,
         ),
         RequestKind(
             service="documents",
@@ -70,7 +70,7 @@
             method="PUT",
             path="/documents/{key}/releve",
             share=0.06,
-            limit_s=30.0,
+            timeout_s=30.0,
             body_bytes=64 * 1024,
         ),
         RequestKind(
@@ -79,7 +79,7 @@
             method="GET",
             path="/documents/archive/{key}",
             share=0.07,
-            limit_s=60.0,
+            timeout_s=60.0,
         ),
     ),
 )
@@ -87,7 +87,7 @@
 BRAZOS_BEND = Mix(
     name="brazos-bend",
     key_prefix="club",
-    keys=1_000,
+    key_count=1_000,
     kinds=(
         RequestKind(
             service="clubdesk",
@@ -95,7 +95,7 @@
             method="GET",
             path="/clubdesk/{key}/roster",
             share=0.66,
-            limit_s=2.0,
+            timeout_s=2.0,
             keyed=True,
         ),
         RequestKind(
@@ -104,9 +104,9 @@
             method="POST",
             path="/ledger/{key}/dues",
             share=0.12,
-            limit_s=5.0,
+            timeout_s=5.0,
             body_bytes=300,
-            once=True,
+            at_most_once=True,
         ),
         RequestKind(
             service="pressroom",
@@ -114,7 +114,7 @@
             method="PUT",
             path="/pressroom/{key}/issue",
             share=0.04,
-            limit_s=30.0,
+            timeout_s=30.0,
             body_bytes=256 * 1024,
         ),
         RequestKind(
@@ -123,7 +123,7 @@
             method="GET",
             path="/pressroom/archive/{key}",
             share=0.18,
-            limit_s=60.0,
+            timeout_s=60.0,
         ),
     ),
 )
--- a/src/gentianwharf/loadtool/_plan.py
+++ b/src/gentianwharf/loadtool/_plan.py
@@ -58,7 +58,7 @@
     def __str__(self) -> str:
         return f"{self.number}/{self.count}"
 
-    def of(self, requests: Iterable[PlannedRequest]) -> Iterator[PlannedRequest]:
+    def select(self, requests: Iterable[PlannedRequest]) -> Iterator[PlannedRequest]:
         """Yield the requests of this part."""
         for request in requests:
             if request.number % self.count == self.number - 1:
@@ -76,9 +76,9 @@
     >>> first.path
     '/inscription/faculte-574/places'
     """
-    key_weights = list(accumulate(zipf_weights(mix.keys, mix.zipf_exponent)))
+    key_weights = list(accumulate(zipf_weights(mix.key_count, mix.zipf_exponent)))
     kind_weights = list(accumulate(kind.share for kind in mix.kinds))
-    ranks = range(1, mix.keys + 1)
+    ranks = range(1, mix.key_count + 1)
     due_s = 0.0
     number = 0
     while True:
--- a/src/gentianwharf/loadtool/_sender.py
+++ b/src/gentianwharf/loadtool/_sender.py
@@ -75,7 +75,7 @@
     async def send(self, request: PlannedRequest) -> ReceivedResponse:
         """Send one request; the caller's limit covers the whole answer."""
         waiting = Deferred.fromCoroutine(self._exchange(request))
-        waiting.addTimeout(request.kind.limit_s, self._clock)
+        waiting.addTimeout(request.kind.timeout_s, self._clock)
         try:
             return await waiting
         except (defer.TimeoutError, CancelledError) as error:
@@ -109,7 +109,7 @@
 
     def _headers(self, request: PlannedRequest) -> Headers:
         headers = Headers({b"Host": [self._host], b"Accept": [b"application/json"]})
-        if request.kind.once:
+        if request.kind.at_most_once:
             name = f"{self._key_prefix}-{request.number}"
             headers.addRawHeader("Idempotency-Key", name)
         return headers
--- a/tests/test_loadtool_plan.py
+++ b/tests/test_loadtool_plan.py
@@ -31,7 +31,9 @@
 def test_parts_together_are_the_plan() -> None:
     """Four processes send a load of which a fourth is missing, or sent twice."""
     whole = planned(500, 2)
-    parts = [list(Part(number=number, count=4).of(whole)) for number in (1, 2, 3, 4)]
+    parts = [
+        list(Part(number=number, count=4).select(whole)) for number in (1, 2, 3, 4)
+    ]
     assert sorted(sum(parts, []), key=lambda one: one.number) == whole
     assert max(map(len, parts)) - min(map(len, parts)) <= 1
 
