--- a/bench/capacity_relay.py
+++ b/bench/capacity_relay.py
@@ -120,7 +120,9 @@
     hosts = tuple(f"lac-{number}" for number in range(1, count + 1))
     with deployment(hosts=hosts) as running:
         for host in hosts:
-            wait_until(partial(running.serves, host, "/calendrier/a"), what=host)
+            wait_until(
+                partial(running.get_if_served, host, "/calendrier/a"), description=host
+            )
         pids = [running.processes[host].pid for host in hosts]
         began_s = [processor_s(pid) for pid in pids]
         _load(running, 0, LOAD_S)
@@ -140,7 +142,9 @@
 def figures() -> Iterator[Figure]:
     """Yield processor time and latency by rate, and idle daemons by their number."""
     with deployment(hosts=(HOST,)) as running:
-        wait_until(lambda: running.serves(HOST, "/calendrier/a"), what=HOST)
+        wait_until(
+            lambda: running.get_if_served(HOST, "/calendrier/a"), description=HOST
+        )
         _load(running, 100, 2)
         for rate in RATES:
             yield from _rate_figures(running, rate)
--- a/bench/path.py
+++ b/bench/path.py
@@ -93,7 +93,8 @@
         port = running.ports[f"{HOST}-callers"]
         for path in (PATH, KEYED_PATH):
             wait_until(
-                lambda path=path: running.serves(HOST, path), what=f"{path} to answer"
+                lambda path=path: running.get_if_served(HOST, path),
+                description=f"{path} to answer",
             )
         bare, daemon = running.processes["bare"], running.processes[HOST]
         for _ in range(ROUNDS):
--- a/tests/builders_processes.py
+++ b/tests/builders_processes.py
@@ -46,7 +46,9 @@
     return ports
 
 
-def wait_until(condition: Any, *, what: str, timeout_s: float = START_TIMEOUT_S) -> Any:
+def wait_until(
+    condition: Any, *, description: str, timeout_s: float = START_TIMEOUT_S
+) -> Any:
     """Poll until ``condition()`` is true and return it; the limit is for hangs only."""
     end_s = time.monotonic() + timeout_s
     while time.monotonic() < end_s:
@@ -54,11 +56,11 @@
         if result:
             return result
         # A poll of another process's state, not a claim on its speed.
-        time_to_wait(STEP_S)
-    raise AssertionError(f"waited {timeout_s} s in vain for {what}")
+        sleep(STEP_S)
+    raise AssertionError(f"waited {timeout_s} s in vain for {description}")
 
 
-def time_to_wait(seconds: float) -> None:
+def sleep(seconds: float) -> None:
     """Wait without holding the processor."""
     with suppress(TimeoutError), socket.socketpair()[0] as quiet:
         quiet.settimeout(seconds)
@@ -118,7 +120,7 @@
         """Return what a program wrote."""
         return (self.directory / f"{name}.log").read_text()
 
-    def ask(
+    def request(
         self,
         host: str,
         path: str,
@@ -150,7 +152,7 @@
         """Return what a host's admin port shows, nothing while it does not answer."""
         return self._admin(host, "/state")
 
-    def hosts_asked_for_rules(self, host: str) -> list[str]:
+    def rule_status_hosts(self, host: str) -> list[str]:
         """Return the hosts that one asks when it is to tell who has which rules."""
         return [one["host"] for one in self._admin(host, "/rules/hosts")["hosts"]]
 
@@ -163,7 +165,7 @@
             return {}
         return told
 
-    def forget_known_hosts(self, host: str) -> None:
+    def clear_known_hosts(self, host: str) -> None:
         """Take the fellow hosts out of a host's settings."""
         path = self.directory / f"{host}.jsonc"
         settings = json.loads(path.read_text())
@@ -191,10 +193,10 @@
             str(self.directory / "hosts.json"),
         )
 
-    def serves(self, host: str, path: str) -> Reply | None:
+    def get_if_served(self, host: str, path: str) -> Reply | None:
         """Return the reply if it is a server's, else None."""
         try:
-            reply = self.ask(host, path)
+            reply = self.request(host, path)
         except OSError:
             return None
         return reply if reply.status == 200 else None
@@ -208,7 +210,7 @@
 
 
 SERVICES = ("calendrier", "inscription")
-SERVERS_A_SERVICE = 3
+SERVERS_PER_SERVICE = 3
 
 
 def domain_of(host: str) -> str:
@@ -227,7 +229,7 @@
                 "domain": domains[number % len(domains)],
                 "address": f"127.0.0.1:{ports[f'{service}-{number + 1}']}",
             }
-            for number in range(SERVERS_A_SERVICE)
+            for number in range(SERVERS_PER_SERVICE)
         ]
         for service in SERVICES
     }
@@ -303,7 +305,7 @@
     return [
         f"{service}-{number + 1}"
         for service in SERVICES
-        for number in range(SERVERS_A_SERVICE)
+        for number in range(SERVERS_PER_SERVICE)
     ]
 
 
--- a/tests/test_cli_migration.py
+++ b/tests/test_cli_migration.py
@@ -27,12 +27,14 @@
 def running() -> Iterator[Deployment]:
     with deployment() as one:
         for host in THREE_DOMAINS:
-            wait_until(lambda host=host: served(one, host), what=f"{host} to serve")
+            wait_until(
+                lambda host=host: served(one, host), description=f"{host} to serve"
+            )
         yield one
 
 
 def served(running: Deployment, host: str) -> bool:
-    return all(running.serves(host, f"/calendrier/{key}") for key in KEYS)
+    return all(running.get_if_served(host, f"/calendrier/{key}") for key in KEYS)
 
 
 def run_tool(
@@ -73,7 +75,7 @@
 
 
 def owner(running: Deployment, host: str, key: str) -> str | None:
-    reply = running.serves(host, f"/calendrier/{key}")
+    reply = running.get_if_served(host, f"/calendrier/{key}")
     return reply.body["server"] if reply is not None else None
 
 
@@ -103,7 +105,7 @@
         owners = {
             wait_until(
                 lambda host=host, key=key: {owner(running, host, key)} & new,
-                what=f"{key} to be served on the new site, seen from {host}",
+                description=f"{key} to be served on the new site, seen from {host}",
             ).pop()
             for host in THREE_DOMAINS
         }
@@ -139,5 +141,5 @@
     running.send("ariana-1", signal.SIGCONT)
     wait_until(
         lambda: run_tool(running, "lac-1", "rules", "status").returncode == Exit.DONE,
-        what="the rules to be in force on the host that returned",
+        description="the rules to be in force on the host that returned",
     )
--- a/tests/test_entryhost_settings.py
+++ b/tests/test_entryhost_settings.py
@@ -62,7 +62,7 @@
         stdout=subprocess.PIPE,
         text=True,
     )
-    wait_until(lambda: _handles_reload(started.pid), what="a handler of SIGHUP")
+    wait_until(lambda: _handles_reload(started.pid), description="a handler of SIGHUP")
     started.send_signal(signal.SIGHUP)
     output, _ = started.communicate(timeout=60)
     assert started.returncode == EXIT_USAGE, "it got as far as the missing settings"
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,7 +14,7 @@
     THREE_DOMAINS,
     Deployment,
     deployment,
-    time_to_wait,
+    sleep,
     wait_until,
 )
 
@@ -39,20 +39,20 @@
     for host in running.hosts:
         wait_until(
             lambda host=host: all(
-                running.serves(host, f"/calendrier/{key}") for key in KEYS
+                running.get_if_served(host, f"/calendrier/{key}") for key in KEYS
             ),
-            what=f"{host} to serve",
+            description=f"{host} to serve",
         )
         # A witness without a memory confirms nothing: an outage that begins before
         # the domain's witnesses have theirs is another story than the tests'.
         wait_until(
             lambda host=host: running.state(host).get("witness_has_memory"),
-            what=f"{host} to be a witness with a memory",
+            description=f"{host} to be a witness with a memory",
         )
 
 
 def owner(running: Deployment, host: str, key: str) -> str | None:
-    reply = running.serves(host, f"/calendrier/{key}")
+    reply = running.get_if_served(host, f"/calendrier/{key}")
     return reply.body["server"] if reply else None
 
 
@@ -60,7 +60,7 @@
     for key in KEYS:
         owners = {owner(running, host, key) for host in THREE_DOMAINS}
         assert len(owners) == 1
-    reply = running.ask("lac-1", "/inscription/a", method="POST", body=b"seat=1")
+    reply = running.request("lac-1", "/inscription/a", method="POST", body=b"seat=1")
     assert reply.status == 200
     assert reply.body["service"] == "inscription"
     assert reply.body["body_bytes"] == 6
@@ -77,7 +77,7 @@
     found = {
         host: wait_until(
             lambda host=host: owner(running, host, KEYS[0]),
-            what=f"a new owner, seen from {host}",
+            description=f"a new owner, seen from {host}",
         )
         for host in THREE_DOMAINS
     }
@@ -99,11 +99,13 @@
     buffered: list[Any] = []
     sender = threading.Thread(
         target=lambda: buffered.append(
-            running.ask("lac-1", f"/calendrier/{KEYS[0]}", method="POST", body=b"x")
+            running.request("lac-1", f"/calendrier/{KEYS[0]}", method="POST", body=b"x")
         )
     )
     sender.start()
-    new = wait_until(lambda: owner(running, "ariana-1", KEYS[0]), what="a new owner")
+    new = wait_until(
+        lambda: owner(running, "ariana-1", KEYS[0]), description="a new owner"
+    )
     assert new != frozen
     running.send(frozen, signal.SIGCONT)
     sender.join()
@@ -130,7 +132,7 @@
     running.kill("host-list")
     running.kill("lac-1")
     if not knows_hosts:
-        running.forget_known_hosts("lac-1")
+        running.clear_known_hosts("lac-1")
     assert {key: owner(running, "lac-2", key) for key in KEYS} == before
     running.start_daemon("lac-1")
     wait_for_service(running)
@@ -147,12 +149,12 @@
         running.start_server(name, "--service-time-s", "3")
         wait_until(
             lambda name=name: running.log(name).count("server ") == 2,
-            what=f"{name} to listen again",
+            description=f"{name} to listen again",
         )
     replies: list[Any] = []
     caller = threading.Thread(
         target=lambda: replies.append(
-            running.ask("lac-1", "/inscription/a", method="POST", body=b"seat=1")
+            running.request("lac-1", "/inscription/a", method="POST", body=b"seat=1")
         )
     )
     caller.start()
@@ -170,7 +172,7 @@
 
 def test_large_bodies_pass_without_being_gathered(running: Deployment) -> None:
     """One upload of photos takes all the memory of a small host without a disk."""
-    running.ask("lac-1", "/inscription/a", method="POST", body=b"x")
+    running.request("lac-1", "/inscription/a", method="POST", body=b"x")
     before = running.resident_bytes("lac-1")
     connection = http.client.HTTPConnection(
         "127.0.0.1", running.ports["lac-1-callers"], timeout=60
@@ -207,13 +209,13 @@
     one_domain.list_as_leaving(leaving)
     for host in others:
         wait_until(
-            lambda host=host: leaving not in one_domain.hosts_asked_for_rules(host),
-            what=f"{host} to read the list",
+            lambda host=host: leaving not in one_domain.rule_status_hosts(host),
+            description=f"{host} to read the list",
         )
     # Longer than a right lasts: what is served now is served under a new one.
-    time_to_wait(1.0)
+    sleep(1.0)
     for key in KEYS:
         wait_until(
-            lambda key=key: one_domain.serves(leaving, f"/calendrier/{key}"),
-            what=f"the leaving host to serve {key}",
+            lambda key=key: one_domain.get_if_served(leaving, f"/calendrier/{key}"),
+            description=f"the leaving host to serve {key}",
         )
