--- a/src/gentianwharf/loadtool/__init__.py
+++ b/src/gentianwharf/loadtool/__init__.py
@@ -1,7 +1,8 @@
 """The load tool ``gentianwharf-load``.
 
-Open-loop: requests go out at their planned time, whatever the answers do, and are
-timed from that moment. Each answer is checked to be whole and its own request's.
+The load is open-loop: requests are sent at their planned times, independent of
+responses, and latency is measured from the planned time. Each response is checked to
+be complete and to belong to its request.
 """
 
 from ._check_response import CheckResult, ReceivedResponse, Verdict, check_response
--- a/src/gentianwharf/loadtool/_check_response.py
+++ b/src/gentianwharf/loadtool/_check_response.py
@@ -1,4 +1,4 @@
-"""Whether an answer is whole and belongs to its request."""
+"""Checks that a response is complete and belongs to its request."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class Verdict(StrEnum):
-    """What a caller got."""
+    """The outcome of a request as its caller sees it."""
 
     SERVED = "served"
     NOT_RUN = "refused, not run"
@@ -23,14 +23,14 @@
     NOT_CONNECTED = "not connected"
 
 
-# What must never happen, however busy the router is.
+# Outcomes that are errors of the router at any load.
 VIOLATIONS = frozenset({Verdict.WRONG_ANSWER, Verdict.RAN_TWICE})
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReceivedResponse:
-    """An answer as it came; ``complete`` is false when it ended before its length."""
+    """A response as received; ``complete`` is false if its body was truncated."""
 
     status: int
     content_type: str
@@ -42,7 +42,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CheckResult:
-    """The verdict, what was wrong, and the server and id that the answer names."""
+    """The verdict, its reason, and the server and request id that the body names."""
 
     verdict: Verdict
     reason: str = ""
@@ -51,7 +51,7 @@
 
 
 def check_response(request: PlannedRequest, received: ReceivedResponse) -> CheckResult:
-    """Compare an answer with its request."""
+    """Check a response against its request."""
     if not received.complete:
         return CheckResult(verdict=Verdict.BROKEN, reason="ended before its length")
     if not received.content_type.startswith(("application/json", "application/prob")):
--- a/src/gentianwharf/loadtool/_main.py
+++ b/src/gentianwharf/loadtool/_main.py
@@ -72,7 +72,7 @@
 
     """
     try:
-        to, of_plan = Target.parse(target), Part.parse(part)
+        target_address, plan_part = Target.parse(target), Part.parse(part)
         bounds = Bounds(
             rate_per_s=rate_per_s, duration_s=duration_s, connections=connections
         )
@@ -83,11 +83,11 @@
     async def run_and_print(reactor: Any) -> None:
         report = await run_load(
             reactor,
-            target=to,
+            target=target_address,
             mix=MIXES[mix],
             bounds=bounds,
             seed=seed,
-            part=of_plan,
+            part=plan_part,
         )
         print(report.as_json() if json else report.as_text())
         sys.exit(exit_code(report))
@@ -127,9 +127,9 @@
     seed: int,
     part: Part | None = None,
 ) -> LoadReport:
-    """Send one run's load, or a part of it, and return its report."""
+    """Send the load of one run, or of a part of its plan, and return the report."""
     part = part or Part()
-    # A pause of this tool would be taken for one of the router.
+    # A garbage collection pause of this tool would be measured as router latency.
     freeze_objects()
     sender = HttpSender(
         reactor=reactor, target=target, seed=seed, connections=bounds.connections
@@ -159,7 +159,7 @@
 
 
 def exit_code(report: LoadReport) -> int:
-    """Return the exit code that a report stands for."""
+    """Return the exit code for a report."""
     if report.violations:
         return EXIT_VIOLATIONS
     verdicts = {name for counts in report.verdicts.values() for name in counts}
@@ -169,5 +169,5 @@
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the command line interface."""
     app()
--- a/src/gentianwharf/loadtool/_merge.py
+++ b/src/gentianwharf/loadtool/_merge.py
@@ -1,4 +1,4 @@
-"""One report of the parts of a run, each sent by a process of its own."""
+"""Merges the reports of the parts of a run, each sent by a separate process."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -11,7 +11,7 @@
 from gentianwharf.metrics import imbalance, new_histogram
 
 from ._report import LatencySummary, LoadReport, summarize_latencies
-from ._tally import MOST_EXAMPLES
+from ._tally import MAX_EXAMPLES
 
 
 def read_report(path: Path) -> LoadReport:
@@ -27,45 +27,50 @@
 
 
 def merge_reports(reports: Sequence[LoadReport]) -> LoadReport:
-    """Return one report of parts of the same plan; raises ``InputError``.
+    """Merge reports of different parts of one plan; raises ``InputError``.
 
-    Request ids that came twice are found within a part only.
+    Duplicate request ids are detected only within a part.
     """
     first = reports[0]
-    parts = [part for one in reports for part in one.parts]
-    same = {(one.mix, one.seed, one.parts[0].partition("/")[2]) for one in reports}
-    if len(same) > 1 or len(set(parts)) < len(parts):
+    parts = [part for report in reports for part in report.parts]
+    plans = {
+        (report.mix, report.seed, report.parts[0].partition("/")[2])
+        for report in reports
+    }
+    if len(plans) > 1 or len(set(parts)) < len(parts):
         raise InputError(
             "expected different parts of one plan (mix, seed and number of parts),"
-            f" got {', '.join(f'{o.mix} {o.seed} {o.parts}' for o in reports)}",
+            f" got {', '.join(f'{r.mix} {r.seed} {r.parts}' for r in reports)}",
             step="merge reports",
             peer="reports",
         )
-    servers = _added(one.servers for one in reports)
+    servers = _sum_counts(report.servers for report in reports)
     return LoadReport(
         mix=first.mix,
         seed=first.seed,
-        offered_per_s=sum(one.offered_per_s for one in reports),
-        served_per_s=sum(one.served_per_s for one in reports),
-        duration_s=max(one.duration_s for one in reports),
-        verdicts=_added(one.verdicts for one in reports),
+        offered_per_s=sum(report.offered_per_s for report in reports),
+        served_per_s=sum(report.served_per_s for report in reports),
+        duration_s=max(report.duration_s for report in reports),
+        verdicts=_sum_counts(report.verdicts for report in reports),
         classes={
             name: _merge_latencies(
-                [one.classes[name] for one in reports if name in one.classes]
+                [report.classes[name] for report in reports if name in report.classes]
             )
-            for name in sorted({name for one in reports for name in one.classes})
+            for name in sorted({name for report in reports for name in report.classes})
         },
-        refused=_merge_latencies([one.refused for one in reports]),
-        sent=_merge_latencies([one.sent for one in reports]),
+        refused=_merge_latencies([report.refused for report in reports]),
+        sent=_merge_latencies([report.sent for report in reports]),
         imbalance={name: imbalance(counts) for name, counts in servers.items()},
         servers=servers,
         parts=sorted(parts),
-        examples=_examples(reports),
-        violations=sum(one.violations for one in reports),
+        examples=_merge_examples(reports),
+        violations=sum(report.violations for report in reports),
     )
 
 
-def _added(tables: Iterable[dict[str, dict[str, int]]]) -> dict[str, dict[str, int]]:
+def _sum_counts(
+    tables: Iterable[dict[str, dict[str, int]]],
+) -> dict[str, dict[str, int]]:
     total: dict[str, Counter[str]] = {}
     for table in tables:
         for name, counts in table.items():
@@ -73,16 +78,16 @@
     return {name: dict(counts) for name, counts in total.items()}
 
 
-def _merge_latencies(times: Iterable[LatencySummary]) -> LatencySummary:
+def _merge_latencies(summaries: Iterable[LatencySummary]) -> LatencySummary:
     total = new_histogram()
-    for one in times:
-        total.add(HdrHistogram.decode(one.encoded))
+    for summary in summaries:
+        total.add(HdrHistogram.decode(summary.encoded))
     return summarize_latencies(total)
 
 
-def _examples(reports: Iterable[LoadReport]) -> dict[str, list[str]]:
-    found: dict[str, list[str]] = {}
-    for one in reports:
-        for verdict, lines in one.examples.items():
-            found.setdefault(verdict, []).extend(lines)
-    return {verdict: lines[:MOST_EXAMPLES] for verdict, lines in found.items()}
+def _merge_examples(reports: Iterable[LoadReport]) -> dict[str, list[str]]:
+    merged: dict[str, list[str]] = {}
+    for report in reports:
+        for verdict, lines in report.examples.items():
+            merged.setdefault(verdict, []).extend(lines)
+    return {verdict: lines[:MAX_EXAMPLES] for verdict, lines in merged.items()}
--- a/src/gentianwharf/loadtool/_mix.py
+++ b/src/gentianwharf/loadtool/_mix.py
@@ -1,4 +1,4 @@
-"""What callers of the two deployments ask for, and how often."""
+"""The request mixes of the two deployments."""
 
 from dataclasses import dataclass
 from typing import final
@@ -38,8 +38,8 @@
     zipf_exponent: float = 1.0
 
 
-# Shares follow the brief's order: consultations come all day, what must not repeat
-# is rarer, uploads come in bursts, archives are read at leisure.
+# Consultations arrive all day, requests that must not be repeated are rarer, uploads
+# come in bursts, and archives are read without urgency.
 TUNIS = Mix(
     name="tunis",
     key_prefix="faculte",
--- a/src/gentianwharf/loadtool/_plan.py
+++ b/src/gentianwharf/loadtool/_plan.py
@@ -1,4 +1,4 @@
-"""An open-loop plan: when each request starts does not depend on any answer."""
+"""Open-loop plans: the start time of a request does not depend on any response."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlannedRequest:
-    """One request and when it is due, counted from the start of the run."""
+    """One request; ``due_s`` is its start time in seconds from the start of the run."""
 
     number: int
     due_s: float
@@ -23,18 +23,18 @@
 
     @property
     def path(self) -> str:
-        """The path with its key."""
+        """The path with the key filled in."""
         return self.kind.path.format(key=self.key)
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Part:
-    """Part ``number`` of ``count`` of a plan, for as many processes.
+    """Part ``number`` of ``count`` of a plan that several processes send.
 
-    One process of Python sends some hundred requests a second before its own delays
-    are what is measured. Each part takes the requests that fall to it by their
-    number, so that all together send the one plan of the seed.
+    One Python process sends a few hundred requests a second before its own delays
+    dominate the measured latency. Each part selects requests by their number modulo
+    ``count``, so that all parts together are the complete plan of the seed.
 
     >>> Part.parse("2/4")
     Part(number=2, count=4)
@@ -68,7 +68,7 @@
 def plan(
     mix: Mix, *, rate_per_s: float, duration_s: float, random: Random
 ) -> Iterator[PlannedRequest]:
-    """Yield requests with exponential gaps, so that arrivals are Poisson.
+    """Yield requests with exponentially distributed gaps (Poisson arrivals).
 
     >>> from gentianwharf.loadtool import MIXES
     >>> first = next(plan(MIXES["tunis"], rate_per_s=100, duration_s=1,
@@ -93,7 +93,7 @@
 
 
 def zipf_weights(count: int, exponent: float) -> list[float]:
-    """Return the weight of each rank, the most wanted first.
+    """Return the weight of each rank, the most popular first.
 
     >>> zipf_weights(3, 1.0)
     [1.0, 0.5, 0.3333333333333333]
--- a/src/gentianwharf/loadtool/_report.py
+++ b/src/gentianwharf/loadtool/_report.py
@@ -1,4 +1,4 @@
-"""The report of a run: data, text and JSON."""
+"""The report of a run, as text and as JSON."""
 
 from dataclasses import dataclass
 from typing import final
@@ -17,7 +17,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LatencySummary:
-    """Percentiles in milliseconds, and the histogram to add to others."""
+    """Percentiles in milliseconds, and the encoded histogram for merging."""
 
     count: int
     p50_ms: float
@@ -30,13 +30,14 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LoadReport:
-    """What callers received.
-
-    ``classes`` holds the times of served requests from when they were due,
-    ``refused`` those of refusals as not run, ``sent`` those of all from when they
-    were sent. A great gap between ``sent`` and ``classes`` means that the load tool
-    or its connections were the bottleneck. ``servers`` counts the served requests of
-    each service's servers, ``parts`` names the parts of the plan that were sent.
+    """The results of a run as callers see them.
+
+    ``classes`` holds latencies of served requests, measured from when they were due;
+    ``refused`` those of requests that were refused as not run; ``sent`` those of all
+    requests, measured from when they were sent. A large gap between ``sent`` and
+    ``classes`` means that the load tool or its connections were the bottleneck.
+    ``servers`` counts the served requests of each server by service, and ``parts``
+    lists the parts of the plan that were sent.
     """
 
     mix: str
@@ -59,14 +60,14 @@
         return msgspec.json.encode(self).decode()
 
     def as_text(self) -> str:
-        """Return the report as lines for a person."""
+        """Return the report as human-readable lines."""
         lines = [
             f"{self.mix}, seed {self.seed}: offered {self.offered_per_s:.0f}/s,"
             f" served {self.served_per_s:.0f}/s over {self.duration_s:.1f} s",
             f"{'class':<14}{'served':>9}{'p50 ms':>10}{'p99 ms':>10}"
             f"{'p99.9 ms':>10}{'max ms':>10}",
         ]
-        lines += [_row(name, times) for name, times in sorted(self.classes.items())]
+        lines += [_row(name, summary) for name, summary in sorted(self.classes.items())]
         lines += [_row("(refused)", self.refused), _row("(as sent)", self.sent)]
         for request_class, counts in sorted(self.verdicts.items()):
             parts = [f"{name} {count}" for name, count in sorted(counts.items())]
@@ -87,11 +88,11 @@
     offered_per_s: float,
     part: Part | None = None,
 ) -> LoadReport:
-    """Work the report out of a tally."""
+    """Build the report from a tally."""
     verdicts: dict[str, dict[str, int]] = {}
     for (request_class, verdict), count in tally.verdicts.items():
         verdicts.setdefault(request_class, {})[str(verdict)] = count
-    served = sum(times.get_total_count() for times in tally.elapsed.values())
+    served = sum(histogram.get_total_count() for histogram in tally.elapsed.values())
     return LoadReport(
         mix=mix,
         seed=seed,
@@ -99,7 +100,10 @@
         served_per_s=served / tally.duration_s if tally.duration_s else 0.0,
         duration_s=tally.duration_s,
         verdicts=verdicts,
-        classes={name: summarize_latencies(one) for name, one in tally.elapsed.items()},
+        classes={
+            name: summarize_latencies(histogram)
+            for name, histogram in tally.elapsed.items()
+        },
         refused=summarize_latencies(tally.refused),
         sent=summarize_latencies(tally.service_time),
         imbalance={name: imbalance(counts) for name, counts in tally.servers.items()},
@@ -122,8 +126,8 @@
     )
 
 
-def _row(name: str, times: LatencySummary) -> str:
+def _row(name: str, summary: LatencySummary) -> str:
     return (
-        f"{name:<14}{times.count:>9}{times.p50_ms:>10.2f}{times.p99_ms:>10.2f}"
-        f"{times.p999_ms:>10.2f}{times.max_ms:>10.2f}"
+        f"{name:<14}{summary.count:>9}{summary.p50_ms:>10.2f}{summary.p99_ms:>10.2f}"
+        f"{summary.p999_ms:>10.2f}{summary.max_ms:>10.2f}"
     )
--- a/src/gentianwharf/loadtool/_runner.py
+++ b/src/gentianwharf/loadtool/_runner.py
@@ -1,4 +1,4 @@
-"""Sending of planned requests at their time, whatever the answers do."""
+"""Sends planned requests at their due time, independent of responses."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -12,21 +12,22 @@
 from ._sender import Sender, SendError
 from ._tally import LoadTally
 
-# The loop's poll rounds a wait up to whole milliseconds, which would make requests
-# up to 1 ms late; for so long before a request is due, the loop turns without wait.
+# The event loop's poll rounds time-outs up to whole milliseconds, which would delay
+# requests by up to 1 ms. Within this time before a request is due, the loop polls
+# without waiting.
 SPIN_S = 0.002
-# Has passed by the time the loop looks, and lets a test's clock move on; with 0 a
-# virtual clock would stand still for ever.
+# Short enough to be over by the next iteration of the loop. It is not 0, since the
+# virtual clock of a test would never advance.
 SPIN_STEP_S = 1e-6
 
 
 @final
 class LoadRun:
-    """One run: plan in, tally out.
+    """Sends the requests of a plan and adds their results to a tally.
 
-    Elapsed time counts from when a request was *due*. When every connection is
-    busy, a request waits here and the wait counts: timing from the moment of sending
-    would leave out just the requests that a stall held up (coordinated omission).
+    Elapsed time is measured from when a request was *due*. A request that waits for
+    a free connection includes this wait: measuring from the moment of sending would
+    hide the delay of those requests that a stall held up (coordinated omission).
     """
 
     def __init__(
@@ -49,14 +50,14 @@
         self.tally = LoadTally()
 
     async def run(self) -> LoadTally:
-        """Send everything, wait for the last answer and return the tally."""
+        """Send all requests, wait for the last response and return the tally."""
         self._started_s = self._clock.seconds()
-        self._pump()
+        self._send_due()
         await self._done
         self.tally.duration_s = self._clock.seconds() - self._started_s
         return self.tally
 
-    def _pump(self) -> None:
+    def _send_due(self) -> None:
         now_s = self._clock.seconds() - self._started_s
         while self._next is not None and self._next.due_s <= now_s:
             self._waiting.append(self._next)
@@ -66,7 +67,7 @@
             self._finish_if_idle()
             return
         wait_s = self._next.due_s - now_s
-        self._clock.callLater(max(wait_s - SPIN_S, SPIN_STEP_S), self._pump)
+        self._clock.callLater(max(wait_s - SPIN_S, SPIN_STEP_S), self._send_due)
 
     def _send_waiting(self) -> None:
         while self._waiting and self._in_flight < self._connections:
--- a/src/gentianwharf/loadtool/_sender.py
+++ b/src/gentianwharf/loadtool/_sender.py
@@ -1,4 +1,4 @@
-"""Sending of one request over kept connections, by Twisted's client."""
+"""Sends requests over persistent connections with Twisted's HTTP client."""
 
 from collections.abc import Callable
 from random import SystemRandom
@@ -23,13 +23,13 @@
 from ._plan import PlannedRequest
 from ._target import Target
 
-# Answers of the stand-in servers are some hundred bytes; more would be a fault.
-MOST_BODY_BYTES = 1_000_000
+# Responses of the stand-in servers have a few hundred bytes; a longer one is a fault.
+MAX_BODY_BYTES = 1_000_000
 
 
 @final
 class SendError(Exception):
-    """No answer came; ``verdict`` says what that means to the caller."""
+    """No response was received; ``verdict`` is the outcome for the caller."""
 
     def __init__(self, message: str, *, verdict: Verdict) -> None:
         super().__init__(message)
@@ -37,27 +37,27 @@
 
 
 class Sender(TypingProtocol):
-    """Sends one request and waits for its answer."""
+    """Sends one request and waits for its response."""
 
     async def send(self, request: PlannedRequest) -> ReceivedResponse:
-        """Return the answer, or raise ``SendError``."""
+        """Return the response, or raise ``SendError``."""
 
 
 @final
 class HttpSender:
-    """Sends over kept HTTP/1.1 connections, each request once.
+    """Sends each request once over persistent HTTP/1.1 connections.
 
-    The connections are those of the relay, which send no request again by themselves;
-    an ``Agent`` would cost this tool a third more of the processor, and the tool was
-    what limited runs above 400 requests a second.
+    It uses the relay's connections, which never retry a request by themselves. An
+    ``Agent`` takes a third more CPU time, with which the load tool itself limited
+    runs above 400 requests a second.
     """
 
     def __init__(
         self, *, reactor: Any, target: Target, seed: int, connections: int
     ) -> None:
         self._clock: IReactorTime = reactor
-        # A run of the same seed soon after would else get the answers that servers
-        # and the router keep for the keys of the one before.
+        # The random part keeps a later run with the same seed from receiving the
+        # responses that servers and the router retain for the keys of an earlier run.
         self._key_prefix = f"load-{seed}-{SystemRandom().getrandbits(48):012x}"
         host = f"[{target.host}]" if ":" in target.host else target.host
         address = f"{host}:{target.port}"
@@ -73,11 +73,11 @@
         self._connections = ServerConnectionPool(server=server, reactor=reactor)
 
     async def send(self, request: PlannedRequest) -> ReceivedResponse:
-        """Send one request; the caller's limit covers the whole answer."""
-        waiting = Deferred.fromCoroutine(self._exchange(request))
-        waiting.addTimeout(request.kind.timeout_s, self._clock)
+        """Send one request; its time-out covers the complete response."""
+        response = Deferred.fromCoroutine(self._exchange(request))
+        response.addTimeout(request.kind.timeout_s, self._clock)
         try:
-            return await waiting
+            return await response
         except (defer.TimeoutError, CancelledError) as error:
             raise SendError("limit passed", verdict=Verdict.TIMEOUT) from error
         except PeerUnavailableError as error:
@@ -110,19 +110,19 @@
     def _headers(self, request: PlannedRequest) -> Headers:
         headers = Headers({b"Host": [self._host], b"Accept": [b"application/json"]})
         if request.kind.at_most_once:
-            name = f"{self._key_prefix}-{request.number}"
-            headers.addRawHeader("Idempotency-Key", name)
+            idempotency_key = f"{self._key_prefix}-{request.number}"
+            headers.addRawHeader("Idempotency-Key", idempotency_key)
         return headers
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the persistent connections."""
         self._connections.close()
 
 
 @final
 @implementer(IBodyProducer)
 class _Body:
-    """Writes a body in one go; those of the mixes are 256 KiB at most."""
+    """Writes a body in a single call; those of the mixes have at most 256 KiB."""
 
     def __init__(self, *, body: bytes) -> None:
         self._body = body
@@ -133,13 +133,13 @@
         return succeed(None)
 
     def pauseProducing(self) -> None:
-        """Nothing is left to pause."""
+        """Do nothing: the body has already been written."""
 
     def resumeProducing(self) -> None:
-        """Nothing is left to resume."""
+        """Do nothing: the body has already been written."""
 
     def stopProducing(self) -> None:
-        """Nothing is left to stop."""
+        """Do nothing: the body has already been written."""
 
 
 def _header(response: IResponse, name: str) -> str:
@@ -149,7 +149,7 @@
 
 @final
 class _BodyReader(Protocol):
-    """Gathers a bounded body; ``done`` says whether it came whole."""
+    """Collects a body of limited size; ``done`` fires with whether it is complete."""
 
     def __init__(self, *, cancel: Callable[[], None]) -> None:
         self.done: Deferred[bool] = Deferred(lambda _: cancel())
@@ -158,10 +158,10 @@
 
     def dataReceived(self, data: bytes) -> None:
         self._read_bytes += len(data)
-        if self._read_bytes <= MOST_BODY_BYTES:
+        if self._read_bytes <= MAX_BODY_BYTES:
             self.parts.append(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         complete = reason.check(ResponseDone) is not None
         if not self.done.called:
-            self.done.callback(complete and self._read_bytes <= MOST_BODY_BYTES)
+            self.done.callback(complete and self._read_bytes <= MAX_BODY_BYTES)
--- a/src/gentianwharf/loadtool/_tally.py
+++ b/src/gentianwharf/loadtool/_tally.py
@@ -1,4 +1,4 @@
-"""What callers received, added up."""
+"""Accumulates the results of a run."""
 
 from collections import Counter
 from typing import final
@@ -10,12 +10,12 @@
 from ._check_response import VIOLATIONS, CheckResult, Verdict
 from ._plan import PlannedRequest
 
-MOST_EXAMPLES = 5
+MAX_EXAMPLES = 5
 
 
 @final
 class LoadTally:
-    """Verdicts, times per class, and load per server of one run."""
+    """Counts of verdicts, latencies per class, and requests per server of one run."""
 
     def __init__(self) -> None:
         self.duration_s = 0.0
@@ -29,7 +29,7 @@
 
     @property
     def violations(self) -> int:
-        """How many answers were another's, or came of a request that ran twice."""
+        """The number of responses with a verdict in ``VIOLATIONS``."""
         return sum(
             count
             for (_, verdict), count in self.verdicts.items()
@@ -44,8 +44,12 @@
         elapsed_s: float,
         service_s: float,
     ) -> None:
-        """Take in one outcome; times run from when the request was due and sent."""
-        result = self._seen_before(result)
+        """Add one result.
+
+        ``elapsed_s`` is measured from when the request was due, ``service_s`` from
+        when it was sent.
+        """
+        result = self._check_duplicate(result)
         request_class = request.kind.request_class
         self.verdicts[request_class, result.verdict] += 1
         record_s(self.service_time, service_s)
@@ -55,7 +59,7 @@
         if result.verdict is Verdict.NOT_RUN:
             record_s(self.refused, elapsed_s)
         examples = self.examples.setdefault(result.verdict, [])
-        if len(examples) < MOST_EXAMPLES:
+        if len(examples) < MAX_EXAMPLES:
             examples.append(f"{request.kind.method} {request.path}: {result.reason}")
 
     def _add_served(
@@ -68,11 +72,11 @@
         counts = self.servers.setdefault(request.kind.service, Counter())
         counts[result.server] += 1
 
-    def _seen_before(self, result: CheckResult) -> CheckResult:
-        """Return a violation when another answer had the same request id.
+    def _check_duplicate(self, result: CheckResult) -> CheckResult:
+        """Return a violation if an earlier response had the same request id.
 
-        Two requests for one key get bodies that differ in the id alone, so that
-        crossed answers show in nothing else.
+        The responses to two requests for one key differ only in this id, so that
+        nothing else shows that they were swapped.
         """
         if not result.request_id:
             return result
--- a/src/gentianwharf/loadtool/_target.py
+++ b/src/gentianwharf/loadtool/_target.py
@@ -1,7 +1,7 @@
-"""Where load may go, and how much: loopback addresses only, bounded in every way.
+"""Limits on the target and the amount of load.
 
-A load tool that takes any address is one typing mistake away from an attack on
-somebody's service.
+Only loopback addresses are accepted: with any other, a typing error would send the
+load to somebody else's service.
 """
 
 from dataclasses import dataclass
@@ -10,10 +10,10 @@
 
 from gentianwharf.errors import InputError
 
-MOST_REQUESTS = 1_000_000
-MOST_RATE_PER_S = 20_000.0
-MOST_DURATION_S = 600.0
-MOST_CONNECTIONS = 512
+MAX_REQUESTS = 1_000_000
+MAX_RATE_PER_S = 20_000.0
+MAX_DURATION_S = 600.0
+MAX_CONNECTIONS = 512
 
 
 @final
@@ -26,7 +26,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Target":
-        """Read ``IP:PORT``; raises ``InputError`` for all but loopback.
+        """Read ``IP:PORT``; raises ``InputError`` for any but a loopback address.
 
         >>> Target.parse("127.0.0.1:8080")
         Target(host='127.0.0.1', port=8080)
@@ -50,7 +50,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Bounds:
-    """How much load a run makes; raises ``InputError`` beyond the limits."""
+    """The amount of load of a run; raises ``InputError`` beyond the limits."""
 
     rate_per_s: float
     duration_s: float
@@ -58,15 +58,16 @@
 
     def __post_init__(self) -> None:
         limits = (
-            ("rate_per_s", self.rate_per_s, MOST_RATE_PER_S),
-            ("duration_s", self.duration_s, MOST_DURATION_S),
-            ("connections", self.connections, MOST_CONNECTIONS),
-            ("rate x duration", self.rate_per_s * self.duration_s, MOST_REQUESTS),
+            ("rate_per_s", self.rate_per_s, MAX_RATE_PER_S),
+            ("duration_s", self.duration_s, MAX_DURATION_S),
+            ("connections", self.connections, MAX_CONNECTIONS),
+            ("rate x duration", self.rate_per_s * self.duration_s, MAX_REQUESTS),
         )
-        for name, value, most in limits:
-            if not 0 < value <= most:
+        for name, value, maximum in limits:
+            if not 0 < value <= maximum:
                 raise InputError(
-                    f"{name}: expected more than 0 and at most {most:g}, got {value:g}",
+                    f"{name}: expected more than 0 and at most {maximum:g},"
+                    f" got {value:g}",
                     step="check bounds",
                     peer=name,
                 )
