--- a/src/gentianwharf/standin/__init__.py
+++ b/src/gentianwharf/standin/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform and of backend servers, for tests and trials."""
+"""Stand-ins for the platform and for backend servers, for tests and trials."""
 
 from ._backend import StandInBackend
 from ._main import hosts_of, listen_store, main
--- a/src/gentianwharf/standin/_backend.py
+++ b/src/gentianwharf/standin/_backend.py
@@ -1,4 +1,4 @@
-"""A stand-in backend server: holds shards by grant and says who served whom."""
+"""A stand-in backend server that holds shards by grants and reports what it ran."""
 
 import json
 import time
@@ -22,40 +22,40 @@
 
 from ._grants import GrantTable
 
-# Waiting requests per slot beyond which a server sheds.
-MOST_WAITING_PER_SLOT = 8
-# A grant of all 65,536 shards is below this.
-MOST_ORDER_BYTES = 2_000_000
-PIECE_BYTES = 65_536
+# A server sheds requests beyond this number of waiting ones per slot.
+MAX_WAITING_PER_SLOT = 8
+# A grant of all 65,536 shards is smaller than this.
+MAX_ORDER_BYTES = 2_000_000
+CHUNK_BYTES = 65_536
 
 _GRANT = TypeAdapter(Grant)
 _REPORT = TypeAdapter(ServerReport)
 
 
 @implementer(IConsumer)
-class _Received:
-    """Counts a body, and keeps the beginning of it for orders."""
+class _BodyConsumer:
+    """Counts the bytes of a body, and keeps its beginning, which holds an order."""
 
     def __init__(self) -> None:
         self.count = 0
-        self.kept = b""
+        self.content = b""
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:  # noqa: N802
-        """Need no producer: nothing here is ever full."""
+        """Ignore the producer: this consumer never pauses it."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Need no producer."""
+        """Do nothing: no producer is registered."""
 
     def write(self, data: bytes) -> None:
-        """Count, and keep."""
+        """Count the data, and keep it within ``MAX_ORDER_BYTES``."""
         self.count += len(data)
-        if len(self.kept) < MOST_ORDER_BYTES:
-            self.kept += data
+        if len(self.content) < MAX_ORDER_BYTES:
+            self.content += data
 
 
 @final
 class ServerRequest(CallerRequest, SiteRequest):
-    """A request whose path klein may route by."""
+    """A request that klein can route by its path."""
 
     # Keeps twisted from adding a Content-Type to responses without one.
     defaultContentType = None  # noqa: N815
@@ -65,7 +65,7 @@
         SiteRequest.process(self)
 
     def set_head(self, method: bytes, uri: bytes, version: bytes) -> None:
-        """Take method, target and version."""
+        """Set method, target and version, and derive the path from the target."""
         super().set_head(method, uri, version)
         self.path = uri.split(b"?", 1)[0]
 
@@ -74,7 +74,7 @@
 class ServerSite(CallerSite):
     """A site that routes requests with klein before their bodies have arrived.
 
-    Provides what ``twisted.web.server.Request`` expects of its site.
+    It has the attributes that ``twisted.web.server.Request`` uses of its site.
     """
 
     displayTracebacks = False  # noqa: N815
@@ -87,7 +87,7 @@
 
 
 class _RefusedError(Exception):
-    """A request that is refused without running it."""
+    """The request is refused and has not run."""
 
     def __init__(self, *, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -97,37 +97,37 @@
 
 @final
 @implementer(IPullProducer)
-class _LargeAnswer:
-    """Writes an answer of any size in pieces, at the reader's pace."""
+class _LargeResponse:
+    """Writes a response body of any size in chunks, as fast as the client reads."""
 
     def __init__(self, *, request: Request, size_bytes: int) -> None:
         self.done: Deferred[None] = Deferred(lambda _: self.stopProducing())
         self._request = request
-        self._left_bytes = size_bytes
+        self._remaining_bytes = size_bytes
         request.setHeader(b"Content-Length", str(size_bytes).encode())
         request.registerProducer(self, False)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Write the next piece."""
-        piece_bytes = min(PIECE_BYTES, self._left_bytes)
-        self._left_bytes -= piece_bytes
-        self._request.write(bytes(piece_bytes))
-        if not self._left_bytes:
+        """Write the next chunk."""
+        chunk_bytes = min(CHUNK_BYTES, self._remaining_bytes)
+        self._remaining_bytes -= chunk_bytes
+        self._request.write(bytes(chunk_bytes))
+        if not self._remaining_bytes:
             self._request.unregisterProducer()
             self.done.callback(None)
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Write no more: the reader is gone."""
-        self._left_bytes = 0
+        """Stop writing: the client has disconnected."""
+        self._remaining_bytes = 0
 
 
 @final
 class StandInBackend:
-    """One backend server with slots, grants and a memory of idempotency keys.
+    """One backend server with slots, grants and a record of idempotency keys.
 
-    Answers with JSON that says who ran the request under which token, and how often
-    the server ran the idempotency key (a repeated key is not run again). A query of
-    ``bytes=N`` is answered with that many bytes instead.
+    It responds with JSON that contains the server, the token of the request and the
+    number of runs of its idempotency key; a repeated key is not run again. The
+    response to a query of ``bytes=N`` is N bytes long instead.
     """
 
     def __init__(
@@ -147,13 +147,13 @@
         self._busy = 0
         self._waiting: deque[Deferred[None]] = deque()
         self._running: Counter[int] = Counter()
-        self._released: list[tuple[set[int], Deferred[None]]] = []
+        self._releasing: list[tuple[set[int], Deferred[None]]] = []
         self.klein = Klein()
         self.klein.url_map.merge_slashes = False
         self._add_routes()
 
     def site(self) -> CallerSite:
-        """Return what to listen with; bodies are read as they come."""
+        """Return a site to listen with, which streams request bodies."""
         return ServerSite(
             resource=cast(Any, self.klein.resource()),
             reactor=self._clock,
@@ -167,22 +167,22 @@
             route(f"/_gentianwharf/{name}", methods=["POST"])(handler)
         route("/", branch=True)(self._serve)
 
-    # Orders.
+    # Orders: grant, release, report and drain.
 
     async def _grant(self, request: IRequest) -> bytes:
-        grant = _GRANT.validate_json((await _receive(request)).kept)
+        grant = _GRANT.validate_json((await _receive(request)).content)
         outcome = self.grants.grant(grant, now_s=self._clock.seconds())
         return _json(request, encode(OutcomeAnswer(outcome=outcome)))
 
     async def _release(self, request: IRequest) -> bytes:
-        order = ReleaseRequest.model_validate_json((await _receive(request)).kept)
+        order = ReleaseRequest.model_validate_json((await _receive(request)).content)
         outcome = self.grants.release(order.tokens)
-        await self._drained(set(order.tokens))
+        await self._wait_until_idle(set(order.tokens))
         return _json(request, encode(OutcomeAnswer(outcome=outcome)))
 
     async def _report(self, request: IRequest) -> bytes:
-        # A body that is left unread ends the connection with the answer, and the next
-        # order on it would count as of unknown outcome.
+        # The connection closes after a response to a request whose body was not read,
+        # and the next order sent on it would have an unknown outcome.
         await _receive(request)
         report = ServerReport(
             server=self.server.id,
@@ -200,13 +200,13 @@
         self.grants.leaving = True
         return _json(request, encode(Nothing()))
 
-    async def _drained(self, shards: set[int]) -> None:
+    async def _wait_until_idle(self, shards: set[int]) -> None:
         if any(self._running[shard] for shard in shards):
-            done: Deferred[None] = Deferred()
-            self._released.append((shards, done))
-            await done
+            idle: Deferred[None] = Deferred()
+            self._releasing.append((shards, idle))
+            await idle
 
-    # Requests.
+    # Requests of callers.
 
     async def _serve(self, request: IRequest) -> bytes:
         http = cast(Request, request)
@@ -215,21 +215,21 @@
         shard = _header(http, "gentianwharf-shard")
         try:
             self._check(http, shard)
-            await self._take_slot()
+            await self._acquire_slot()
         except _RefusedError as refusal:
             return _refuse(http, refusal)
         number = int(shard) if shard is not None else -1
         self._running[number] += 1
         try:
-            # Again, since the slot may have come late.
+            # The deadline or the grant may have ended while waiting for a slot.
             self._check(http, shard)
             return await self._run(http, request_id)
         except _RefusedError as refusal:
             return _refuse(http, refusal)
         finally:
-            self._give_slot()
+            self._release_slot()
             self._running[number] -= 1
-            self._tell_released()
+            self._complete_releases()
 
     def _check(self, request: Request, shard: str | None) -> None:
         deadline = _header(request, "gentianwharf-deadline-unix-ms")
@@ -252,46 +252,46 @@
         self.served += 1
         size = request.uri.rpartition(b"?bytes=")[2]
         if size.isdigit():
-            await _LargeAnswer(request=request, size_bytes=int(size)).done
+            await _LargeResponse(request=request, size_bytes=int(size)).done
             return b""
-        run_key = _header(request, "idempotency-key")
-        if run_key is not None and self._runs[run_key] == 0:
-            self._runs[run_key] += 1
+        idempotency_key = _header(request, "idempotency-key")
+        if idempotency_key is not None and self._runs[idempotency_key] == 0:
+            self._runs[idempotency_key] += 1
         answer = {
             "service": self.server.service,
             "server": self.server.id,
             "key": _header(request, "gentianwharf-key"),
             "token": _header(request, "gentianwharf-token"),
             "request_id": request_id,
-            "runs": self._runs[run_key] if run_key is not None else 1,
+            "runs": self._runs[idempotency_key] if idempotency_key is not None else 1,
             "body_bytes": body_bytes,
         }
         return _json(request, json.dumps(answer).encode())
 
-    async def _take_slot(self) -> None:
+    async def _acquire_slot(self) -> None:
         if self._busy < self.server.slots:
             self._busy += 1
             return
-        if len(self._waiting) >= MOST_WAITING_PER_SLOT * self.server.slots:
+        if len(self._waiting) >= MAX_WAITING_PER_SLOT * self.server.slots:
             raise _RefusedError(status=503, reason="shedding")
-        turn: Deferred[None] = Deferred(self._waiting.remove)
-        self._waiting.append(turn)
-        await turn
+        slot: Deferred[None] = Deferred(self._waiting.remove)
+        self._waiting.append(slot)
+        await slot
 
-    def _give_slot(self) -> None:
+    def _release_slot(self) -> None:
         if self._waiting:
             self._waiting.popleft().callback(None)
         else:
             self._busy -= 1
 
-    def _tell_released(self) -> None:
-        still: list[tuple[set[int], Deferred[None]]] = []
-        for shards, done in self._released:
+    def _complete_releases(self) -> None:
+        pending: list[tuple[set[int], Deferred[None]]] = []
+        for shards, idle in self._releasing:
             if any(self._running[shard] for shard in shards):
-                still.append((shards, done))
+                pending.append((shards, idle))
             else:
-                done.callback(None)
-        self._released = still
+                idle.callback(None)
+        self._releasing = pending
 
 
 def _json(request: Any, body: bytes) -> bytes:
@@ -312,11 +312,11 @@
     return str(value) if value is not None else None
 
 
-async def _receive(request: Any) -> _Received:
-    received = _Received()
+async def _receive(request: Any) -> _BodyConsumer:
+    body = _BodyConsumer()
     if isinstance(request, CallerRequest) and request.body is not None:
-        await request.body.startProducing(received)
-    return received
+        await request.body.startProducing(body)
+    return body
 
 
 def _sleep(clock: IReactorTime, delay_s: float) -> Deferred[None]:
--- a/src/gentianwharf/standin/_main.py
+++ b/src/gentianwharf/standin/_main.py
@@ -1,4 +1,4 @@
-"""``gentianwharf-stand-in``: the stand-ins as processes of their own."""
+"""The command ``gentianwharf-stand-in``, which runs stand-ins as processes."""
 
 import sys
 from pathlib import Path
@@ -17,7 +17,7 @@
 from ._backend import StandInBackend
 from ._store import StoreApp
 
-USAGE_EXIT = 2
+EXIT_USAGE = 2
 
 app = App(name="gentianwharf-stand-in", help="Stand-ins for tests and trials.")
 
@@ -27,7 +27,7 @@
 ) -> Any:
     """Serve an empty store and a host list on ``ip:port``; return the listening port.
 
-    Port 0 takes a free one.
+    Port 0 selects a free port.
     """
     ip, port = _split(address)
     store = MemoryStore(clock=reactor)
@@ -37,7 +37,7 @@
 
 
 def hosts_of(settings: Settings) -> tuple[ListedHost, ...]:
-    """Return the host list of a deployment that has the settings' one host."""
+    """Return the host list of a deployment whose only host is that of the settings."""
     host = settings.host
     return (
         ListedHost(
@@ -48,22 +48,23 @@
 
 def _split(address: str) -> tuple[str, int]:
     try:
-        checked: str = TypeAdapter(Address).validate_python(address)
+        validated: str = TypeAdapter(Address).validate_python(address)
     except ValidationError as error:
         raise InputError(
             error.errors()[0]["msg"], step="check", peer=address
         ) from error
-    ip, _, port = checked.rpartition(":")
+    ip, _, port = validated.rpartition(":")
     return ip.strip("[]"), int(port)
 
 
 def _serve(address: str, hosts: tuple[ListedHost, ...]) -> None:
-    # Importing it installs it; whoever only imports this module brings his own.
+    # Importing the reactor installs it, which must not happen when this module is
+    # merely imported by a program with another reactor.
     from twisted.internet import reactor
 
     port = listen_store(reactor=reactor, address=address, hosts=hosts)
-    at = port.getHost()
-    print(f"store {at.host}:{at.port}", flush=True)
+    listening = port.getHost()
+    print(f"store {listening.host}:{listening.port}", flush=True)
     freeze_objects()
     reactor.run()
 
@@ -142,22 +143,22 @@
     from twisted.internet import reactor
 
     services = services_of(load_settings(settings))
-    found = {one.id: one for service in services for one in service.servers}
-    if server not in found:
+    servers = {listed.id: listed for service in services for listed in service.servers}
+    if server not in servers:
         raise InputError(
-            f"{server}: expected one of {', '.join(sorted(found))}",
+            f"{server}: expected one of {', '.join(sorted(servers))}",
             step="find server",
             peer=str(settings),
         )
-    _listen_backend(found[server], reactor=reactor, service_time_s=service_time_s)
+    _listen_backend(servers[server], reactor=reactor, service_time_s=service_time_s)
     freeze_objects()
     reactor.run()
 
 
 def main() -> None:
-    """Run the command; a mistake in its arguments ends with exit code 2."""
+    """Run the command line interface; invalid arguments exit with code 2."""
     try:
         app()
     except GentianwharfError as error:
         print(error, file=sys.stderr)
-        sys.exit(USAGE_EXIT)
+        sys.exit(EXIT_USAGE)
--- a/src/gentianwharf/standin/_store.py
+++ b/src/gentianwharf/standin/_store.py
@@ -1,7 +1,7 @@
-"""The platform's store and host list over HTTP, in memory.
+"""An in-memory store and host list of the platform, served over HTTP.
 
-The format is the one of docs/design/platform.md. A fault table around the store
-makes outages; an answer that the table loses is a connection closed without one.
+docs/design/platform.md describes the format. A fault table around the store injects
+outages; a response that it drops is a connection closed without a response.
 """
 
 from collections.abc import Awaitable, Callable
@@ -38,7 +38,7 @@
 
 @final
 class StoreApp:
-    """Serves a store and a host list; ``resource()`` is the site's root."""
+    """Serves a store and a host list; ``resource()`` returns the site's root."""
 
     klein = Klein()
 
@@ -68,7 +68,7 @@
 
     @klein.route("/v1/<path:path>", methods=["POST"])
     async def answer(self, request: Request, path: str) -> bytes:
-        """Answer any call; klein cancels a waiting watch when its caller goes."""
+        """Handle any call; klein cancels a waiting watch if its client disconnects."""
         request.setHeader("Content-Type", "application/json")
         route = self._routes.get(path)
         if route is None:
@@ -83,7 +83,7 @@
         except PeerUnavailableError as error:
             return _refuse(request, ErrorName.UNAVAILABLE, error.message)
         except OutcomeUnknownError:
-            # The caller has to see a lost answer, not an answer that tells of one.
+            # The client must see a connection without a response, not an error.
             cast(ITCPTransport, request.transport).abortConnection()
             return b""
 
@@ -104,10 +104,10 @@
         return wire.WireValue.of(written)
 
     async def _watch(self, body: wire.WatchRequest) -> BaseModel:
-        found = await self._store.watch(
+        changed = await self._store.watch(
             body.prefix, after_revision=body.after_revision, wait_s=body.wait_s
         )
-        return _values(found)
+        return _values(changed)
 
     async def _lease_grant(self, body: wire.LeaseGrantRequest) -> BaseModel:
         lease = await self._store.lease_grant(ttl_s=body.ttl_s)
