--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,4 +1,5 @@
-"""A randomized soak: the real programs as separate processes, with faults from outside.
+"""A randomized soak test: runs the real programs as processes and injects faults.
 
-``python -m soak --seeds 50``; docs/SOAK.md says what it starts, injects and checks.
+Run it with ``python -m soak --seeds 50``; docs/SOAK.md describes what it starts,
+injects and checks.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -18,23 +18,27 @@
 from gentianwharf.platform import PlatformStore
 
 from ._callers import Callers
-from ._checks import broken, unserved
+from ._checks import check_recovery, find_violations
 from ._deployment import Deployment
 from ._faults import Faults
 from ._operators import Operators
 from ._restarts import Restarts
-from ._rule_checks import bound_in_time, late_rules, older_after_newer
+from ._rule_checks import (
+    find_stale_versions,
+    find_version_regressions,
+    requests_with_known_outcome,
+)
 from ._schedule import Schedule
 
 START_S = 5.0
-"""Processes import for a second, servers settle for another, on a busy machine more."""
+"""Importing takes about 1 s and starting up another, more on a busy machine."""
 
 RECOVER_S = 12.0
-"""From the end of all faults: below the 15 s that the platform's operators allow."""
+"""Time from the end of all faults; the platform's operators allow 15 s."""
 
 QUIET_S = 3.0
 END_S = 1.0
-PER_S = 60.0
+REQUESTS_PER_S = 60.0
 FIRST_NET = 100
 
 app = App(name="soak", help="Run the real programs under random faults.")
@@ -43,29 +47,34 @@
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Play:
-    """A seed, and whether lists of rules grow and all hosts are restarted in it."""
+class SeedRun:
+    """One run of the soak.
+
+    ``rules_grow`` lets the list of rules grow, and restarts all hosts at once.
+    """
 
     seed: int
     rules_grow: bool = True
 
 
-STILL_OPEN = (
+UNRESOLVED = (
     *(5001, 5009, 5018, 5019, 5022, 5023, 5025),
     *(8003, 8008, 8012, 8015, 8017, 9035),
 )
-"""Of faults that are not mended: these may pass or fail."""
+"""Seeds that failed because of faults that are not fixed; they may pass or fail."""
 
 FAILED = (
-    *(Play(seed=seed, rules_grow=False) for seed in (4, 5, 9, 22, 27)),
-    *(Play(seed=seed) for seed in (1, 3, *STILL_OPEN)),
+    *(SeedRun(seed=seed, rules_grow=False) for seed in (4, 5, 9, 22, 27)),
+    *(SeedRun(seed=seed) for seed in (1, 3, *UNRESOLVED)),
 )
-"""What broke something once, with 15 s of faults: docs/SOAK.md has the causes."""
+"""Seeds that have failed with 15 s of faults; docs/SOAK.md lists the causes."""
 
 
-async def _play(play: Play, net: int, faults_s: float, logs: Path) -> list[str]:
+async def _run_seed(
+    seed_run: SeedRun, net: int, faults_s: float, logs: Path
+) -> list[str]:
     logs.mkdir(parents=True)
-    seed = play.seed
+    seed = seed_run.seed
     schedule = Schedule(reactor=reactor)
     deployment = Deployment(reactor=reactor, net=net, logs=logs)
     operators = Operators(
@@ -80,61 +89,71 @@
         addresses=deployment.addresses(),
         operators=operators,
     )
-    # Generators of their own: what one kind of trouble draws moves no other.
+    # Each kind of fault has its own generator, so that a seed gives the same faults of
+    # one kind whatever is drawn for another.
     faults = Faults(
         deployment=deployment, operators=operators, schedule=schedule, rng=Random(seed)
     )
     restarts = Restarts(deployment=deployment, schedule=schedule, rng=Random(seed + 3))
-    # Also where somebody ends the soak: its processes must not outlive it.
-    ending = reactor.addSystemEventTrigger("before", "shutdown", deployment.stop)
+    # The processes must also end when the soak is interrupted.
+    shutdown_trigger = reactor.addSystemEventTrigger(
+        "before", "shutdown", deployment.stop
+    )
     try:
         deployment.start()
         await deferLater(reactor, START_S)
-        callers.start(PER_S)
+        callers.start(REQUESTS_PER_S)
         faults.start()
-        if play.rules_grow:
+        if seed_run.rules_grow:
             operators.start()
             restarts.start()
         await deferLater(reactor, faults_s)
         schedule.stop()
         deployment.restore()
         await deferLater(reactor, RECOVER_S)
-        well_s = reactor.seconds()
+        recovered_s = reactor.seconds()
         await deferLater(reactor, QUIET_S)
-        callers.is_asking = operators.is_changing = False
+        callers.is_sending = operators.is_active = False
         await deferLater(reactor, QUIET_S)
     finally:
         deployment.stop()
-        reactor.removeSystemEventTrigger(ending)
-        # The next run listens on the same addresses.
+        reactor.removeSystemEventTrigger(shutdown_trigger)
+        # The next run listens on the same addresses, which must be free by then.
         await deferLater(reactor, END_S)
-    (logs / "faults.txt").write_text("\n".join(schedule.notes) + "\n")
-    found = broken(callers.asked, deployment.runs) + deployment.own_exits()
-    bound = bound_in_time(callers.asked, deployment.disruptions)
-    found += late_rules(callers.asked, deployment.disruptions)
-    found += older_after_newer(callers.asked)
-    asked = [one for one in callers.asked if one.asked_s < well_s + QUIET_S]
-    found += unserved(asked, from_s=well_s)
-    served = sum(one.status == 200 for one in callers.asked)
+    (logs / "faults.txt").write_text("\n".join(schedule.records) + "\n")
+    violations = (
+        find_violations(callers.requests, deployment.runs)
+        + deployment.unexpected_exits()
+    )
+    bound = requests_with_known_outcome(callers.requests, deployment.disruptions)
+    violations += find_stale_versions(callers.requests, deployment.disruptions)
+    violations += find_version_regressions(callers.requests)
+    judged = [
+        request
+        for request in callers.requests
+        if request.sent_s < recovered_s + QUIET_S
+    ]
+    violations += check_recovery(judged, from_s=recovered_s)
+    served = sum(request.status == 200 for request in callers.requests)
     print(
-        f"seed {seed}: {len(schedule.notes)} faults and changes,"
+        f"seed {seed}: {len(schedule.records)} faults and changes,"
         f" {len(operators.rules)} rules, {len(bound)} requests bound to a version,"
-        f" {served} of {len(callers.asked)} served,"
-        f" {len(deployment.runs)} runs, {len(found)} broken",
+        f" {served} of {len(callers.requests)} served,"
+        f" {len(deployment.runs)} runs, {len(violations)} broken",
         flush=True,
     )
-    return found
+    return violations
 
 
-async def _play_all(plays: list[Play], net: int, faults_s: float) -> int:
+async def _run_seeds(seed_runs: list[SeedRun], net: int, faults_s: float) -> int:
     logs = Path(mkdtemp(prefix="soak-logs-"))
     failed: list[int] = []
-    for play in plays:
-        found = await _play(play, net, faults_s, logs / str(play.seed))
-        if found:
-            failed.append(play.seed)
-            print("\n".join(f"  {line}" for line in found[:10]), flush=True)
-    print(f"{len(plays)} seeds, broken: {failed or 'none'}; logs in {logs}")
+    for seed_run in seed_runs:
+        violations = await _run_seed(seed_run, net, faults_s, logs / str(seed_run.seed))
+        if violations:
+            failed.append(seed_run.seed)
+            print("\n".join(f"  {line}" for line in violations[:10]), flush=True)
+    print(f"{len(seed_runs)} seeds, broken: {failed or 'none'}; logs in {logs}")
     return len(failed)
 
 
@@ -167,28 +186,32 @@
 
     """
     use_monotonic_time(reactor)
-    _end_with_the_terminal()
+    _stop_on_hangup()
     first = first or int(time.time()) % 1_000_000
-    chosen = [
-        Play(seed=seed, rules_grow=rules_grow) for seed in range(first, first + seeds)
+    seed_runs = [
+        SeedRun(seed=seed, rules_grow=rules_grow)
+        for seed in range(first, first + seeds)
     ]
     if failed:
-        chosen = list(FAILED)
-    codes: list[int] = []
-    played = Deferred.fromCoroutine(_play_all(chosen, net, faults_s))
-    played.addCallbacks(codes.append, _fail)
-    played.addBoth(lambda _: reactor.stop())
+        seed_runs = list(FAILED)
+    failure_counts: list[int] = []
+    result = Deferred.fromCoroutine(_run_seeds(seed_runs, net, faults_s))
+    result.addCallbacks(failure_counts.append, _print_failure)
+    result.addBoth(lambda _: reactor.stop())
     reactor.run()
-    sys.exit(1 if not codes or codes[0] else 0)
+    sys.exit(1 if not failure_counts or failure_counts[0] else 0)
 
 
-def _end_with_the_terminal() -> None:
-    """Stop on SIGHUP, which ends a soak but not its hosts: they reload on it."""
+def _stop_on_hangup() -> None:
+    """Stop on SIGHUP, which by default would end the soak but not its hosts.
+
+    Hosts reload their settings on SIGHUP instead of ending.
+    """
     if signal.getsignal(signal.SIGHUP) is signal.SIG_DFL:
         signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reactor.stop))
 
 
-def _fail(failure: Any) -> None:
+def _print_failure(failure: Any) -> None:
     print(failure.getTraceback(), file=sys.stderr)
 
 
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep connections open, ask at random and note what they get."""
+"""Callers that send random requests over persistent connections."""
 
 from random import Random
 from typing import Any, final
@@ -10,23 +10,28 @@
 from gentianwharf.http_agent import BytesBody
 from gentianwharf.platform.standin import ADDED, LOOK_UPS, POSTINGS, UPLOADS
 
-from ._checks import Asked
+from ._checks import SentRequest
 from ._operators import Operators
 
 DEADLINE_MS = 2500
-GIVE_UP_S = 4.0
+CALLER_TIMEOUT_S = 4.0
 UPLOAD_BYTES = 40_000
 HOT_SHARDS = 20
-HOT_SHARE = 0.3
-RULE_SHARE = 0.3
-"""Of requests for paths that operators added or removed."""
+HOT_SHARD_PROBABILITY = 0.3
+RULE_PROBABILITY = 0.3
+"""The probability that a request is for a path that operators added or removed."""
 
-NAMES = {"look-up": LOOK_UPS, "posting": POSTINGS, "upload": UPLOADS, "rule": ADDED}
+HOST_NAMES = {
+    "look-up": LOOK_UPS,
+    "posting": POSTINGS,
+    "upload": UPLOADS,
+    "rule": ADDED,
+}
 
 
 @final
 class Callers:
-    """Ask at a steady rate, each time through a host chosen at random."""
+    """Sends requests at a steady mean rate, each through a randomly chosen host."""
 
     def __init__(
         self,
@@ -36,8 +41,8 @@
         addresses: dict[str, str],
         operators: Operators,
     ) -> None:
-        self.asked: list[Asked] = []
-        self.is_asking = True
+        self.requests: list[SentRequest] = []
+        self.is_sending = True
         self._reactor = reactor
         self._rng = rng
         self._addresses = addresses
@@ -49,58 +54,59 @@
         self._count = 0
 
     def start(self, per_s: float) -> None:
-        """Ask ``per_s`` requests a second from now on."""
-        if self.is_asking:
-            Deferred.fromCoroutine(self._ask())
+        """Send ``per_s`` requests a second on average from now on."""
+        if self.is_sending:
+            Deferred.fromCoroutine(self._send_one())
             self._reactor.callLater(self._rng.expovariate(per_s), self.start, per_s)
 
-    async def _ask(self) -> None:
+    async def _send_one(self) -> None:
         kind = self._rng.choices(("look-up", "posting", "upload"), (6, 3, 1))[0]
         rule = None
-        if self._rng.random() < RULE_SHARE:
-            rule = self._operators.rule_to_ask(self._rng)
+        if self._rng.random() < RULE_PROBABILITY:
+            rule = self._operators.choose_rule(self._rng)
         if rule is not None:
             kind = "rule"
         host = self._rng.choice(sorted(self._addresses))
         self._count += 1
-        asked = Asked(
+        request = SentRequest(
             id=f"{kind}-{self._count}",
             host=host,
             may_repeat=kind in ("look-up", "rule"),
-            asked_s=self._reactor.seconds(),
+            sent_s=self._reactor.seconds(),
             rule=rule,
         )
-        self.asked.append(asked)
-        waiting = Deferred.fromCoroutine(self._send(asked, kind))
-        waiting.addTimeout(GIVE_UP_S, self._reactor)
+        self.requests.append(request)
+        response = Deferred.fromCoroutine(self._send(request, kind))
+        response.addTimeout(CALLER_TIMEOUT_S, self._reactor)
         try:
-            await waiting
+            await response
         except Exception as error:
-            # What callers see of a fault is judged at the end, with what servers ran.
-            asked.error = type(error).__name__
-        asked.ended_s = self._reactor.seconds()
+            # The outcome is checked at the end of the run, together with the requests
+            # that the servers ran.
+            request.error = type(error).__name__
+        request.ended_s = self._reactor.seconds()
 
-    async def _send(self, asked: Asked, kind: str) -> None:
-        name = NAMES[kind]
-        headers = Headers({"Host": [name], "Attempt-Id": [asked.id]})
+    async def _send(self, request: SentRequest, kind: str) -> None:
+        host_name = HOST_NAMES[kind]
+        headers = Headers({"Host": [host_name], "Attempt-Id": [request.id]})
         headers.setRawHeaders("Deadline-Ms", [str(DEADLINE_MS)])
         body = None
         if kind == "look-up":
-            headers.setRawHeaders("Shard-Key", [str(self._shard())])
+            headers.setRawHeaders("Shard-Key", [str(self._choose_shard())])
         elif kind != "rule":
             size = UPLOAD_BYTES if kind == "upload" else 20
             body = BytesBody(body=b"x" * size)
-        method = b"GET" if asked.may_repeat else b"POST"
-        path = asked.rule.path if asked.rule is not None else "/"
-        url = f"http://{self._addresses[asked.host]}{path}".encode()
+        method = b"GET" if request.may_repeat else b"POST"
+        path = request.rule.path if request.rule is not None else "/"
+        url = f"http://{self._addresses[request.host]}{path}".encode()
         response = await self._agent.request(method, url, headers, body)
-        asked.status = response.code
-        signed = response.headers.getRawHeaders("response-signature")
-        asked.signature = signed[0] if signed else None
-        asked.body = await readBody(response)
-        asked.is_whole = True
+        request.status = response.code
+        signatures = response.headers.getRawHeaders("response-signature")
+        request.signature = signatures[0] if signatures else None
+        request.body = await readBody(response)
+        request.is_complete = True
 
-    def _shard(self) -> int:
-        if self._rng.random() < HOT_SHARE:
+    def _choose_shard(self) -> int:
+        if self._rng.random() < HOT_SHARD_PROBABILITY:
             return 30_000 + self._rng.randrange(HOT_SHARDS)
         return self._rng.randrange(65_536)
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -1,4 +1,4 @@
-"""What must hold, from what callers and backend servers see."""
+"""Checks of the promises that callers and backend servers can observe."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -8,64 +8,70 @@
 from ._added_rules import AddedRule
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Each promises that the request has not run and never will."""
+"""Statuses that promise that the request has not run and never will."""
 
-LEAST_SERVED = 0.98
-"""Of what is asked once all troubles are over and the time to recover has passed."""
+MIN_SERVED_SHARE = 0.98
+"""The share of requests that must be served once the deployment has recovered."""
 
 
 @final
 @dataclass(kw_only=True, slots=True)
-class Asked:
-    """One request as its caller sees it; ``status`` 0 without an answer."""
+class SentRequest:
+    """One request as its caller sees it; ``status`` is 0 without a response."""
 
     id: str
     host: str
     may_repeat: bool
-    asked_s: float
+    sent_s: float
     rule: AddedRule | None = None
     ended_s: float = 0.0
     status: int = 0
     body: bytes = b""
     signature: str | None = None
-    is_whole: bool = False
+    is_complete: bool = False
     error: str = ""
 
     def is_allowed(self) -> bool:
-        """Whether each version of the rules that may be in force allows it."""
+        """Whether every version of the rules that may be in force has its rule."""
         if self.rule is None:
             return True
-        return self.rule.must_be_served(self.asked_s, self.ended_s)
+        return self.rule.must_be_served(self.sent_s, self.ended_s)
 
 
-def broken(asked: Sequence[Asked], runs: Iterable[Any]) -> list[str]:
-    """Return a line for each promise that was broken."""
+def find_violations(requests: Sequence[SentRequest], runs: Iterable[Any]) -> list[str]:
+    """Return a line for each violation of a promise."""
     by_id: dict[str, list[Any]] = defaultdict(list)
     by_shard: dict[int, list[Any]] = defaultdict(list)
     for run in runs:
         by_id[run["request_id"]].append(run)
         if run["shard"] is not None and run["is_whole"]:
             by_shard[run["shard"]].append(run)
-    found = [line for one in asked for line in _request(one, by_id[one.id])]
-    return found + [line for one in by_shard.values() for line in _owners(one)]
-
-
-def _request(asked: Asked, runs: Sequence[Any]) -> Iterable[str]:
-    where = f"{asked.id} through {asked.host} at {asked.asked_s:.3f}"
-    if not asked.may_repeat and len(runs) > 1:
+    violations = [
+        line
+        for request in requests
+        for line in _check_request(request, by_id[request.id])
+    ]
+    return violations + [
+        line for shard_runs in by_shard.values() for line in _check_owners(shard_runs)
+    ]
+
+
+def _check_request(request: SentRequest, runs: Sequence[Any]) -> Iterable[str]:
+    where = f"{request.id} through {request.host} at {request.sent_s:.3f}"
+    if not request.may_repeat and len(runs) > 1:
         servers = [run["server"] for run in runs]
         yield f"REPEATED: {where} ran {len(runs)} times, on {servers}"
-    if asked.status in NOT_RUN_STATUSES and runs and not asked.may_repeat:
-        yield f"PROMISE: {where} got {asked.status} and ran on {runs[0]['server']}"
-    if asked.status == 200 and asked.is_whole:
-        if not asked.body.startswith(asked.id.encode() + b" "):
-            yield f"ANSWER: {where} got another request's: {asked.body[:80]!r}"
-        if asked.signature is None:
+    if request.status in NOT_RUN_STATUSES and runs and not request.may_repeat:
+        yield f"PROMISE: {where} got {request.status} and ran on {runs[0]['server']}"
+    if request.status == 200 and request.is_complete:
+        if not request.body.startswith(request.id.encode() + b" "):
+            yield f"ANSWER: {where} got another request's: {request.body[:80]!r}"
+        if request.signature is None:
             yield f"ANSWER: {where} got 200 that no server signed"
 
 
-def _owners(runs: list[Any]) -> Iterable[str]:
-    """Yield where two servers ran requests of one shard at the same time."""
+def _check_owners(runs: list[Any]) -> Iterable[str]:
+    """Yield a line for each overlap of runs of one shard on two servers."""
     runs.sort(key=lambda run: run["begun_s"])
     latest = runs[0]
     for run in runs[1:]:
@@ -79,11 +85,23 @@
             latest = run
 
 
-def unserved(asked: Sequence[Asked], *, from_s: float) -> list[str]:
-    """Return a line if too little is served after everything is well again."""
-    late = [one for one in asked if one.asked_s >= from_s and one.is_allowed()]
-    served = sum(one.status == 200 and one.is_whole for one in late)
-    if late and served >= len(late) * LEAST_SERVED:
+def check_recovery(requests: Sequence[SentRequest], *, from_s: float) -> list[str]:
+    """Return a line if too few requests are served from ``from_s`` on."""
+    late = [
+        request
+        for request in requests
+        if request.sent_s >= from_s and request.is_allowed()
+    ]
+    served = sum(request.status == 200 and request.is_complete for request in late)
+    if late and served >= len(late) * MIN_SERVED_SHARE:
         return []
-    others = sorted({f"{one.status} {one.error}" for one in late if one.status != 200})
-    return [f"RECOVER: {served} of {len(late)} served once all was well: {others[:5]}"]
+    failures = sorted(
+        {
+            f"{request.status} {request.error}"
+            for request in late
+            if request.status != 200
+        }
+    )
+    return [
+        f"RECOVER: {served} of {len(late)} served once all was well: {failures[:5]}"
+    ]
--- a/soak/_deployment.py
+++ b/soak/_deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment: a store, servers, hosts, and a proxy on each way between them."""
+"""A small deployment: a store, servers, hosts, and a proxy on each link."""
 
 import signal
 import tempfile
@@ -13,21 +13,21 @@
     settings_text,
 )
 
-from ._disruptions import Disruptions, way_of
+from ._disruptions import Disruptions, link_of
 from ._processes import Line, Program
-from ._proxy import Proxy, Trouble
+from ._proxy import LinkFault, Proxy
 
 HOSTS = 4
 KEYED_SERVERS, UNKEYED_SERVERS = 5, 3
 STANDIN = ("-m", "gentianwharf.platform.standin")
-RESTART_S = 0.3
+RESTART_DELAY_S = 0.3
 SERVER_PORT, PROXY_PORT, STORE_PORT, OPERATORS_PORT = 8400, 8300, 8384, 8385
 DISRUPTIVE_SIGNALS = (signal.SIGSTOP, signal.SIGTERM, signal.SIGKILL)
 
 
 @final
 class Deployment:
-    """Processes by name; all listen on IP numbers below ``127.NET``."""
+    """Processes by name; all listen on IP addresses of the network ``127.NET``."""
 
     def __init__(self, *, reactor: Any, net: int, logs: Path) -> None:
         self.reactor = reactor
@@ -47,41 +47,44 @@
         self._settings = Path(tempfile.mkdtemp(prefix="soak-"))
 
     def addresses(self) -> dict[str, str]:
-        """Return where callers reach each host."""
+        """Return the address on which each host accepts callers, by its name."""
         return {name: f"{self._ip(name)}:{CALLERS_PORT}" for name in self.hosts}
 
     def start(self) -> None:
-        """Start everything."""
+        """Start the store and the proxies, and soon after the servers and hosts."""
         store = f"127.{self.net}.0.1"
-        self._start(
+        self._start_process(
             "store",
             [*STANDIN, "store", f"{store}:{STORE_PORT}", self.operators_address],
         )
         for name in self.servers:
-            self._proxy(name, target=f"{self._ip(name)}:{SERVER_PORT}")
+            self._add_proxy(name, target=f"{self._ip(name)}:{SERVER_PORT}")
             self.reactor.callLater(1.0, self.start_program, name)
         for name in self.hosts:
-            self._proxy(name, target=f"{store}:{STORE_PORT}")
+            self._add_proxy(name, target=f"{store}:{STORE_PORT}")
             self.reactor.callLater(1.5, self.start_program, name)
 
     def start_program(self, name: str) -> None:
-        """Start a server or a host, unless it runs."""
-        known = self.programs.get(name)
+        """Start a server or a host, unless it is running."""
+        program = self.programs.get(name)
         if self._is_stopped:
             return
-        if known is not None and known.is_running:
+        if program is not None and program.is_running:
             return
         if name in self.hosts:
             self._start_host(name)
         else:
             self._start_server(name)
 
-    def restart_ending(self, name: str) -> None:
-        """Start a program that has ended, or end at once one that was asked to."""
-        known = self.programs.get(name)
-        if known is not None and known.is_running and known.was_asked_to_end:
-            known.send(signal.SIGKILL)
-        self.reactor.callLater(RESTART_S, self.start_program, name)
+    def restart(self, name: str) -> None:
+        """Start a program that has ended, or kill and start one that is shutting down.
+
+        A program that is running normally is left alone.
+        """
+        program = self.programs.get(name)
+        if program is not None and program.is_running and program.is_end_requested:
+            program.send(signal.SIGKILL)
+        self.reactor.callLater(RESTART_DELAY_S, self.start_program, name)
 
     def _start_host(self, name: str) -> None:
         path = self._settings / f"{name}.toml"
@@ -97,7 +100,7 @@
             SETTINGS_PATH_VARIABLE: str(path),
             "GENTIANWHARF_LISTEN": f"{self._ip(name)}:{CALLERS_PORT}",
         }
-        self._start(name, ["-OO", "-m", "gentianwharf.entry"], env)
+        self._start_process(name, ["-OO", "-m", "gentianwharf.entry"], env)
 
     def _start_server(self, name: str) -> None:
         number = self.servers.index(name)
@@ -108,23 +111,23 @@
             *("--store", self.operators_address),
             *("--listed-as", self._proxy_address(name)),
         ]
-        self._start(name, arguments)
+        self._start_process(name, arguments)
 
-    def _start(
+    def _start_process(
         self, name: str, arguments: list[str], env: dict[str, str] | None = None
     ) -> None:
-        before = self.programs.get(name)
-        if before is not None:
-            self.ended.append(before)
-        on_line = self.runs.append if name in self.servers else _ignore
+        previous = self.programs.get(name)
+        if previous is not None:
+            self.ended.append(previous)
+        on_line = self.runs.append if name in self.servers else _ignore_line
         program = Program(name=name, log=self.logs / f"{name}.log", on_line=on_line)
         self.programs[name] = program
         program.start(self.reactor, arguments, env or {})
-        # A program that has just started is as one that was disrupted until now.
+        # A program that has just started counts as disrupted until now.
         self.disruptions.begin(name)
         self.disruptions.end(name)
 
-    def _proxy(self, name: str, *, target: str) -> None:
+    def _add_proxy(self, name: str, *, target: str) -> None:
         self.proxies[name] = Proxy(
             reactor=self.reactor, listens_on=self._proxy_address(name), target=target
         )
@@ -137,46 +140,46 @@
         return f"127.{self.net}.{1 if kind == 'host' else 2}.{int(number) + 1}"
 
     def send(self, name: str, number: signal.Signals) -> None:
-        """Signal a process that this deployment started."""
+        """Send a signal to a process that this deployment started."""
         program = self.programs[name]
         program.send(number)
         if number in DISRUPTIVE_SIGNALS:
             self.disruptions.begin(name)
-        elif number is signal.SIGCONT and not program.was_asked_to_end:
-            # One that was asked to end is back only when it is started again.
+        elif number is signal.SIGCONT and not program.is_end_requested:
+            # A program that is shutting down recovers only when it is started again.
             self.disruptions.end(name)
 
-    def cut(self, name: str, trouble: Trouble) -> None:
-        """Begin a trouble on the way through a program's proxy."""
-        self.disruptions.begin(way_of(name))
-        self.proxies[name].begin(trouble)
-        if trouble is Trouble.RESET:
-            self.disruptions.end(way_of(name))
+    def inject_link_fault(self, name: str, fault: LinkFault) -> None:
+        """Inject a fault into the link through a program's proxy."""
+        self.disruptions.begin(link_of(name))
+        self.proxies[name].begin(fault)
+        if fault is LinkFault.RESET:
+            self.disruptions.end(link_of(name))
 
-    def heal(self, name: str) -> None:
-        """End the trouble on the way through a program's proxy."""
+    def clear_link_fault(self, name: str) -> None:
+        """Clear the fault of the link through a program's proxy."""
         self.proxies[name].end()
-        self.disruptions.end(way_of(name))
+        self.disruptions.end(link_of(name))
 
     def restore(self) -> None:
-        """End all that lasts, and start what does not run."""
+        """Clear all faults, resume paused programs and start those that have ended."""
         for name in self.proxies:
-            self.heal(name)
+            self.clear_link_fault(name)
         for name in ["store", *self.servers, *self.hosts]:
             self.send(name, signal.SIGCONT)
         for name in [*self.servers, *self.hosts]:
-            self.restart_ending(name)
+            self.restart(name)
 
-    def own_exits(self) -> list[str]:
-        """Return a line for each host that ended though nobody asked it to."""
+    def unexpected_exits(self) -> list[str]:
+        """Return a line for each program that ended without a request to end."""
         return [
-            f"EXIT: {one.name} ended by itself with {one.exit_status}"
-            for one in [*self.ended, *self.programs.values()]
-            if one.exit_status is not None and not one.was_asked_to_end
+            f"EXIT: {program.name} ended by itself with {program.exit_status}"
+            for program in [*self.ended, *self.programs.values()]
+            if program.exit_status is not None and not program.is_end_requested
         ]
 
     def stop(self) -> None:
-        """End every process that runs, and start none any more."""
+        """Kill every running process, and prevent further starts."""
         self._is_stopped = True
         for program in self.programs.values():
             program.send(signal.SIGCONT)
@@ -185,5 +188,5 @@
             proxy.stop()
 
 
-def _ignore(line: Line) -> None:
-    """Leave a line to the log file."""
+def _ignore_line(line: Line) -> None:
+    """Ignore a line, which the log file already holds."""
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,4 +1,4 @@
-"""A random series of faults; they come in groups and overlap."""
+"""Injects a random series of faults, which come in groups and overlap."""
 
 import signal
 from random import Random
@@ -6,18 +6,18 @@
 
 from ._deployment import Deployment
 from ._operators import Operators
-from ._proxy import Trouble
+from ._proxy import LinkFault
 from ._schedule import Schedule
 
 MEAN_PAUSE_S = 0.8
-MOST_LASTING_S = 5.0
-GRACE_S = 6.0
-TROUBLES = [one for one in Trouble if one is not Trouble.NONE]
+MAX_FAULT_DURATION_S = 5.0
+GRACE_PERIOD_S = 6.0
+LINK_FAULTS = [fault for fault in LinkFault if fault is not LinkFault.NONE]
 
 
 @final
 class Faults:
-    """Injects faults until the schedule is over, by the seed of ``rng``."""
+    """Injects faults drawn from ``rng`` until the schedule is over."""
 
     def __init__(
         self,
@@ -33,67 +33,73 @@
         self._rng = rng
 
     def start(self) -> None:
-        """Inject one fault, and go on after a pause."""
+        """Inject one fault, and schedule the next one."""
         if self._schedule.is_over:
             return
-        kind = self._rng.choices(
+        inject = self._rng.choices(
             (
                 self._pause,
                 self._kill,
-                self._end,
-                self._cut,
+                self._terminate,
+                self._inject_link_fault,
                 self._reload,
-                self._operators.add_one,
+                self._operators.replace_one,
             ),
             (4, 3, 2, 6, 1, 2),
         )[0]
-        kind()
-        # Some come at once, others seconds later.
+        inject()
+        # A third of the faults follow almost immediately, the others after seconds.
         pause_s = self._rng.choice((0.05, 1.0, 1.0)) * self._rng.expovariate(
             1 / MEAN_PAUSE_S
         )
-        self._schedule.later(pause_s, self.start)
+        self._schedule.call_later(pause_s, self.start)
 
     def _pause(self) -> None:
         names = ["store", *self._deployment.servers, *self._deployment.hosts]
         name = self._rng.choice(names)
-        lasts_s = self._lasting_s()
-        self._schedule.note(f"pause {name} for {lasts_s:.2f} s")
+        duration_s = self._fault_duration_s()
+        self._schedule.record(f"pause {name} for {duration_s:.2f} s")
         self._deployment.send(name, signal.SIGSTOP)
-        self._schedule.later(lasts_s, self._deployment.send, name, signal.SIGCONT)
+        self._schedule.call_later(
+            duration_s, self._deployment.send, name, signal.SIGCONT
+        )
 
     def _kill(self) -> None:
         names = [*self._deployment.servers, *self._deployment.hosts]
         name = self._rng.choice(names)
-        lasts_s = self._lasting_s()
-        self._schedule.note(f"kill {name}, back after {lasts_s:.2f} s")
+        duration_s = self._fault_duration_s()
+        self._schedule.record(f"kill {name}, back after {duration_s:.2f} s")
         self._deployment.send(name, signal.SIGKILL)
-        self._schedule.later(lasts_s, self._deployment.start_program, name)
+        self._schedule.call_later(duration_s, self._deployment.start_program, name)
 
-    def _end(self) -> None:
+    def _terminate(self) -> None:
         name = self._rng.choice(self._deployment.hosts)
-        self._schedule.note(f"end {name}")
+        self._schedule.record(f"end {name}")
         self._deployment.send(name, signal.SIGTERM)
-        self._schedule.later(GRACE_S, self._restart, name)
+        self._schedule.call_later(GRACE_PERIOD_S, self._restart, name)
 
     def _restart(self, name: str) -> None:
-        # The platform ends by force what has not ended by itself.
-        self._deployment.restart_ending(name)
+        # The platform kills a program that has not ended within the grace period.
+        self._deployment.restart(name)
 
-    def _cut(self) -> None:
+    def _inject_link_fault(self) -> None:
         names = sorted(self._deployment.proxies)
         chosen = self._rng.sample(names, self._rng.choice((1, 1, 2, 4)))
-        trouble = self._rng.choice(TROUBLES)
-        lasts_s = self._lasting_s()
-        self._schedule.note(f"{trouble} before {', '.join(chosen)} for {lasts_s:.2f} s")
+        fault = self._rng.choice(LINK_FAULTS)
+        duration_s = self._fault_duration_s()
+        self._schedule.record(
+            f"{fault} on the links of {', '.join(chosen)} for {duration_s:.2f} s"
+        )
         for name in chosen:
-            self._deployment.cut(name, trouble)
-            self._schedule.later(lasts_s, self._deployment.heal, name)
+            self._deployment.inject_link_fault(name, fault)
+            self._schedule.call_later(
+                duration_s, self._deployment.clear_link_fault, name
+            )
 
     def _reload(self) -> None:
         name = self._rng.choice(self._deployment.hosts)
-        self._schedule.note(f"reload {name}")
+        self._schedule.record(f"reload {name}")
         self._deployment.send(name, signal.SIGHUP)
 
-    def _lasting_s(self) -> float:
-        return min(MOST_LASTING_S, self._rng.expovariate(1 / 1.5) + 0.1)
+    def _fault_duration_s(self) -> float:
+        return min(MAX_FAULT_DURATION_S, self._rng.expovariate(1 / 1.5) + 0.1)
--- a/soak/_processes.py
+++ b/soak/_processes.py
@@ -1,4 +1,4 @@
-"""Programs under test: started, signalled and ended by their process ids."""
+"""Programs under test, which are started and signalled by process id."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 
 @final
 class Program(ProcessProtocol):
-    """One process; ``on_line`` is told of each JSON line that it writes."""
+    """One process; ``on_line`` is called with each JSON line that it writes."""
 
     def __init__(
         self, *, name: str, log: Path, on_line: Callable[[Line], None]
@@ -23,44 +23,44 @@
         self.name = name
         self.is_running = False
         self.exit_status: str | None = None
-        self.was_asked_to_end = False
+        self.is_end_requested = False
         self._log = log.open("ab")
         self._on_line = on_line
-        self._rest = b""
+        self._partial_line = b""
 
     def start(
         self, reactor: Any, arguments: Sequence[str], env: Mapping[str, str]
     ) -> None:
-        """Start it with this interpreter."""
+        """Start the program with this Python interpreter."""
         command = [sys.executable, *arguments]
         reactor.spawnProcess(self, sys.executable, command, {**os.environ, **env})
         self.is_running = True
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal if the program is running."""
         if not self.is_running or self.transport is None or self.transport.pid is None:
             return
         if number in (signal.SIGTERM, signal.SIGKILL):
-            self.was_asked_to_end = True
+            self.is_end_requested = True
         os.kill(self.transport.pid, number)
 
     def outReceived(self, data: bytes) -> None:  # noqa: N802
-        """Keep the log, and read its lines."""
+        """Write the output to the log file, and parse its JSON lines."""
         self._log.write(data)
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
             if line.startswith(b"{"):
                 self._on_line(json.loads(line))
 
     def errReceived(self, data: bytes) -> None:  # noqa: N802
-        """Keep what it says of its faults."""
+        """Write standard error to the log file."""
         self._log.write(data)
 
     def processEnded(self, reason: Any) -> None:  # noqa: N802
-        """Note how it ended."""
+        """Record the exit status, and close the log file."""
         self.is_running = False
-        value = reason.value
+        error = reason.value
         self.exit_status = (
-            f"signal {value.signal}" if value.signal else f"code {value.exitCode}"
+            f"signal {error.signal}" if error.signal else f"code {error.exitCode}"
         )
         self._log.close()
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections are delayed, reset, cut or silenced."""
+"""A loopback proxy that delays, resets, refuses or silences its connections."""
 
 from enum import StrEnum
 from typing import Any, cast, final
@@ -7,8 +7,8 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 
 
-class Trouble(StrEnum):
-    """What a proxy does to its connections while it lasts."""
+class LinkFault(StrEnum):
+    """The effect of a fault on the connections of a proxy while it lasts."""
 
     NONE = "none"
     DELAY = "delay"
@@ -23,50 +23,50 @@
 
 @final
 class _Side(Protocol):
-    """One end of a proxied connection; what it reads goes to the other."""
+    """One end of a proxied connection; data that it receives goes to the other end."""
 
-    def __init__(self, proxy: "Proxy", *, is_answers: bool) -> None:
+    def __init__(self, proxy: "Proxy", *, carries_responses: bool) -> None:
         self.other: _Side | None = None
         self._proxy = proxy
-        self._is_answers = is_answers
-        self._early: list[bytes] = []
+        self._carries_responses = carries_responses
+        self._early_data: list[bytes] = []
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Let the proxy know of this end, so that it can break it."""
+        """Register this end with the proxy, which resets it on some faults."""
         self._proxy.sides.add(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass data on, late or not at all."""
-        trouble = self._proxy.trouble
-        if trouble is Trouble.SILENCE:
+        """Forward data, delay it or drop it, depending on the fault."""
+        fault = self._proxy.fault
+        if fault is LinkFault.SILENCE:
             return
-        if trouble is Trouble.SILENT_ANSWERS and self._is_answers:
+        if fault is LinkFault.SILENT_ANSWERS and self._carries_responses:
             return
-        delay_s = DELAY_S if trouble is Trouble.DELAY else 0.0
-        # Always by a timer: data sent after a delay must not pass what was delayed.
-        self._proxy.reactor.callLater(delay_s, self._pass_on, data)
+        delay_s = DELAY_S if fault is LinkFault.DELAY else 0.0
+        # Always by a timer: later data must not overtake data that was delayed.
+        self._proxy.reactor.callLater(delay_s, self._forward, data)
 
-    def _pass_on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         if self.other is None:
-            self._early.append(data)
+            self._early_data.append(data)
         elif self.other.transport is not None:
             self.other.transport.write(data)
 
     def join(self, other: "_Side") -> None:
-        """Learn the other end."""
+        """Set the other end, and forward the data received so far."""
         self.other = other
-        for data in self._early:
-            self._pass_on(data)
-        self._early.clear()
+        for data in self._early_data:
+            self._forward(data)
+        self._early_data.clear()
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Break the other end as well."""
+        """Close the other end as well."""
         self._proxy.sides.discard(self)
         if self.other is not None and self.other.transport is not None:
             self.other.transport.loseConnection()
 
     def reset(self) -> None:
-        """Break this end at once."""
+        """Abort the connection of this end."""
         if self.transport is not None:
             cast(ITCPTransport, self.transport).abortConnection()
 
@@ -80,7 +80,7 @@
         self._incoming = incoming
 
     def buildProtocol(self, addr: Any) -> _Side:  # noqa: N802
-        side = _Side(self._proxy, is_answers=True)
+        side = _Side(self._proxy, carries_responses=True)
         side.join(self._incoming)
         self._incoming.join(side)
         return side
@@ -91,42 +91,47 @@
 
 @final
 class Proxy(Factory):
-    """Passes connections to ``target``, an ``ip:port``, under its present trouble."""
+    """Forwards connections to ``target``, an ``ip:port``, subject to its fault."""
 
     noisy = False
 
     def __init__(self, *, reactor: Any, listens_on: str, target: str) -> None:
         self.reactor = reactor
-        self.trouble = Trouble.NONE
+        self.fault = LinkFault.NONE
         self.target = target
         self.sides: set[_Side] = set()
         ip, _, port = listens_on.rpartition(":")
         self._port = reactor.listenTCP(int(port), self, interface=ip)
 
     def buildProtocol(self, addr: Any) -> Protocol | None:  # noqa: N802
-        """Take a connection, and open the one behind it."""
-        if self.trouble is Trouble.REFUSE:
+        """Accept a connection, and connect to the target."""
+        if self.fault is LinkFault.REFUSE:
             return None
-        incoming = _Side(self, is_answers=False)
+        incoming = _Side(self, carries_responses=False)
         ip, _, port = self.target.rpartition(":")
         self.reactor.connectTCP(ip, int(port), _Outgoing(self, incoming), timeout=2)
         return incoming
 
-    def begin(self, trouble: Trouble) -> None:
-        """Begin a trouble; connections that are open are in it too."""
-        self.trouble = trouble
-        if trouble in (Trouble.RESET, Trouble.REFUSE):
+    def begin(self, fault: LinkFault) -> None:
+        """Begin a fault, which also affects open connections."""
+        self.fault = fault
+        if fault in (LinkFault.RESET, LinkFault.REFUSE):
             self._reset_all()
-            self.trouble = Trouble.REFUSE if trouble is Trouble.REFUSE else Trouble.NONE
+            self.fault = (
+                LinkFault.REFUSE if fault is LinkFault.REFUSE else LinkFault.NONE
+            )
 
     def end(self) -> None:
-        """End the trouble; what was silenced is broken, or it would stay so."""
-        was, self.trouble = self.trouble, Trouble.NONE
-        if was in (Trouble.SILENCE, Trouble.SILENT_ANSWERS):
+        """End the fault.
+
+        Silenced connections are reset, since the data that was dropped stays missing.
+        """
+        ended, self.fault = self.fault, LinkFault.NONE
+        if ended in (LinkFault.SILENCE, LinkFault.SILENT_ANSWERS):
             self._reset_all()
 
     def stop(self) -> None:
-        """Listen no more, and break what is open."""
+        """Stop listening, and reset all open connections."""
         self._port.stopListening()
         self._reset_all()
 
--- a/soak/_rule_checks.py
+++ b/soak/_rule_checks.py
@@ -1,93 +1,110 @@
-"""What must hold for rules that are added and removed, from what callers see."""
+"""Checks of added and removed rules, from the responses that callers receive."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
 
 from ._added_rules import AddedRule
-from ._checks import Asked
+from ._checks import SentRequest
 from ._disruptions import Disruptions
 
-SERVED = 200
-NO_RULE = 404
-"""Hosts answer so where no rule matches; the backend servers never do."""
+SERVED_STATUS = 200
+NO_RULE_STATUS = 404
+"""Hosts respond so if no rule matches; the backend servers never do."""
 
 
-def bound_in_time(asked: Sequence[Asked], disruptions: Disruptions) -> list[Asked]:
-    """Return the requests that only one answer was right for, through hosts in touch.
+def requests_with_known_outcome(
+    requests: Sequence[SentRequest], disruptions: Disruptions
+) -> list[SentRequest]:
+    """Return requests through undisrupted hosts for which only one status is right.
 
-    Other failures than that a rule is unknown are left to other checks.
+    Failures other than an unknown rule are left to other checks.
     """
     return [
-        one
-        for one in asked
-        if one.rule is not None
-        and one.status in (SERVED, NO_RULE)
-        and (one.is_allowed() or one.rule.must_be_unknown(one.asked_s))
-        and disruptions.is_in_touch(one.host, one.asked_s, one.ended_s)
+        request
+        for request in requests
+        if request.rule is not None
+        and request.status in (SERVED_STATUS, NO_RULE_STATUS)
+        and (request.is_allowed() or request.rule.must_be_absent(request.sent_s))
+        and disruptions.is_undisrupted(request.host, request.sent_s, request.ended_s)
     ]
 
 
-def late_rules(asked: Sequence[Asked], disruptions: Disruptions) -> list[str]:
-    """Return a line for each request that a host in touch handled by an old version."""
+def find_stale_versions(
+    requests: Sequence[SentRequest], disruptions: Disruptions
+) -> list[str]:
+    """Return a line for each request that an undisrupted host handled by old rules."""
     return [
-        f"CONFIG: {one.id} through {one.host} at {one.asked_s:.3f} got {one.status}"
-        f" for {one.rule.path}, {_story(one.rule)}"
-        for one in bound_in_time(asked, disruptions)
-        if one.rule is not None and one.status != _right_status(one)
+        f"CONFIG: {request.id} through {request.host} at {request.sent_s:.3f}"
+        f" got {request.status}"
+        f" for {request.rule.path}, {_rule_history(request.rule)}"
+        for request in requests_with_known_outcome(requests, disruptions)
+        if request.rule is not None and request.status != _expected_status(request)
     ]
 
 
-def _right_status(asked: Asked) -> int:
-    return SERVED if asked.is_allowed() else NO_RULE
+def _expected_status(request: SentRequest) -> int:
+    return SERVED_STATUS if request.is_allowed() else NO_RULE_STATUS
 
 
-def older_after_newer(asked: Sequence[Asked]) -> list[str]:
-    """Return a line for each request that met an older version than one before."""
-    by_host: dict[str, list[Asked]] = defaultdict(list)
-    for one in asked:
-        if one.rule is not None and one.status in (SERVED, NO_RULE):
-            by_host[one.host].append(one)
-    return [line for one in by_host.values() for line in _on_host(one)]
+def find_version_regressions(requests: Sequence[SentRequest]) -> list[str]:
+    """Return a line for each request handled by an older version than one before it."""
+    by_host: dict[str, list[SentRequest]] = defaultdict(list)
+    for request in requests:
+        if request.rule is not None and request.status in (
+            SERVED_STATUS,
+            NO_RULE_STATUS,
+        ):
+            by_host[request.host].append(request)
+    return [
+        line
+        for host_requests in by_host.values()
+        for line in _find_host_regressions(host_requests)
+    ]
 
 
-def _on_host(asked: list[Asked]) -> Iterable[str]:
-    """Yield where a request was sent after the answer that showed a newer version."""
-    by_end = sorted(asked, key=lambda one: one.ended_s)
+def _find_host_regressions(requests: list[SentRequest]) -> Iterable[str]:
+    """Yield a line for each request of one host that shows an older version.
+
+    Only requests sent after the response that showed the newer version count.
+    """
+    by_end = sorted(requests, key=lambda request: request.ended_s)
     shown, seen = 0, 0
-    for one in sorted(asked, key=lambda one: one.asked_s):
-        while seen < len(by_end) and by_end[seen].ended_s < one.asked_s:
-            shown = max(shown, _least_version(by_end[seen]))
+    for request in sorted(requests, key=lambda request: request.sent_s):
+        while seen < len(by_end) and by_end[seen].ended_s < request.sent_s:
+            shown = max(shown, _min_version(by_end[seen]))
             seen += 1
-        below = _version_above(one)
+        below = _version_above(request)
         if below is not None and below <= shown:
             yield (
-                f"OLDER: {one.id} through {one.host} at {one.asked_s:.3f} got"
-                f" {one.status} as before version {below}, after version {shown}"
+                f"OLDER: {request.id} through {request.host} at {request.sent_s:.3f}"
+                f" got {request.status} as before version {below},"
+                f" after version {shown}"
             )
 
 
-def _least_version(asked: Asked) -> int:
-    """Return the least version that a host must have had to answer so."""
-    if asked.rule is None or asked.status != SERVED:
+def _min_version(request: SentRequest) -> int:
+    """Return the lowest version with which a host can have responded so."""
+    if request.rule is None or request.status != SERVED_STATUS:
         return 0
-    return asked.rule.added.number
+    return request.rule.added.number
 
 
-def _version_above(asked: Asked) -> int | None:
-    """Return the version below which a host must have been to answer so."""
-    rule = asked.rule
+def _version_above(request: SentRequest) -> int | None:
+    """Return the lowest version with which a host can't have responded so."""
+    rule = request.rule
     if rule is None:
         return None
-    if asked.status == SERVED:
+    if request.status == SERVED_STATUS:
         return rule.removed.number if rule.removed is not None else None
-    # Without the rule: before it was added, unless its removal was under way.
-    may_be_removed = rule.removed is not None and rule.removed.sent_s <= asked.ended_s
+    # The host did not have the rule: its version was older than the rule, unless the
+    # rule's removal may have been in force already.
+    may_be_removed = rule.removed is not None and rule.removed.sent_s <= request.ended_s
     return None if may_be_removed else rule.added.number
 
 
-def _story(rule: AddedRule) -> str:
-    story = f"added by {rule.added.number} at {rule.added.acknowledged_s:.3f}"
+def _rule_history(rule: AddedRule) -> str:
+    history = f"added by {rule.added.number} at {rule.added.acknowledged_s:.3f}"
     if rule.removed is not None:
         removed = rule.removed
-        story += f", removed by {removed.number} at {removed.acknowledged_s:.3f}"
-    return story
+        history += f", removed by {removed.number} at {removed.acknowledged_s:.3f}"
+    return history
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed: the real programs under faults from outside."""
+"""A short soak with fixed seeds: the real programs with injected faults."""
 
 import os
 import subprocess
@@ -6,8 +6,8 @@
 
 import pytest
 
-LIMIT_S = 150.0
-"""For hangs only; a seed takes 35 s."""
+TIMEOUT_S = 150.0
+"""A limit for hangs; a seed takes 35 s."""
 
 
 @pytest.mark.parametrize(
@@ -17,11 +17,11 @@
 def test_no_promise_is_broken_under_random_faults(
     seed: int, faults_s: int, growth: str
 ) -> None:
-    """Hosts, servers and the store are killed, paused and cut off from each other.
+    """Hosts and servers are killed, processes paused and links between them cut.
 
-    Seed 1 lets the list of rules grow to thousands as well, and restarts all hosts.
+    Seed 1 also lets the list of rules grow to thousands, and restarts all hosts.
     """
-    played = subprocess.run(
+    result = subprocess.run(
         [
             *(sys.executable, "-m", "soak", "--first", str(seed), "--seeds", "1"),
             *(
@@ -34,7 +34,7 @@
         ],
         capture_output=True,
         text=True,
-        timeout=LIMIT_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
-    assert played.returncode == 0, played.stdout + played.stderr
+    assert result.returncode == 0, result.stdout + result.stderr
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -1,13 +1,13 @@
-"""What the soak sees and what it excuses, for rules that operators add and remove."""
+"""The soak's checks of added and removed rules."""
 
 from math import inf
 
 import pytest
 from soak._added_rules import AddedRule, RulesVersion
-from soak._checks import Asked, unserved
-from soak._disruptions import STORE, Disruptions, way_of
+from soak._checks import SentRequest, check_recovery
+from soak._disruptions import STORE, Disruptions, link_of
 from soak._operators import MOST_RULES
-from soak._rule_checks import late_rules, older_after_newer
+from soak._rule_checks import find_stale_versions, find_version_regressions
 
 from gentianwharf.platform import decode_configuration
 from gentianwharf.platform.standin import MOST_VALUE_BYTES, configuration
@@ -16,53 +16,55 @@
 REMOVED = RulesVersion(number=8, sent_s=19.0, acknowledged_s=20.0)
 
 
-def asked(
+def sent_request(
     *, at_s: float, status: int, rule: AddedRule, took_s: float = 0.1, host: str = "h"
-) -> Asked:
-    return Asked(
+) -> SentRequest:
+    return SentRequest(
         id="rule-1",
         host=host,
         may_repeat=True,
-        asked_s=at_s,
+        sent_s=at_s,
         rule=rule,
         ended_s=at_s + took_s,
         status=status,
-        is_whole=True,
+        is_complete=True,
     )
 
 
-def standing() -> AddedRule:
+def added_rule() -> AddedRule:
     return AddedRule(path="/added/", added=ADDED)
 
 
-def dropped() -> AddedRule:
+def removed_rule() -> AddedRule:
     return AddedRule(path="/dropped/", added=ADDED, removed=REMOVED)
 
 
-class Disrupted:
-    """Spans of time in which something is disrupted."""
+class DisruptionSite:
+    """Disruptions with the given spans of time, on a clock that a test can set."""
 
     def __init__(self, **spans_s: tuple[float, float]) -> None:
         self.now_s = 0.0
-        self.noted = Disruptions(now_s=lambda: self.now_s)
-        for what, (begun_s, ended_s) in spans_s.items():
+        self.disruptions = Disruptions(now_s=lambda: self.now_s)
+        for subject, (begun_s, ended_s) in spans_s.items():
             self.now_s = begun_s
-            self.noted.begin(what)
+            self.disruptions.begin(subject)
             if ended_s != inf:
                 self.now_s = ended_s
-                self.noted.end(what)
+                self.disruptions.end(subject)
 
 
-CALM = Disrupted().noted
+NO_DISRUPTIONS = DisruptionSite().disruptions
 
 
 def test_a_rule_that_was_acknowledged_long_ago_is_served() -> None:
-    """Callers got 404 for rules that operators had added.
+    """Callers receive 404 for rules that operators have added.
 
-    The store acknowledged a list of 819 rules; every host refused it because a model
-    of its own took 500 at the most, and went on with the list of before.
+    The store acknowledged a list of 819 rules, but every host rejected it, since one
+    of its models accepted at most 500, and kept the previous list in force.
     """
-    found = late_rules([asked(at_s=12.1, status=404, rule=standing())], CALM)
+    found = find_stale_versions(
+        [sent_request(at_s=12.1, status=404, rule=added_rule())], NO_DISRUPTIONS
+    )
     assert found == [
         "CONFIG: rule-1 through h at 12.100 got 404 for /added/, added by 5 at 10.000"
     ]
@@ -70,88 +72,100 @@
 
 @pytest.mark.parametrize("at_s", [9.5, 11.9])
 def test_a_rule_may_be_unknown_until_its_bound(at_s: float) -> None:
-    assert not late_rules([asked(at_s=at_s, status=404, rule=standing())], CALM)
+    assert not find_stale_versions(
+        [sent_request(at_s=at_s, status=404, rule=added_rule())], NO_DISRUPTIONS
+    )
 
 
 def test_a_rule_may_be_unknown_once_its_removal_is_under_way() -> None:
-    before = asked(at_s=18.8, status=404, rule=dropped())
-    crossing = asked(at_s=18.95, status=404, rule=dropped())
-    assert late_rules([before], CALM)
-    assert not late_rules([crossing], CALM)
+    before = sent_request(at_s=18.8, status=404, rule=removed_rule())
+    crossing = sent_request(at_s=18.95, status=404, rule=removed_rule())
+    assert find_stale_versions([before], NO_DISRUPTIONS)
+    assert not find_stale_versions([crossing], NO_DISRUPTIONS)
 
 
 def test_a_removed_rule_is_served_no_more_after_its_bound() -> None:
-    late = asked(at_s=22.1, status=200, rule=dropped())
-    assert late_rules([late], CALM)
-    assert not late_rules([asked(at_s=21.9, status=200, rule=dropped())], CALM)
+    late = sent_request(at_s=22.1, status=200, rule=removed_rule())
+    assert find_stale_versions([late], NO_DISRUPTIONS)
+    assert not find_stale_versions(
+        [sent_request(at_s=21.9, status=200, rule=removed_rule())], NO_DISRUPTIONS
+    )
 
 
 def test_a_rule_that_was_never_acknowledged_has_no_bound() -> None:
     version = RulesVersion(number=5, sent_s=9.0)
     rule = AddedRule(path="/added/", added=version)
-    assert not late_rules([asked(at_s=99.0, status=404, rule=rule)], CALM)
+    assert not find_stale_versions(
+        [sent_request(at_s=99.0, status=404, rule=rule)], NO_DISRUPTIONS
+    )
 
 
-@pytest.mark.parametrize("what", ["h", way_of("h"), STORE])
-def test_a_host_has_time_to_catch_up_after_a_disruption(what: str) -> None:
-    disruptions = Disrupted(**{what: (11.0, 12.0)}).noted
-    assert not late_rules([asked(at_s=14.9, status=404, rule=standing())], disruptions)
-    assert late_rules([asked(at_s=15.1, status=404, rule=standing())], disruptions)
+@pytest.mark.parametrize("subject", ["h", link_of("h"), STORE])
+def test_a_host_has_time_to_catch_up_after_a_disruption(subject: str) -> None:
+    disruptions = DisruptionSite(**{subject: (11.0, 12.0)}).disruptions
+    assert not find_stale_versions(
+        [sent_request(at_s=14.9, status=404, rule=added_rule())], disruptions
+    )
+    assert find_stale_versions(
+        [sent_request(at_s=15.1, status=404, rule=added_rule())], disruptions
+    )
 
 
 def test_a_disruption_that_lasts_excuses_its_host_alone() -> None:
-    disruptions = Disrupted(h=(11.0, inf)).noted
-    one = asked(at_s=50.0, status=404, rule=standing())
-    other = asked(at_s=50.0, status=404, rule=standing(), host="other")
-    assert not late_rules([one], disruptions)
-    assert late_rules([other], disruptions)
+    disruptions = DisruptionSite(h=(11.0, inf)).disruptions
+    one = sent_request(at_s=50.0, status=404, rule=added_rule())
+    other = sent_request(at_s=50.0, status=404, rule=added_rule(), host="other")
+    assert not find_stale_versions([one], disruptions)
+    assert find_stale_versions([other], disruptions)
 
 
 def test_a_disruption_that_begins_anew_while_it_lasts_is_one() -> None:
-    disrupted = Disrupted(h=(11.0, inf))
-    disrupted.now_s = 12.0
-    disrupted.noted.begin("h")
-    disrupted.now_s = 13.0
-    disrupted.noted.end("h")
-    disrupted.noted.end("h")
-    assert not disrupted.noted.is_in_touch("h", 15.9, 16.5)
-    assert disrupted.noted.is_in_touch("h", 16.1, 16.5)
+    site = DisruptionSite(h=(11.0, inf))
+    site.now_s = 12.0
+    site.disruptions.begin("h")
+    site.now_s = 13.0
+    site.disruptions.end("h")
+    site.disruptions.end("h")
+    assert not site.disruptions.is_undisrupted("h", 15.9, 16.5)
+    assert site.disruptions.is_undisrupted("h", 16.1, 16.5)
 
 
 def test_a_host_does_not_go_back_to_before_a_rule_was_added() -> None:
-    """Also where hosts are out of touch: what a host has shown, it knows."""
-    shown = asked(at_s=10.0, status=200, rule=standing())
-    back = asked(at_s=10.2, status=404, rule=standing())
-    assert older_after_newer([shown, back]) == [
+    """A host returns to an older version, which also a disrupted host must not do."""
+    shown = sent_request(at_s=10.0, status=200, rule=added_rule())
+    back = sent_request(at_s=10.2, status=404, rule=added_rule())
+    assert find_version_regressions([shown, back]) == [
         "OLDER: rule-1 through h at 10.200 got 404 as before version 5, after version 5"
     ]
 
 
 def test_a_host_does_not_go_back_to_before_a_rule_was_removed() -> None:
     newer = RulesVersion(number=9, sent_s=21.0, acknowledged_s=22.0)
-    shown = asked(at_s=21.5, status=200, rule=AddedRule(path="/newer/", added=newer))
-    back = asked(at_s=21.7, status=200, rule=dropped())
-    assert older_after_newer([back, shown])
+    shown = sent_request(
+        at_s=21.5, status=200, rule=AddedRule(path="/newer/", added=newer)
+    )
+    back = sent_request(at_s=21.7, status=200, rule=removed_rule())
+    assert find_version_regressions([back, shown])
 
 
 def test_answers_that_may_come_from_one_version_are_no_way_back() -> None:
-    shown = asked(at_s=10.0, status=200, rule=standing())
-    crossing = asked(at_s=10.05, status=404, rule=standing())
-    elsewhere = asked(at_s=10.2, status=404, rule=standing(), host="other")
-    removed = asked(at_s=19.5, status=404, rule=dropped())
-    assert not older_after_newer([shown, crossing, elsewhere, removed])
+    shown = sent_request(at_s=10.0, status=200, rule=added_rule())
+    crossing = sent_request(at_s=10.05, status=404, rule=added_rule())
+    elsewhere = sent_request(at_s=10.2, status=404, rule=added_rule(), host="other")
+    removed = sent_request(at_s=19.5, status=404, rule=removed_rule())
+    assert not find_version_regressions([shown, crossing, elsewhere, removed])
 
 
 def test_rules_that_must_be_served_count_for_the_recovery() -> None:
-    """After a restart of all hosts none had rules: each request was refused."""
-    refused = asked(at_s=30.0, status=503, rule=standing())
-    assert unserved([refused], from_s=25.0)
+    """After a restart of all hosts none has rules, and every request is refused."""
+    refused = sent_request(at_s=30.0, status=503, rule=added_rule())
+    assert check_recovery([refused], from_s=25.0)
 
 
 def test_rules_that_may_be_unknown_do_not_count_for_the_recovery() -> None:
-    served = asked(at_s=30.0, status=200, rule=standing())
-    removed = asked(at_s=30.0, status=404, rule=dropped())
-    assert not unserved([served, removed], from_s=25.0)
+    served = sent_request(at_s=30.0, status=200, rule=added_rule())
+    removed = sent_request(at_s=30.0, status=404, rule=removed_rule())
+    assert not check_recovery([served, removed], from_s=25.0)
 
 
 def test_the_longest_list_fits_into_a_value_of_the_store() -> None:
--- a/tests/test_soak_operators.py
+++ b/tests/test_soak_operators.py
@@ -1,10 +1,10 @@
-"""The soak's operators: each version is in the store before the next one is sent."""
+"""The soak's operators write each version to the store before they send the next."""
 
 from random import Random
 from typing import Any, cast
 
 import msgspec
-from soak._operators import MOST_RULES, RETRY_S, Operators
+from soak._operators import MOST_RULES, RETRY_INTERVAL_S, Operators
 from soak._schedule import Schedule
 from twisted.internet.task import Clock
 
@@ -15,8 +15,8 @@
 from gentianwharf.store import Change, Item, Store
 
 
-class StoreThatLosesAnswers:
-    """Takes changes; the first ``lost`` answers to them do not come."""
+class ResponseLosingStore:
+    """A store that applies changes and drops the first ``lost`` responses to them."""
 
     def __init__(self, *, items: Items, lost: int = 0) -> None:
         self.items = items
@@ -39,13 +39,13 @@
 
 
 class Site:
-    """Operators before a store in memory."""
+    """Operators with a store in memory."""
 
     def __init__(self, *, lost: int = 0) -> None:
         self.clock: Any = Clock()
         items = Items(now_s=self.clock.seconds)
         items.change(Change(puts=(configuration(1),)))
-        self.store = StoreThatLosesAnswers(items=items, lost=lost)
+        self.store = ResponseLosingStore(items=items, lost=lost)
         self.operators = Operators(
             reactor=self.clock,
             store=cast(Store, self.store),
@@ -83,13 +83,16 @@
 
 
 def test_a_change_whose_answer_was_lost_is_acknowledged_once_it_is_read() -> None:
-    """The store has taken it: sent again it would meet its own condition for ever."""
+    """A change is retried for ever although the store has applied it.
+
+    Sent again, it would conflict with the revision that it wrote itself.
+    """
     site = Site(lost=1)
     site.operators.add(300, 0)
     version = site.operators.newest[0].added
-    assert not version.is_due(100.0)
-    site.clock.advance(RETRY_S)
-    assert version.acknowledged_s == RETRY_S
+    assert not version.must_be_in_force(100.0)
+    site.clock.advance(RETRY_INTERVAL_S)
+    assert version.acknowledged_s == RETRY_INTERVAL_S
     assert site.store.changes == 1
     assert len(site.paths()) == 300
 
@@ -99,7 +102,7 @@
     site.operators.add(300, 0)
     site.operators.add(1, 0)
     assert len(site.operators.rules) == 300
-    site.clock.advance(RETRY_S)
+    site.clock.advance(RETRY_INTERVAL_S)
     assert len(site.operators.rules) == 301
 
 
