--- a/tests/builders_loadtool.py
+++ b/tests/builders_loadtool.py
@@ -1,4 +1,4 @@
-"""Builders of planned requests and answers, and a server that answers like a router."""
+"""Builders of planned requests and responses, and a server that acts as a router."""
 
 import sys
 from collections import Counter
@@ -28,7 +28,7 @@
 
 
 def received(**changes: Any) -> ReceivedResponse:
-    """Return a right answer to ``request()``; ``fields`` changes its JSON."""
+    """Return a correct response to ``request()``; ``fields`` changes its JSON."""
     fields: dict[str, Any] = {
         "service": "calendrier",
         "server": "calendrier-3",
@@ -37,14 +37,14 @@
         "request_id": "id-1",
         "runs": 1,
     } | changes.pop("fields", {})
-    answer: dict[str, Any] = {
+    response: dict[str, Any] = {
         "status": 200,
         "content_type": "application/json",
         "request_id": "id-1",
         "body": msgspec.json.encode(fields),
         "complete": True,
     }
-    return ReceivedResponse(**(answer | changes))
+    return ReceivedResponse(**(response | changes))
 
 
 def planned(rate_per_s: float, duration_s: float) -> list[PlannedRequest]:
@@ -54,8 +54,11 @@
     )
 
 
-class AnsweringResource(Resource):
-    """Answers like the router before a stand-in server."""
+class RouterResource(Resource):
+    """Responds like a router in front of a stand-in server.
+
+    With ``crossed`` all responses have the same request id.
+    """
 
     isLeaf = True
 
@@ -63,15 +66,15 @@
         super().__init__()
         self._numbers = count()
         self._crossed = crossed
-        self._keys: Counter[bytes] = Counter()
+        self._runs: Counter[bytes] = Counter()
 
     def render(self, request: Request) -> bytes:
-        """Answer any method with the stand-in's JSON."""
+        """Respond to any method with the stand-in's JSON."""
         parts = request.path.decode().strip("/").split("/")
         number = 0 if self._crossed else next(self._numbers)
         request_id = f"id-{number}"
-        run_key = request.getHeader(b"idempotency-key") or b"%d" % number
-        self._keys[run_key] += 1
+        idempotency_key = request.getHeader(b"idempotency-key") or b"%d" % number
+        self._runs[idempotency_key] += 1
         request.setHeader(b"Content-Type", b"application/json")
         request.setHeader(b"Gentianwharf-Request-Id", request_id.encode())
         return msgspec.json.encode(
@@ -81,14 +84,14 @@
                 "key": parts[1],
                 "token": 1,
                 "request_id": request_id,
-                "runs": self._keys[run_key],
+                "runs": self._runs[idempotency_key],
             }
         )
 
 
 def main() -> None:
-    """Serve on a free loopback port, print it, and end after a minute at most."""
-    site = Site(AnsweringResource(crossed="crossed" in sys.argv))
+    """Serve on a free loopback port, print the port, and stop after a minute."""
+    site = Site(RouterResource(crossed="crossed" in sys.argv))
     reactor: Any = default_reactor
     port = reactor.listenTCP(0, site, interface="127.0.0.1")
     print(port.getHost().port, flush=True)
--- a/tests/builders_processes.py
+++ b/tests/builders_processes.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 START_TIMEOUT_S = 30.0
-STEP_S = 0.05
+POLL_INTERVAL_S = 0.05
 SITES = {"lac": "ancien", "charguia": "nouveau", "ariana": "nouveau"}
 THREE_DOMAINS = ("lac-1", "charguia-1", "ariana-1")
 HOST_PORTS = ("callers", "admin", "peer")
@@ -26,17 +26,17 @@
 
 
 FIRST_PORT, PORT_COUNT = 20_000, 12_000
-# Test processes that run at a time begin at different places.
+# Test processes that run at the same time start at different ports.
 _PORTS = (
     FIRST_PORT + (os.getpid() * 97 + number) % PORT_COUNT for number in count_from(0)
 )
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens on, each handed out once.
+    """Return ports on which nothing listens, each of them only once.
 
-    They lie below the range from which the kernel takes ports of outgoing
-    connections: one of those could take a port before its program listens on it.
+    They lie below the kernel's range of ephemeral ports, since an outgoing connection
+    could otherwise take a port before the program that is to listen on it.
     """
     ports: list[int] = []
     while len(ports) < count:
@@ -49,19 +49,22 @@
 def wait_until(
     condition: Any, *, description: str, timeout_s: float = START_TIMEOUT_S
 ) -> Any:
-    """Poll until ``condition()`` is true and return it; the limit is for hangs only."""
+    """Poll until ``condition()`` is true and return its result.
+
+    The time-out only ends tests that hang.
+    """
     end_s = time.monotonic() + timeout_s
     while time.monotonic() < end_s:
         result = condition()
         if result:
             return result
-        # A poll of another process's state, not a claim on its speed.
-        sleep(STEP_S)
+        # The interval is for polling another process only; no test depends on it.
+        sleep(POLL_INTERVAL_S)
     raise AssertionError(f"waited {timeout_s} s in vain for {description}")
 
 
 def sleep(seconds: float) -> None:
-    """Wait without holding the processor."""
+    """Wait without using the CPU."""
     with suppress(TimeoutError), socket.socketpair()[0] as quiet:
         quiet.settimeout(seconds)
         quiet.recv(1)
@@ -69,7 +72,7 @@
 
 @dataclass
 class Reply:
-    """A caller's answer."""
+    """The response that a caller received."""
 
     status: int
     headers: dict[str, str]
@@ -78,7 +81,7 @@
 
 @dataclass
 class Deployment:
-    """Store, backend servers, and a daemon for each of ``hosts``."""
+    """A store, backend servers, and a daemon for each of ``hosts``."""
 
     directory: Path
     ports: dict[str, int]
@@ -86,7 +89,7 @@
     processes: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
 
     def start(self, name: str, *command: str) -> None:
-        """Start a program of this package."""
+        """Start a Python module as a program, with its output in a log file."""
         log = (self.directory / f"{name}.log").open("ab")
         self.processes[name] = subprocess.Popen(
             [sys.executable, "-m", *command],
@@ -112,12 +115,12 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a program at once."""
+        """Kill a program and wait until it has ended."""
         self.send(name, signal.SIGKILL)
         self.processes[name].wait()
 
     def log(self, name: str) -> str:
-        """Return what a program wrote."""
+        """Return the output of a program."""
         return (self.directory / f"{name}.log").read_text()
 
     def request(
@@ -135,11 +138,11 @@
         )
         try:
             connection.request(method, path, body=body, headers=headers or {})
-            answer = connection.getresponse()
-            raw = answer.read()
-            fields = {name.lower(): value for name, value in answer.getheaders()}
+            response = connection.getresponse()
+            raw = response.read()
+            fields = {name.lower(): value for name, value in response.getheaders()}
             parsed = json.loads(raw) if raw else None
-            return Reply(status=answer.status, headers=fields, body=parsed)
+            return Reply(status=response.status, headers=fields, body=parsed)
         finally:
             connection.close()
 
@@ -149,34 +152,36 @@
         return int(pages) * os.sysconf("SC_PAGE_SIZE")
 
     def state(self, host: str) -> dict[str, Any]:
-        """Return what a host's admin port shows, nothing while it does not answer."""
-        return self._admin(host, "/state")
+        """Return the state from a host's admin port, empty if it does not respond."""
+        return self._get_admin(host, "/state")
 
     def rule_status_hosts(self, host: str) -> list[str]:
-        """Return the hosts that one asks when it is to tell who has which rules."""
-        return [one["host"] for one in self._admin(host, "/rules/hosts")["hosts"]]
+        """Return the hosts that ``host`` queries for the rules that they have."""
+        return [
+            status["host"] for status in self._get_admin(host, "/rules/hosts")["hosts"]
+        ]
 
-    def _admin(self, host: str, path: str) -> dict[str, Any]:
+    def _get_admin(self, host: str, path: str) -> dict[str, Any]:
         address = f"http://127.0.0.1:{self.ports[f'{host}-admin']}{path}"
         try:
-            with urllib.request.urlopen(address, timeout=START_TIMEOUT_S) as answer:
-                told: dict[str, Any] = json.load(answer)
+            with urllib.request.urlopen(address, timeout=START_TIMEOUT_S) as response:
+                fields: dict[str, Any] = json.load(response)
         except OSError:
             return {}
-        return told
+        return fields
 
     def clear_known_hosts(self, host: str) -> None:
-        """Take the fellow hosts out of a host's settings."""
+        """Remove the other hosts from a host's settings."""
         path = self.directory / f"{host}.jsonc"
         settings = json.loads(path.read_text())
         path.write_text(json.dumps(settings | {"known_hosts": []}))
 
     def list_as_leaving(self, host: str) -> None:
-        """Have the platform's list show a host as leaving."""
+        """List a host as leaving in the platform's host list, and restart the list."""
         path = self.directory / "hosts.json"
         listed = json.loads(path.read_text())
-        for one in listed:
-            one["leaving"] = one["leaving"] or one["id"] == host
+        for listed_host in listed:
+            listed_host["leaving"] = listed_host["leaving"] or listed_host["id"] == host
         path.write_text(json.dumps(listed))
         if "host-list" in self.processes:
             self.kill("host-list")
@@ -194,7 +199,7 @@
         )
 
     def get_if_served(self, host: str, path: str) -> Reply | None:
-        """Return the reply if it is a server's, else None."""
+        """Return the reply if its status is 200, else None."""
         try:
             reply = self.request(host, path)
         except OSError:
@@ -202,7 +207,7 @@
         return reply if reply.status == 200 else None
 
     def stop(self) -> None:
-        """End every program."""
+        """Kill every program."""
         for process in self.processes.values():
             with suppress(ProcessLookupError):
                 process.kill()
@@ -214,14 +219,14 @@
 
 
 def domain_of(host: str) -> str:
-    """Return the failure domain of a host, which its id begins with."""
+    """Return the failure domain of a host, which is the prefix of its id."""
     return host.rpartition("-")[0]
 
 
 def _settings(
     ports: dict[str, int], hosts: tuple[str, ...], host: str
 ) -> dict[str, Any]:
-    domains = tuple(domain_of(one) for one in hosts)
+    domains = tuple(domain_of(name) for name in hosts)
     servers = {
         service: [
             {
@@ -311,8 +316,8 @@
 
 @contextmanager
 def deployment(hosts: tuple[str, ...] = THREE_DOMAINS) -> Iterator[Deployment]:
-    """Run store, six backend servers and the hosts' daemons as separate processes."""
-    listening = [f"{host}-{what}" for host in hosts for what in HOST_PORTS]
+    """Run a store, six backend servers and the hosts' daemons as separate processes."""
+    listening = [f"{host}-{port}" for host in hosts for port in HOST_PORTS]
     names = ["store", "host-list", *_servers(), *listening]
     ports = dict(zip(names, free_ports(len(names)), strict=True))
     with tempfile.TemporaryDirectory() as name:
@@ -344,7 +349,7 @@
 
 
 def _start_all(running: Deployment) -> None:
-    # Apart, so that a test can stop the one and leave the other.
+    # Two processes, so that a test can stop one of them and keep the other.
     for name in ("store", "host-list"):
         running.start_platform(name)
     for server in _servers():
--- a/tests/test_loadtool_judge.py
+++ b/tests/test_loadtool_judge.py
@@ -1,4 +1,4 @@
-"""Judging of answers: whole, and its own request's."""
+"""Checks of responses: complete, and belonging to their requests."""
 
 from typing import Any
 
@@ -57,10 +57,10 @@
 
 
 def test_crossed_answers_of_one_key_show_in_the_request_id() -> None:
-    """Two families ask for one faculty and both get the first one's answer.
+    """Two callers request the same key and both receive the first one's response.
 
-    The bodies differ in the request id alone, so that service and key look right;
-    only the id that comes a second time tells.
+    The bodies differ only in the request id, so that service and key are as expected;
+    only the duplicate id shows the fault.
     """
     tally = LoadTally()
     for _ in range(2):
--- a/tests/test_loadtool_plan.py
+++ b/tests/test_loadtool_plan.py
@@ -1,4 +1,4 @@
-"""The plan: seeded, Poisson, Zipf, in the mix's shares."""
+"""Plans: reproducible, with Poisson arrivals, Zipf keys and the shares of the mix."""
 
 from collections import Counter
 
@@ -29,12 +29,12 @@
 
 
 def test_parts_together_are_the_plan() -> None:
-    """Four processes send a load of which a fourth is missing, or sent twice."""
-    whole = planned(500, 2)
+    """Four processes leave out a part of the plan, or send one twice."""
+    complete = planned(500, 2)
     parts = [
-        list(Part(number=number, count=4).select(whole)) for number in (1, 2, 3, 4)
+        list(Part(number=number, count=4).select(complete)) for number in (1, 2, 3, 4)
     ]
-    assert sorted(sum(parts, []), key=lambda one: one.number) == whole
+    assert sorted(sum(parts, []), key=lambda request: request.number) == complete
     assert max(map(len, parts)) - min(map(len, parts)) <= 1
 
 
--- a/tests/test_loadtool_run.py
+++ b/tests/test_loadtool_run.py
@@ -1,4 +1,4 @@
-"""Runs: coordinated omission, bounds, and the command against real sockets."""
+"""Runs: coordinated omission, limits, and the command with real sockets."""
 
 import json
 import subprocess
@@ -35,20 +35,20 @@
 
 @final
 class SlowSender:
-    """Answers after a time; the first request stalls."""
+    """Responds after ``normal_s``, and to the first request after ``stall_s``."""
 
     def __init__(self, *, clock: Clock, stall_s: float, normal_s: float) -> None:
         self._clock = clock
-        self._times_s = iter([stall_s])
+        self._stalls_s = iter([stall_s])
         self._normal_s = normal_s
         self._sent = 0
 
     async def send(self, planned: PlannedRequest) -> ReceivedResponse:
-        """Answer when its time has come."""
-        answered: Deferred[None] = Deferred()
-        delay_s = next(self._times_s, self._normal_s)
-        self._clock.callLater(delay_s, answered.callback, None)
-        await answered
+        """Respond after the request's delay."""
+        responded: Deferred[None] = Deferred()
+        delay_s = next(self._stalls_s, self._normal_s)
+        self._clock.callLater(delay_s, responded.callback, None)
+        await responded
         self._sent += 1
         request_id = f"id-{self._sent}"
         return received(request_id=request_id, fields={"request_id": request_id})
@@ -56,10 +56,10 @@
 
 @final
 class UnreachableSender:
-    """Reaches nobody."""
+    """A sender that can't connect."""
 
     async def send(self, planned: PlannedRequest) -> ReceivedResponse:
-        """Fail at once."""
+        """Fail immediately."""
         raise SendError("refused", verdict=Verdict.NOT_CONNECTED)
 
 
@@ -74,10 +74,10 @@
 
 
 def test_a_stall_counts_for_every_request_that_was_due_in_it() -> None:
-    """A server stalls for a second; the report calls one request in 100 slow.
+    """A server stalls for a second, and the report shows one slow request in 100.
 
-    One connection is busy, the requests due meanwhile wait for it, and are timed
-    from when they are sent: the stall shows once instead of for all of them.
+    The only connection is busy, and the requests due meanwhile wait for it. If they
+    are timed from when they are sent, the stall shows for one request only.
     """
     clock = Clock()
     tally = run(clock, SlowSender(clock=clock, stall_s=1.0, normal_s=0.001), count=100)
@@ -118,7 +118,7 @@
 
 
 @contextmanager
-def answering(*arguments: str) -> Iterator[str]:
+def running_server(*arguments: str) -> Iterator[str]:
     command = [sys.executable, "-m", "tests.builders_loadtool", *arguments]
     with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as process:
         assert process.stdout is not None
@@ -140,7 +140,7 @@
 
 
 def test_command_reports_what_callers_received() -> None:
-    with answering() as target:
+    with running_server() as target:
         result = command(target, "--json")
     assert result.returncode == 0, result.stderr
     report = json.loads(result.stdout)
@@ -150,18 +150,19 @@
 
 
 def test_second_run_of_a_seed_repeats_no_idempotency_key() -> None:
-    """A second run right after the first reports answers of another's request.
+    """A second run right after the first reports responses to other requests.
 
-    Both sent the same keys, and the router gave the kept answers of the first run.
+    Both sent the same keys, and the router returned its cached responses to the first
+    run.
     """
-    with answering() as target:
+    with running_server() as target:
         for _ in range(2):
             result = command(target)
             assert result.returncode == 0, result.stdout
 
 
 def test_command_finds_crossed_answers() -> None:
-    with answering("crossed") as target:
+    with running_server("crossed") as target:
         result = command(target)
     assert result.returncode == 1, result.stderr
     assert "another request's answer" in result.stdout
@@ -193,7 +194,7 @@
 
 
 def test_merged_report_counts_every_part_once() -> None:
-    """A run in two processes is reported by the faster one's percentiles."""
+    """A run in two processes is reported with the percentiles of the faster one."""
     merged = merge_reports(
         [part_report(1, elapsed_s=0.001), part_report(2, elapsed_s=0.1)]
     )
@@ -218,7 +219,7 @@
 
 def test_command_merges_the_reports_of_its_parts(tmp_path: Path) -> None:
     files = [tmp_path / "1.json", tmp_path / "2.json"]
-    with answering() as target:
+    with running_server() as target:
         for number, path in enumerate(files, start=1):
             result = command(target, "--part", f"{number}/2", "--json")
             path.write_text(result.stdout)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes: store, servers, daemons."""
+"""End-to-end tests with store, servers and daemons as separate processes."""
 
 import http.client
 import json
@@ -23,16 +23,16 @@
 
 @pytest.fixture
 def running() -> Iterator[Deployment]:
-    with deployment() as one:
-        wait_for_service(one)
-        yield one
+    with deployment() as started:
+        wait_for_service(started)
+        yield started
 
 
 @pytest.fixture
 def one_domain() -> Iterator[Deployment]:
-    with deployment(ONE_DOMAIN) as one:
-        wait_for_service(one)
-        yield one
+    with deployment(ONE_DOMAIN) as started:
+        wait_for_service(started)
+        yield started
 
 
 def wait_for_service(running: Deployment) -> None:
@@ -43,8 +43,8 @@
             ),
             description=f"{host} to serve",
         )
-        # A witness without a memory confirms nothing: an outage that begins before
-        # the domain's witnesses have theirs is another story than the tests'.
+        # A witness without a memory confirms nothing. The tests do not cover an
+        # outage that begins before the witnesses of the domain have a memory.
         wait_until(
             lambda host=host: running.state(host).get("witness_has_memory"),
             description=f"{host} to be a witness with a memory",
@@ -70,28 +70,28 @@
 def test_key_of_a_killed_server_is_served_again_and_only_elsewhere(
     running: Deployment,
 ) -> None:
-    """A faculty's page is gone with its server, and comes back from another one."""
-    lost = owner(running, "lac-1", KEYS[0])
-    assert lost is not None
-    running.kill(lost)
-    found = {
+    """A key is unavailable when its server is killed, until another server owns it."""
+    killed = owner(running, "lac-1", KEYS[0])
+    assert killed is not None
+    running.kill(killed)
+    owners = {
         host: wait_until(
             lambda host=host: owner(running, host, KEYS[0]),
             description=f"a new owner, seen from {host}",
         )
         for host in THREE_DOMAINS
     }
-    assert len(set(found.values())) == 1
-    assert lost not in found.values()
+    assert len(set(owners.values())) == 1
+    assert killed not in owners.values()
 
 
 def test_frozen_server_that_returns_runs_nothing_for_its_former_keys(
     running: Deployment,
 ) -> None:
-    """Two servers take reservations for one faculty.
+    """Two servers run requests for the same key.
 
-    The owner freezes with a request in its socket buffer; its shard is given to
-    another server; the owner returns and reads the request as if nothing happened.
+    The owner is paused with a request in its socket buffer, and its shard is granted
+    to another server. The former owner resumes, reads the request and runs it.
     """
     frozen = owner(running, "lac-1", KEYS[0])
     assert frozen is not None
@@ -109,8 +109,8 @@
     assert new != frozen
     running.send(frozen, signal.SIGCONT)
     sender.join()
-    # Either it was never handed to the frozen server, or what became of it is said
-    # to be unknown; the returned server must not have run it.
+    # Either the request was never sent to the paused server, or its outcome is
+    # reported as unknown; the resumed server must not have run it.
     assert buffered[0].body.get("server") != frozen
     for host in THREE_DOMAINS:
         assert owner(running, host, KEYS[0]) == new
@@ -120,11 +120,11 @@
 def test_store_outage_with_a_restart_in_it_loses_no_key(
     one_domain: Deployment, knows_hosts: bool
 ) -> None:
-    """A failure domain is cut off from the platform, and an entry host restarts in it.
+    """An entry host restarts while its failure domain is cut off from the platform.
 
-    The restarted host remembers nothing, and neither the store nor the host list
-    answers; the two others of its domain, which its settings name or which write to
-    it, tell it the rules and the table, and confirm them.
+    The restarted host has no state, and neither the store nor the host list responds.
+    The two other hosts of its domain, which its settings name or which connect to it,
+    send it the rules and the table, and confirm them.
     """
     running = one_domain
     before = {key: owner(running, "lac-2", key) for key in KEYS}
@@ -166,12 +166,12 @@
 
 
 GIB = 1024**3
-MOST_GROWTH_BYTES = 64 * 1024**2
-PIECE = bytes(1024**2)
+MAX_GROWTH_BYTES = 64 * 1024**2
+CHUNK = bytes(1024**2)
 
 
 def test_large_bodies_pass_without_being_gathered(running: Deployment) -> None:
-    """One upload of photos takes all the memory of a small host without a disk."""
+    """A buffered upload exhausts the memory of a small host that has no disk."""
     running.request("lac-1", "/inscription/a", method="POST", body=b"x")
     before = running.resident_bytes("lac-1")
     connection = http.client.HTTPConnection(
@@ -181,8 +181,8 @@
     connection.putheader("Content-Length", str(GIB))
     connection.endheaders()
     highest = before
-    for _ in range(GIB // len(PIECE)):
-        connection.send(PIECE)
+    for _ in range(GIB // len(CHUNK)):
+        connection.send(CHUNK)
         highest = max(highest, running.resident_bytes("lac-1"))
     answer = json.loads(connection.getresponse().read())
     assert answer["body_bytes"] == GIB
@@ -190,20 +190,21 @@
     connection.request("GET", f"/inscription/download?bytes={GIB}")
     download = connection.getresponse()
     received = 0
-    while piece := download.read(len(PIECE)):
-        received += len(piece)
+    while chunk := download.read(len(CHUNK)):
+        received += len(chunk)
         highest = max(highest, running.resident_bytes("lac-1"))
     assert received == GIB
-    assert highest - before < MOST_GROWTH_BYTES
+    assert highest - before < MAX_GROWTH_BYTES
 
 
 def test_host_listed_as_leaving_serves_until_it_is_stopped(
     one_domain: Deployment,
 ) -> None:
-    """The platform lists an entry host as leaving, some seconds before it is stopped.
+    """An entry host that is listed as leaving refuses every keyed request.
 
-    The balancer still sends to it. Its fellow hosts closed their links to it, its right
-    to send lapsed unanswered, and it refused every keyed request meanwhile.
+    The platform lists it some seconds before it stops it, and the load balancer still
+    sends requests to it. The other hosts closed their links to it, so that it could
+    not renew its right to send.
     """
     leaving, *others = ONE_DOMAIN
     one_domain.list_as_leaving(leaving)
@@ -212,7 +213,7 @@
             lambda host=host: leaving not in one_domain.rule_status_hosts(host),
             description=f"{host} to read the list",
         )
-    # Longer than a right lasts: what is served now is served under a new one.
+    # Longer than a right to send lasts: from now on requests need a renewed right.
     sleep(1.0)
     for key in KEYS:
         wait_until(
--- a/tests/test_standin_main.py
+++ b/tests/test_standin_main.py
@@ -1,4 +1,4 @@
-"""The stand-in as a process of its own, frozen, killed and misused."""
+"""The stand-ins as separate processes: paused, killed and with invalid arguments."""
 
 import os
 import signal
@@ -21,9 +21,9 @@
 
 @pytest.fixture
 def loop() -> Iterator[Loop]:
-    made = Loop()
-    yield made
-    made.close()
+    created = Loop()
+    yield created
+    created.close()
 
 
 @pytest.fixture
@@ -41,18 +41,19 @@
 
 def _url(process: subprocess.Popen[str]) -> str:
     assert process.stdout is not None
-    what, address = process.stdout.readline().split()
-    assert what == "store"
+    name, address = process.stdout.readline().split()
+    assert name == "store"
     return f"http://{address}"
 
 
 def test_store_process_frozen_and_killed(
     loop: Loop, store_process: subprocess.Popen[str]
 ) -> None:
-    """The store's process freezes, returns, and is then lost.
+    """The store's process is paused, resumed, and then killed.
 
-    While it is frozen its kernel still takes connections and bytes, so a write may
-    take effect on its return: unknown. After its death nobody listens: no effect.
+    While it is paused the kernel still accepts connections and data, so a write may
+    take effect once it resumes: the outcome is unknown. After it is killed nothing
+    listens on the port, so a request has no effect.
     """
     url = _url(store_process)
     store = HttpStore(reactor=loop.reactor, url=url, call_timeout_s=0.5)
@@ -64,9 +65,9 @@
     with pytest.raises(OutcomeUnknownError):
         loop.run(store.compare_and_swap("a", b"2", expected_revision=1))
     store_process.send_signal(signal.SIGCONT)
-    found = loop.run(store.get("a"))
-    assert found is not None
-    assert found.value == b"2"
+    stored = loop.run(store.get("a"))
+    assert stored is not None
+    assert stored.value == b"2"
 
     store_process.kill()
     store_process.wait()
@@ -76,7 +77,7 @@
 
 
 def test_all_serves_everything_around_a_daemon(loop: Loop, tmp_path: Path) -> None:
-    # The whole of 127/8 is loopback: an address of its own keeps the example's ports.
+    # All of 127/8 is loopback: a separate address allows the ports of the example.
     ip = f"127.{os.getpid() % 250 + 1}.{os.getpid() // 250 % 250}.1"
     text = (EXAMPLES / "tunis" / "settings.jsonc").read_text()
     path = tmp_path / "settings.jsonc"
@@ -92,7 +93,7 @@
         store = HttpStore(reactor=loop.reactor, url=settings.platform.store_url)
         assert loop.run(store.get("a")) is None
         hosts = HttpHostList(reactor=loop.reactor, url=settings.platform.hosts_url)
-        assert [one.id for one in loop.run(hosts.read())] == [settings.host.id]
+        assert [host.id for host in loop.run(hosts.read())] == [settings.host.id]
         control = HttpBackendControl(reactor=loop.reactor)
         for service in services_of(settings):
             for server in service.servers:
@@ -113,8 +114,8 @@
     ],
 )
 def test_mistake_in_arguments_exits_2(arguments: list[str], expected: str) -> None:
-    done = subprocess.run(
+    result = subprocess.run(
         [*COMMAND, *arguments], capture_output=True, text=True, check=False, timeout=60
     )
-    assert done.returncode == 2
-    assert expected in done.stderr
+    assert result.returncode == 2
+    assert expected in result.stderr
