--- a/src/gentianwharf/daemon/_observer.py
+++ b/src/gentianwharf/daemon/_observer.py
@@ -4,7 +4,7 @@
 
 from gentianwharf.logs import log
 from gentianwharf.metrics import Answer, Decision, Recorder, RunStatus
-from gentianwharf.relay import Problem, ResponseRecord
+from gentianwharf.relay import AccessRecord, Problem
 
 
 class RecordingObserver:
@@ -17,11 +17,11 @@
         self._domain = domain
         self._now_s = now_s
 
-    def record_response(self, answered: ResponseRecord) -> None:
+    def record_response(self, answered: AccessRecord) -> None:
         """Record an answer."""
         ticket = answered.ticket
         refused = answered.reason if answered.run is RunStatus.NOT_RUN else None
-        self._recorder.answered(
+        self._recorder.record_answer(
             Answer(
                 service=ticket.service,
                 request_class=ticket.request_class,
@@ -39,7 +39,7 @@
         if refused is None and answered.run is not RunStatus.UNKNOWN:
             self._sample(answered)
             return
-        self._recorder.decide(self._decision(answered, refused))
+        self._recorder.record_decision(self._decision(answered, refused))
         if answered.run is RunStatus.UNKNOWN:
             log.warning(
                 "answer is unknown: {}",
@@ -53,7 +53,7 @@
 
     def record_refusal(self, request_id: str, problem: Problem) -> None:
         """Keep why a request was refused before a rule decided on it."""
-        self._recorder.decide(
+        self._recorder.record_decision(
             Decision(
                 request_id=request_id,
                 at_s=self._now_s(),
@@ -68,13 +68,13 @@
             )
         )
 
-    def _sample(self, answered: ResponseRecord) -> None:
+    def _sample(self, answered: AccessRecord) -> None:
         # Building a decision costs as much as counting the answer: draw first.
         ring = self._recorder.decisions
-        if ring.wants_ordinary():
+        if ring.should_sample():
             ring.add_sampled(self._decision(answered, None))
 
-    def _decision(self, answered: ResponseRecord, refused: str | None) -> Decision:
+    def _decision(self, answered: AccessRecord, refused: str | None) -> Decision:
         ticket = answered.ticket
         return Decision(
             request_id=ticket.request_id,
--- a/tests/test_relay_repeats.py
+++ b/tests/test_relay_repeats.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.builders_relay import Script, answer, request, running_relay
+from tests.builders_relay import Script, request, response, running_relay
 
 KEY = "Idempotency-Key: dues-7\r\n"
 
@@ -14,7 +14,7 @@
     count = iter(range(1, 100))
 
     def run(connection: socket.socket, head: bytes) -> None:
-        connection.sendall(answer(b"run %d" % next(count)))
+        connection.sendall(response(b"run %d" % next(count)))
 
     return run
 
@@ -25,36 +25,36 @@
 
 def shedding(connection: socket.socket, head: bytes) -> None:
     extra = "Gentianwharf-Run: not-run\r\n"
-    connection.sendall(answer(b"", status="503 Shed", extra=extra))
+    connection.sendall(response(b"", status="503 Shed", extra=extra))
 
 
 def post(path: str = "/plain/dues", headers: str = KEY) -> bytes:
     return request("POST", path, headers=headers, body=b"5 USD")
 
 
-def test_repeated_request_gets_the_first_one_s_answer() -> None:
-    """A widow is charged twice.
+def test_repeated_request_gets_the_response_to_the_first() -> None:
+    """Guards against charging twice.
 
-    A treasurer's client lost the answer to a posting and posts again with the same
-    idempotency key; the server has no memory of keys.
+    A client lost the response to a posting and sends it again with the same idempotency
+    key. The server does not store keys.
     """
     with running_relay([numbered()]) as relay:
-        answers = [relay.ask(post()) for _ in range(3)]
+        responses = [relay.send(post()) for _ in range(3)]
         assert len(relay.servers[0].heads) == 1
-    assert all(one.endswith(b"run 1") for one in answers)
+    assert all(received.endswith(b"run 1") for received in responses)
 
 
-def test_repeated_request_joins_the_one_in_flight() -> None:
+def test_repeated_request_waits_for_the_one_in_flight() -> None:
     release = threading.Event()
 
     def slow(connection: socket.socket, head: bytes) -> None:
         release.wait(5)
-        connection.sendall(answer(b"once"))
+        connection.sendall(response(b"once"))
 
-    answers: list[bytes] = []
+    responses: list[bytes] = []
     with running_relay([slow]) as relay:
         callers = [
-            threading.Thread(target=lambda: answers.append(relay.ask(post())))
+            threading.Thread(target=lambda: responses.append(relay.send(post())))
             for _ in range(3)
         ]
         for caller in callers:
@@ -63,7 +63,7 @@
         for caller in callers:
             caller.join()
         assert len(relay.servers[0].heads) == 1
-    assert [one.endswith(b"once") for one in answers] == [True] * 3
+    assert [received.endswith(b"once") for received in responses] == [True] * 3
 
 
 @pytest.mark.parametrize(
@@ -82,19 +82,19 @@
         ),
     ],
 )
-def test_another_request_is_not_taken_for_a_repeated_one(
+def test_different_request_is_not_treated_as_repeated(
     first: bytes, second: bytes, status: int, requests: int
 ) -> None:
     with running_relay([numbered()]) as relay:
-        relay.ask(first)
-        assert relay.ask(second).startswith(b"HTTP/1.1 %d " % status)
+        relay.send(first)
+        assert relay.send(second).startswith(b"HTTP/1.1 %d " % status)
         assert len(relay.servers[0].heads) == requests
 
 
-def test_request_whose_outcome_is_unknown_is_not_sent_again() -> None:
+def test_request_with_an_unknown_outcome_is_not_sent_again() -> None:
     with running_relay([closing, numbered()]) as relay:
-        assert b'"unknown"' in relay.ask(post())
-        again = relay.ask(post())
+        assert b'"unknown"' in relay.send(post())
+        again = relay.send(post())
         assert len(relay.servers[0].heads) == 1
     assert again.startswith(b"HTTP/1.1 409 ")
     assert b'"unknown"' in again
@@ -102,5 +102,5 @@
 
 def test_request_that_was_not_run_may_be_sent_again() -> None:
     with running_relay([shedding, shedding, shedding, numbered()]) as relay:
-        assert b'"not-run"' in relay.ask(post())
-        assert relay.ask(post()).endswith(b"run 1")
+        assert b'"not-run"' in relay.send(post())
+        assert relay.send(post()).endswith(b"run 1")
