--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -34,10 +34,10 @@
 """Importing takes about 1 s and starting up another, more on a busy machine."""
 
 RECOVER_S = 12.0
-"""Time from the end of all faults; the platform's operators allow 15 s."""
+"""Time to recover after the last fault; the platform's operators allow 15 s."""
 
 QUIET_S = 3.0
-END_S = 1.0
+PROCESS_EXIT_S = 1.0
 REQUESTS_PER_S = 60.0
 FIRST_NET = 100
 
@@ -89,8 +89,8 @@
         addresses=deployment.addresses(),
         operators=operators,
     )
-    # Each kind of fault has its own generator, so that a seed gives the same faults of
-    # one kind whatever is drawn for another.
+    # Each kind of fault has its own generator, so that the numbers drawn for one kind
+    # do not change those drawn for another.
     faults = Faults(
         deployment=deployment, operators=operators, schedule=schedule, rng=Random(seed)
     )
@@ -119,7 +119,7 @@
         deployment.stop()
         reactor.removeSystemEventTrigger(shutdown_trigger)
         # The next run listens on the same addresses, which must be free by then.
-        await deferLater(reactor, END_S)
+        await deferLater(reactor, PROCESS_EXIT_S)
     (logs / "faults.txt").write_text("\n".join(schedule.records) + "\n")
     violations = (
         find_violations(callers.requests, deployment.runs)
--- a/soak/_deployment.py
+++ b/soak/_deployment.py
@@ -17,8 +17,8 @@
 from ._processes import Line, Program
 from ._proxy import LinkFault, Proxy
 
-HOSTS = 4
-KEYED_SERVERS, UNKEYED_SERVERS = 5, 3
+HOST_COUNT = 4
+KEYED_SERVER_COUNT, UNKEYED_SERVER_COUNT = 5, 3
 STANDIN = ("-m", "gentianwharf.platform.standin")
 RESTART_DELAY_S = 0.3
 SERVER_PORT, PROXY_PORT, STORE_PORT, OPERATORS_PORT = 8400, 8300, 8384, 8385
@@ -37,9 +37,10 @@
         self.programs: dict[str, Program] = {}
         self.ended: list[Program] = []
         self.proxies: dict[str, Proxy] = {}
-        self.hosts = [f"host-{number}" for number in range(HOSTS)]
+        self.hosts = [f"host-{number}" for number in range(HOST_COUNT)]
         self.servers = [
-            f"server-{number}" for number in range(KEYED_SERVERS + UNKEYED_SERVERS)
+            f"server-{number}"
+            for number in range(KEYED_SERVER_COUNT + UNKEYED_SERVER_COUNT)
         ]
         self.disruptions = Disruptions(now_s=reactor.seconds)
         self.operators_address = f"127.{net}.0.1:{OPERATORS_PORT}"
@@ -104,7 +105,7 @@
 
     def _start_server(self, name: str) -> None:
         number = self.servers.index(name)
-        service = KEYED if number < KEYED_SERVERS else UNKEYED
+        service = KEYED if number < KEYED_SERVER_COUNT else UNKEYED
         arguments = [
             *(*STANDIN, "backend", name, service, f"{self._ip(name)}:{SERVER_PORT}"),
             *("--domain", "abc"[number % 3], "--slots", "4", "--work-ms", "30"),
--- a/soak/_operators.py
+++ b/soak/_operators.py
@@ -27,7 +27,7 @@
 
 @final
 class Operators:
-    """Change the rules version by version, each retried until the store has it."""
+    """Writes versions of the rules in order, each retried until the store has it."""
 
     def __init__(
         self, *, reactor: Any, store: Store, schedule: Schedule, rng: Random
--- a/src/gentianwharf/loadtool/_check_response.py
+++ b/src/gentianwharf/loadtool/_check_response.py
@@ -53,7 +53,7 @@
 def check_response(request: PlannedRequest, received: ReceivedResponse) -> CheckResult:
     """Check a response against its request."""
     if not received.complete:
-        return CheckResult(verdict=Verdict.BROKEN, reason="ended before its length")
+        return CheckResult(verdict=Verdict.BROKEN, reason="truncated body")
     if not received.content_type.startswith(("application/json", "application/prob")):
         return CheckResult(
             verdict=Verdict.BROKEN,
--- a/src/gentianwharf/loadtool/_sender.py
+++ b/src/gentianwharf/loadtool/_sender.py
@@ -79,7 +79,7 @@
         try:
             return await response
         except (defer.TimeoutError, CancelledError) as error:
-            raise SendError("limit passed", verdict=Verdict.TIMEOUT) from error
+            raise SendError("timed out", verdict=Verdict.TIMEOUT) from error
         except PeerUnavailableError as error:
             raise SendError(str(error), verdict=Verdict.NOT_CONNECTED) from error
         except Exception as error:
--- a/src/gentianwharf/loadtool/_tally.py
+++ b/src/gentianwharf/loadtool/_tally.py
@@ -83,7 +83,7 @@
         if result.request_id in self._request_ids:
             return CheckResult(
                 verdict=Verdict.WRONG_ANSWER,
-                reason=f"request id {result.request_id} came twice",
+                reason=f"duplicate request id {result.request_id}",
             )
         self._request_ids.add(result.request_id)
         return result
--- a/tests/builders_processes.py
+++ b/tests/builders_processes.py
@@ -60,7 +60,7 @@
             return result
         # The interval is for polling another process only; no test depends on it.
         sleep(POLL_INTERVAL_S)
-    raise AssertionError(f"waited {timeout_s} s in vain for {description}")
+    raise AssertionError(f"timed out after {timeout_s} s waiting for {description}")
 
 
 def sleep(seconds: float) -> None:
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -113,9 +113,9 @@
 
 def test_a_disruption_that_lasts_excuses_its_host_alone() -> None:
     disruptions = DisruptionSite(h=(11.0, inf)).disruptions
-    one = sent_request(at_s=50.0, status=404, rule=added_rule())
+    excused = sent_request(at_s=50.0, status=404, rule=added_rule())
     other = sent_request(at_s=50.0, status=404, rule=added_rule(), host="other")
-    assert not find_stale_versions([one], disruptions)
+    assert not find_stale_versions([excused], disruptions)
     assert find_stale_versions([other], disruptions)
 
 
--- a/tests/test_soak_operators.py
+++ b/tests/test_soak_operators.py
@@ -31,7 +31,7 @@
         try:
             revision = self.items.change(change)
         except ConditionError as error:
-            raise ConflictError("another one wrote", step="kv-txn", peer="s") from error
+            raise ConflictError("revision differs", step="kv-txn", peer="s") from error
         if self.lost:
             self.lost -= 1
             raise OutcomeUnknownError("no answer", step="kv-txn", peer="s")
