--- a/src/gentianwharf/entryhost/_rules.py
+++ b/src/gentianwharf/entryhost/_rules.py
@@ -12,7 +12,7 @@
 from gentianwharf.runs import RunStatus
 from gentianwharf.store import Item
 
-NO_RULES_YET = Problem(
+NO_RULES = Problem(
     status=503,
     title="this host has just started and knows no rules yet",
     run=RunStatus.NOT_RUN,
@@ -20,7 +20,7 @@
     step="match",
 )
 
-UNREAD_RULE = Problem(
+UNREADABLE_RULE = Problem(
     status=503,
     title="this host can't read the rule for this request",
     run=RunStatus.NOT_RUN,
@@ -28,16 +28,19 @@
     retry_after_s=1.0,
     step="match",
 )
-"""Another host, of a later release, may serve it at once; where none can, callers come
-back for nothing, but are not told for good that their request is wrong."""
+"""Another host with a later release may be able to serve the request. If none can,
+retries are useless, but callers do not conclude that their request is invalid."""
 
-MOST_SHOWN_PARTS = 5
-"""Unread parts that one line names; the metric counts them all."""
+MAX_LOGGED_PARTS = 5
+"""Maximum number of unreadable parts in a log line; the metric counts all of them."""
 
 
 @final
 class RulesInForce:
-    """Matches with the newest configuration; an older one never replaces it."""
+    """Matches requests with the newest configuration that could be applied.
+
+    An older version never replaces a newer one.
+    """
 
     def __init__(self, *, now_s: Callable[[], float]) -> None:
         self.configuration: Configuration | None = None
@@ -45,7 +48,7 @@
         self._rules: RuleSet | None = None
         self._unread_rules: frozenset[str] = frozenset()
         self._now_s = now_s
-        self._behind_since_s: float | None = None
+        self._refused_since_s: float | None = None
 
     @property
     def version(self) -> int:
@@ -53,37 +56,38 @@
         return self.configuration.version if self.configuration else 0
 
     def refused_s(self) -> float:
-        """Return for how long a newer configuration is known and not in force.
+        """Return for how long a newer configuration has been received and not in force.
 
-        Without it a host that refuses what all others have in force can't be told from
-        one that has not heard of it.
+        It distinguishes a host that refuses the rules that all others have in force
+        from one that has not received them.
         """
-        if self._behind_since_s is None:
+        if self._refused_since_s is None:
             return 0.0
-        return self._now_s() - self._behind_since_s
+        return self._now_s() - self._refused_since_s
 
     def unread(self) -> int:
-        """Return how many parts of the configuration in force can't be read."""
+        """Return the number of unreadable parts of the configuration in force."""
         return len(self.configuration.unread) if self.configuration else 0
 
     def note_item(self, item: Item | None) -> None:
-        """Follow the configuration in the store; what doesn't fit changes nothing."""
+        """Apply the configuration in the store; an invalid one changes nothing."""
         if item is None:
             return
-        if self._behind_since_s is None:
-            # Until it is in force, whatever keeps it from that: a refusal, or a fault.
-            self._behind_since_s = self._now_s()
+        if self._refused_since_s is None:
+            # Set until the configuration is in force, whether it is refused or an error
+            # occurs.
+            self._refused_since_s = self._now_s()
         try:
             configuration = decode_configuration(item.value)
         except InputError as error:
             self._log_refused(item, error)
             return
-        known = self.configuration
-        if known is None or configuration.version > known.version:
-            self._put_in_force(configuration, item)
-        self._behind_since_s = None
+        current = self.configuration
+        if current is None or configuration.version > current.version:
+            self._activate(configuration, item)
+        self._refused_since_s = None
 
-    def _put_in_force(self, configuration: Configuration, item: Item) -> None:
+    def _activate(self, configuration: Configuration, item: Item) -> None:
         self._rules = RuleSet(
             document=configuration.document,
             revision=item.revision,
@@ -101,14 +105,14 @@
     def _log_unread(self, configuration: Configuration) -> None:
         if not configuration.unread:
             return
-        shown = "; ".join(
-            f"{one.part}: {one.reason}"
-            for one in configuration.unread[:MOST_SHOWN_PARTS]
+        details = "; ".join(
+            f"{problem.part}: {problem.reason}"
+            for problem in configuration.unread[:MAX_LOGGED_PARTS]
         )
         log.error(
             "configuration in force but for {} parts: {}",
             len(configuration.unread),
-            shown,
+            details,
             extra={"version": configuration.version},
         )
 
@@ -125,21 +129,21 @@
         )
 
     def match(self, facts: RequestFacts) -> RuleMatch | None:
-        """Return what the first matching rule says; ``Problem`` without one to go by.
+        """Return the match of the first matching rule, or None if no rule matches.
 
-        A host that has just started knows no rules yet, which is not the same as
-        that no rule matches: its callers should come back.
+        Raises ``Problem`` if the host has no rules yet or cannot read the rule: callers
+        should retry in both cases, unlike after a request that no rule matches.
         """
         if self._rules is None:
-            raise replace(NO_RULES_YET)
+            raise replace(NO_RULES)
         match = self._rules.match(facts)
         if match is not None and match.rule.name in self._unread_rules:
-            raise replace(UNREAD_RULE)
+            raise replace(UNREADABLE_RULE)
         return match
 
     def with_service(self, match: RuleMatch, service: str) -> RuleMatch:
         """Return ``match`` with another service of its rule's split."""
-        assert self._rules is not None, "a match comes from rules"
+        assert self._rules is not None, "a match requires rules"
         return self._rules.with_service(match, service)
 
 
--- a/tests/test_entryhost_callers_port.py
+++ b/tests/test_entryhost_callers_port.py
@@ -1,4 +1,4 @@
-"""Callers that come while a host starts."""
+"""Callers that connect while a host starts."""
 
 import socket
 from collections.abc import Callable, Iterator
@@ -13,10 +13,10 @@
 from gentianwharf.entryhost._callers_port import CallersPort
 from tests.builders_relay import running_reactor
 
-ASKED = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class _Served(Resource):
+class _ServedResource(Resource):
     isLeaf = True  # noqa: N815
 
     def render_GET(self, request: Request) -> bytes:  # noqa: N802
@@ -25,9 +25,9 @@
 
 @pytest.fixture
 def listener() -> Iterator[socket.socket]:
-    made = open_port("127.0.0.1:0")
-    yield made
-    made.close()
+    opened = open_port("127.0.0.1:0")
+    yield opened
+    opened.close()
 
 
 def in_reactor(call: Callable[[], Any]) -> Any:
@@ -38,7 +38,7 @@
     return CallersPort(
         address="127.0.0.1:0",
         listener=listener,
-        site=Site(_Served()),
+        site=Site(_ServedResource()),
         can_serve=can_serve,
         reactor=running_reactor(),
     )
@@ -46,16 +46,17 @@
 
 def ask(address: tuple[str, int]) -> socket.socket:
     caller = socket.create_connection(address, timeout=5.0)
-    caller.sendall(ASKED)
+    caller.sendall(REQUEST)
     return caller
 
 
-def test_caller_that_comes_before_the_host_is_loaded_is_served(
+def test_caller_that_connects_before_the_host_is_loaded_is_served(
     listener: socket.socket,
 ) -> None:
-    """All hosts lose power, and for two seconds every caller is reset.
+    """Guards against connections that are reset while a host loads its modules.
 
-    Half a second of that is the loading of modules, with nobody listening.
+    After a power loss of all hosts every caller was reset for two seconds. For half a
+    second of that time, modules were being loaded and no socket was listening.
     """
     with ask(listener.getsockname()) as caller:
         port = callers_port(listener, lambda: True)
@@ -64,26 +65,28 @@
         in_reactor(port.stop)
 
 
-@pytest.mark.parametrize("learns", [True, False], ids=["rules-come", "rules-stay-away"])
-def test_callers_wait_for_the_rules_but_not_for_long(
-    listener: socket.socket, learns: bool
+@pytest.mark.parametrize(
+    "receives_rules", [True, False], ids=["rules-come", "rules-stay-away"]
+)
+def test_callers_wait_a_limited_time_for_the_rules(
+    listener: socket.socket, receives_rules: bool
 ) -> None:
-    """A host has just started and refuses all who come in its first moment."""
-    looked: list[float] = []
+    """Guards against a restarted host that refuses requests before it has its rules."""
+    polled_s: list[float] = []
 
     def can_serve() -> bool:
-        looked.append(running_reactor().seconds())
-        return learns and len(looked) > 3
+        polled_s.append(running_reactor().seconds())
+        return receives_rules and len(polled_s) > 3
 
     with ask(listener.getsockname()) as caller:
         port = callers_port(listener, can_serve)
         in_reactor(port.start)
         assert b"served" in caller.recv(1000)
         in_reactor(port.stop)
-    assert len(looked) > 3
+    assert len(polled_s) > 3
 
 
-def test_host_that_stops_before_it_let_anybody_in_listens_no_more(
+def test_host_that_stops_before_accepting_closes_its_listener(
     listener: socket.socket,
 ) -> None:
     address = listener.getsockname()
--- a/tests/test_entryhost_host_list.py
+++ b/tests/test_entryhost_host_list.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from gentianwharf.entryhost._host_list import WRITE_EVERY_S
-from gentianwharf.entryhost._roster import FORGOTTEN_S
+from gentianwharf.entryhost._host_list import WRITE_INTERVAL_S
+from gentianwharf.entryhost._membership import REMOVE_AFTER_S
 from gentianwharf.entryhost._store_keys import HOSTS_KEY
 from tests.builders_entryhost import Fleet
 
@@ -13,7 +13,7 @@
 @pytest.fixture
 def fleet(monkeypatch: pytest.MonkeyPatch) -> Fleet:
     fleet = Fleet(monkeypatch, hosts=HOSTS)
-    fleet.run(4 + 2 * WRITE_EVERY_S)
+    fleet.run(4 + 2 * WRITE_INTERVAL_S)
     return fleet
 
 
@@ -27,42 +27,45 @@
     assert listed(fleet) == HOSTS
 
 
-def test_list_is_written_only_where_it_changes(fleet: Fleet) -> None:
-    """Each write is paid, and told to all hosts."""
-    for one in fleet.hosts:
-        one.way.calls.clear()
-    fleet.run(10 * WRITE_EVERY_S)
-    assert [one.way.calls.count("change") for one in fleet.hosts] == [0] * HOSTS
+def test_list_is_written_only_when_it_changes(fleet: Fleet) -> None:
+    """Guards against needless writes: each is paid for and sent to all hosts."""
+    for host in fleet.hosts:
+        host.store.calls.clear()
+    fleet.run(10 * WRITE_INTERVAL_S)
+    assert [host.store.calls.count("change") for host in fleet.hosts] == [0] * HOSTS
 
 
-def test_host_that_is_gone_for_good_is_listed_no_more(fleet: Fleet) -> None:
-    gone = fleet.follower()
-    gone.control.stop()
-    fleet.hosts.remove(gone)
-    fleet.net.cut.add(gone.address)
-    fleet.run(FORGOTTEN_S + 3 * WRITE_EVERY_S)
+def test_host_that_does_not_return_is_removed_from_the_list(fleet: Fleet) -> None:
+    removed = fleet.follower()
+    removed.coordinator.stop()
+    fleet.hosts.remove(removed)
+    fleet.net.cut.add(removed.address)
+    fleet.run(REMOVE_AFTER_S + 3 * WRITE_INTERVAL_S)
     assert listed(fleet) == HOSTS - 1
 
 
 @pytest.mark.parametrize("value", [b"", b"{}", b"[[1]]"])
-def test_list_that_can_t_be_read_is_written_anew(fleet: Fleet, value: bytes) -> None:
+def test_unreadable_list_is_written_again(fleet: Fleet, value: bytes) -> None:
     fleet.write(HOSTS_KEY, value)
-    fleet.run(2 * WRITE_EVERY_S)
+    fleet.run(2 * WRITE_INTERVAL_S)
     assert listed(fleet) == HOSTS
 
 
-def test_host_that_has_just_started_reaches_all_others_when_it_leads(
+def test_restarted_host_reaches_all_others_as_leader(
     fleet: Fleet,
 ) -> None:
-    """It knew nobody, and hosts that are turned away waited for a former leader."""
+    """Guards against a restarted leader that has no contact with the other hosts.
+
+    Hosts whose calls the store refuses kept waiting for updates of the previous leader.
+    """
     former = fleet.leader()
-    fresh = fleet.restart(fleet.follower(), is_turned_away=False)
+    restarted = fleet.restart(fleet.follower(), refuses_calls=False)
     fleet.run(0.1)
-    for one in fleet.hosts:
-        one.way.is_turned_away = one is not fresh
+    for host in fleet.hosts:
+        host.store.refuses_calls = host is not restarted
     fleet.net.cut.add(former.address)
     fleet.run(4)
     fleet.list_server("i-1")
     fleet.run(2)
-    others = [one for one in fleet.hosts if one is not former]
-    assert [one.servers() for one in others] == [["i-1"]] * (HOSTS - 1)
+    others = [host for host in fleet.hosts if host is not former]
+    assert [host.servers() for host in others] == [["i-1"]] * (HOSTS - 1)
--- a/tests/test_entryhost_servers.py
+++ b/tests/test_entryhost_servers.py
@@ -1,4 +1,4 @@
-"""What a host knows of a backend server follows what the store says of it."""
+"""A host's view of a backend server follows the server's entry in the store."""
 
 from dataclasses import replace
 from random import Random
@@ -32,51 +32,52 @@
 @pytest.fixture
 def host() -> EntryHost:
     clock: Any = Clock()
-    made = EntryHost(
+    host = EntryHost(
         settings=decode_host_settings(SETTINGS, peer="test"), reactor=clock
     )
-    note_configuration(made, revision=1)
-    note_entry(made, revision=2)
-    return made
+    note_configuration(host, revision=1)
+    note_entry(host, revision=2)
+    return host
 
 
 def note_configuration(host: EntryHost, *, revision: int, **services: Any) -> None:
     value = configuration(version=f"r{revision}", **services)
     item = Item(key=CONFIG_KEY, value=value, revision=revision, lease_id=0)
-    host._control.rules.note_item(item)
+    host._coordinator.rules.note_item(item)
 
 
 def note_entry(host: EntryHost, *, revision: int, **fields: Any) -> None:
     key = SERVERS_PREFIX + SERVER_ID
     value = server_entry(**({"service": "seats"} | fields))
     item = Item(key=key, value=value, revision=revision, lease_id=0)
-    host._control.directory.note_item(key, item)
+    host._coordinator.directory.note_item(key, item)
 
 
-def test_server_born_again_at_another_address_is_reached_there(host: EntryHost) -> None:
-    """Every request to one server fails, on all hosts that knew it before.
+def test_server_restarted_at_another_address_is_reached_there(host: EntryHost) -> None:
+    """Guards against connecting to the former address of a restarted server.
 
-    It starts again under its id, elsewhere. Hosts list its new address and go on
-    connecting to the one of before; those that have just started reach it.
+    The server restarts elsewhere under the same id. Hosts listed its new address but
+    kept connecting to the former one; only restarted hosts reached it.
     """
     note_entry(host, revision=3, address="10.128.0.77:8080", born=1_780_000_009_000)
     assert host.relay.connections[SERVER_ID].server.address == "10.128.0.77:8080"
 
 
-def test_connections_follow_what_operators_allow(host: EntryHost) -> None:
-    """Operators lower a service's connections, and its servers reset what is beyond.
+def test_connections_follow_the_configured_limit(host: EntryHost) -> None:
+    """Guards against more connections to a server than operators allow.
 
-    Hosts that knew a server before go on opening as many as they were allowed then.
+    After operators lowered the limit, hosts kept the former one, and the servers reset
+    the excess connections.
     """
-    host._control._note_hosts(2)
+    host._coordinator._set_host_count(2)
     assert host.relay.connections[SERVER_ID].max_connections == 65
     seats = {"max-connections": 10}
     note_configuration(host, revision=4, services={"seats": seats, "calendar": seats})
     assert host.relay.connections[SERVER_ID].max_connections == 5
 
 
-def test_gate_follows_what_a_listed_server_is() -> None:
-    """A server that was born again with more slots gets as little as it did before."""
+def test_gate_follows_changes_of_a_listed_server() -> None:
+    """Guards against a restarted server that is used with its former slots."""
     registry = Registry(
         services=[service(servers=0)],
         classes=[],
@@ -95,7 +96,7 @@
     assert pool.limit.maximum == 8.0
 
 
-def at_another_address(server: BackendServer) -> BackendServer:
+def with_another_address(server: BackendServer) -> BackendServer:
     return replace(server, address="10.128.0.77:8080")
 
 
@@ -114,23 +115,23 @@
 
 
 def test_connections_to_a_former_address_are_closed(pool: ServerConnectionPool) -> None:
-    """A request reaches another server, which has the address by now."""
-    taken = Deferred.fromCoroutine(pool.acquire())
+    """Guards against requests to another server that now has the former address."""
+    connection = Deferred.fromCoroutine(pool.acquire())
     connected(pool)
-    taken.addCallback(pool.release)
+    connection.addCallback(pool.release)
     assert len(pool.idle()) == 1
-    pool.update_server(at_another_address(pool.server))
+    pool.update_server(with_another_address(pool.server))
     assert pool.idle() == ()
 
 
-def test_connection_that_comes_after_a_move_is_not_used(
+def test_connection_made_after_an_address_change_is_not_used(
     pool: ServerConnectionPool,
 ) -> None:
-    """The same, of a connection that was being made while its server moved."""
-    taken = Deferred.fromCoroutine(pool.acquire())
+    """Guards against the same through a connection that was being established."""
+    connection = Deferred.fromCoroutine(pool.acquire())
     failed: list[Failure] = []
-    taken.addErrback(failed.append)
-    pool.update_server(at_another_address(pool.server))
+    connection.addErrback(failed.append)
+    pool.update_server(with_another_address(pool.server))
     connected(pool)
     assert failed
     assert failed[0].check(PeerUnavailableError)
@@ -138,28 +139,30 @@
 
 
 @pytest.mark.parametrize("services", [20, 40])
-def test_new_rules_look_at_each_server_once(host: EntryHost, services: int) -> None:
-    """A host stands still for seconds when a configuration has many services.
+def test_new_configuration_scans_all_servers_once(
+    host: EntryHost, services: int
+) -> None:
+    """Guards against blocking a host by a configuration with many services.
 
-    Each of them had all listed servers looked through, those of the others as well:
-    1,219 services with a server each took 4.3 s.
+    All listed servers were scanned for each service: 1,219 services with one server
+    each took 4.3 s.
     """
-    looked = 0
-    all_entries = host._control.directory.all
+    scans = 0
+    all_entries = host._coordinator.directory.all
 
     def counted() -> list[ServerEntry]:
-        nonlocal looked
-        looked += 1
+        nonlocal scans
+        scans += 1
         return all_entries()
 
-    host._control.directory.all = counted  # type: ignore[method-assign]
+    host._coordinator.directory.all = counted  # type: ignore[method-assign]
     many = {f"s{number}": {"max-connections": 10} for number in range(services)}
     note_configuration(host, revision=5, services=many, routes={})
-    assert looked <= 1
+    assert scans <= 1
 
 
 def test_server_that_changes_its_service_serves_the_new_one() -> None:
-    """A service has no server, though one is listed, until something else changes."""
+    """Guards against a service without servers after its server changed its service."""
     registry = Registry(
         services=[service(servers=0), service(name="documents", servers=0)],
         classes=[],
@@ -173,8 +176,8 @@
     registry.set_servers(before.service, [], 1.0)
     pool = registry.set_servers("documents", [after], 1.0)
     assert pool is not None
-    assert [one.server for one in pool.states] == [after]
-    assert [one.local for one in pool.states] == [False]
+    assert [state.server for state in pool.states] == [after]
+    assert [state.local for state in pool.states] == [False]
     former = registry.set_servers(before.service, [], 2.0)
     assert former is not None
     assert former.states == []
