--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -48,7 +48,8 @@
             (4, 3, 2, 6, 1, 2),
         )[0]
         inject()
-        # A third of the faults follow almost immediately, the others after seconds.
+        # A third of the faults follow almost immediately, the others after a longer
+        # pause.
         pause_s = self._rng.choice((0.05, 1.0, 1.0)) * self._rng.expovariate(
             1 / MEAN_PAUSE_S
         )
--- a/src/gentianwharf/standin/_backend.py
+++ b/src/gentianwharf/standin/_backend.py
@@ -47,7 +47,7 @@
         """Do nothing: no producer is registered."""
 
     def write(self, data: bytes) -> None:
-        """Count the data, and keep it within ``MAX_ORDER_BYTES``."""
+        """Count the data, and keep it until ``MAX_ORDER_BYTES`` are reached."""
         self.count += len(data)
         if len(self.content) < MAX_ORDER_BYTES:
             self.content += data
