--- a/src/gentianwharf/cli/_logs.py
+++ b/src/gentianwharf/cli/_logs.py
@@ -1,4 +1,4 @@
-"""``gentianwharf logs explain``: one request's story from many hosts' logs."""
+"""``gentianwharf logs explain``: the log lines of one request from many hosts."""
 
 from collections.abc import Mapping, Sequence
 from datetime import UTC, datetime
@@ -13,47 +13,47 @@
     request_history,
 )
 
-from ._exits import Exit
+from ._exit_codes import ExitCode
 from ._terminal import Terminal
 
 
-def explain(request_id: str, files: Sequence[Path], shown: Terminal) -> Exit:
-    """Print a request's lines in order, and what the hosts believed at its end."""
+def explain(request_id: str, files: Sequence[Path], terminal: Terminal) -> ExitCode:
+    """Print a request's log lines in order and the last logged state at its end."""
     lines = [line for file in files for line in read_log(file)]
-    story = request_history(request_id, lines)
-    if shown.as_json:
-        shown.json(_document(story))
-    elif story.lines:
-        _print(story, shown)
-    if story.lines:
-        return Exit.DONE
-    shown.problem(
-        f"no line of {len(lines)} names {request_id}: of successes one in fifty is"
-        " logged; else the log of its host is missing, or left lines out under load"
-        " (log_lines_dropped)"
+    history = request_history(request_id, lines)
+    if terminal.as_json:
+        terminal.json(_document(history))
+    elif history.lines:
+        _print(history, terminal)
+    if history.lines:
+        return ExitCode.DONE
+    terminal.problem(
+        f"none of {len(lines)} log lines names {request_id}: of successful requests"
+        " only one in fifty is logged; otherwise the log of its host is missing or has"
+        " dropped lines under load (log_lines_dropped)"
     )
-    return Exit.REFUSED
-
-
-def _print(story: RequestHistory, shown: Terminal) -> None:
-    begun_s = story.lines[0].at_s
-    shown.line(f"request {story.request_id}, first line at {_time(begun_s)}")
-    for line in story.lines:
-        after_ms = (line.at_s - begun_s) * 1000
-        shown.line(f"  +{after_ms:.0f} ms  {line.host}  {_text(line)}")
-    shown.line("what was believed at its end")
-    for belief in story.context:
-        shown.line(
-            f"  {belief.topic}: {_text(belief.line)}"
-            f"  ({belief.age_s:.2f} s old, {belief.line.host})"
+    return ExitCode.REFUSED
+
+
+def _print(history: RequestHistory, terminal: Terminal) -> None:
+    first_s = history.lines[0].at_s
+    terminal.line(f"request {history.request_id}, first line at {_time(first_s)}")
+    for line in history.lines:
+        elapsed_ms = (line.at_s - first_s) * 1000
+        terminal.line(f"  +{elapsed_ms:.0f} ms  {line.host}  {_text(line)}")
+    terminal.line("last logged state at its end")
+    for entry in history.context:
+        terminal.line(
+            f"  {entry.topic}: {_text(entry.line)}"
+            f"  ({entry.age_s:.2f} s old, {entry.line.host})"
         )
 
 
 def _text(line: LogLine) -> str:
     fields = " ".join(
-        f"{name}={one}"
-        for name, one in line.fields.items()
-        if one not in ("", None) and name != "request_id"
+        f"{name}={value}"
+        for name, value in line.fields.items()
+        if value not in ("", None) and name != "request_id"
     )
     return f"{line.message}  {fields}".rstrip()
 
@@ -62,11 +62,11 @@
     return datetime.fromtimestamp(at_s, UTC).isoformat(timespec="milliseconds")
 
 
-def _document(story: RequestHistory) -> Mapping[str, Any]:
+def _document(history: RequestHistory) -> Mapping[str, Any]:
     return {
-        "request_id": story.request_id,
-        "lines": [_line(one) for one in story.lines],
-        "beliefs": [_belief(one) for one in story.context],
+        "request_id": history.request_id,
+        "lines": [_line(line) for line in history.lines],
+        "beliefs": [_context_entry(entry) for entry in history.context],
     }
 
 
@@ -79,9 +79,9 @@
     }
 
 
-def _belief(belief: ContextEntry) -> Mapping[str, Any]:
+def _context_entry(entry: ContextEntry) -> Mapping[str, Any]:
     return {
-        "about": belief.topic,
-        "age_s": round(belief.age_s, 3),
-        "line": _line(belief.line),
+        "about": entry.topic,
+        "age_s": round(entry.age_s, 3),
+        "line": _line(entry.line),
     }
--- a/tests/test_admin_access.py
+++ b/tests/test_admin_access.py
@@ -1,18 +1,21 @@
-"""The admin port's token: what a file may hold."""
+"""The admin port's token file: accepted and rejected contents."""
 
 from pathlib import Path
 
 import pytest
 
-from gentianwharf.admin import read_token, token_of
+from gentianwharf.admin import configured_token, read_token
 from gentianwharf.errors import InputError
 
 
 @pytest.mark.parametrize("text", ["a-token-of-some-length", "a-token-of-some-length\n"])
 def test_token_is_one_line_of_a_file(tmp_path: Path, text: str) -> None:
     (tmp_path / "token").write_text(text)
-    assert token_of(token_file="token", directory=tmp_path) == "a-token-of-some-length"
-    assert token_of(token_file=None, directory=tmp_path) is None
+    assert (
+        configured_token(token_file="token", directory=tmp_path)
+        == "a-token-of-some-length"
+    )
+    assert configured_token(token_file=None, directory=tmp_path) is None
 
 
 @pytest.mark.parametrize(
@@ -27,7 +30,7 @@
         pytest.param(None, "can't be read", id="missing"),
     ],
 )
-def test_file_of_no_use_is_refused_without_its_content(
+def test_invalid_token_file_is_refused_without_its_content(
     tmp_path: Path, content: bytes | None, expected: str
 ) -> None:
     path = tmp_path / "token"
