--- a/src/gentianwharf/loadtool/__init__.py
+++ b/src/gentianwharf/loadtool/__init__.py
@@ -1,15 +1,16 @@
 """The load tool ``gentianwharf-load``.
 
-Open-loop: requests go out at their planned time, whatever the answers do, and are
-timed from that moment. Each answer is checked to be whole and its own request's.
+The load is open-loop: requests are sent at their planned times, independent of
+responses, and latency is measured from the planned time. Each response is checked to
+be complete and to belong to its request.
 """
 
-from ._judge import Judgement, Received, Verdict, judge
+from ._check_response import CheckResult, ReceivedResponse, Verdict, check_response
 from ._main import app, exit_code, main, run_load
 from ._merge import merge_reports, read_report
 from ._mix import BRAZOS_BEND, MIXES, TUNIS, Mix, RequestKind
 from ._plan import Part, PlannedRequest, plan, zipf_weights
-from ._report import LoadReport, Times, make_report
+from ._report import LatencySummary, LoadReport, make_report
 from ._runner import LoadRun
 from ._sender import HttpSender, Sender, SendError
 from ._tally import LoadTally
@@ -21,23 +22,23 @@
     "TUNIS",
     "Bounds",
     "HttpSender",
-    "Judgement",
+    "CheckResult",
     "LoadReport",
     "LoadRun",
     "LoadTally",
     "Mix",
     "Part",
     "PlannedRequest",
-    "Received",
+    "ReceivedResponse",
     "RequestKind",
     "SendError",
     "Sender",
     "Target",
-    "Times",
+    "LatencySummary",
     "Verdict",
     "app",
     "exit_code",
-    "judge",
+    "check_response",
     "main",
     "make_report",
     "merge_reports",
--- a/tests/test_cli_migration.py
+++ b/tests/test_cli_migration.py
@@ -29,13 +29,13 @@
         for host in THREE_DOMAINS:
             wait_until(
                 lambda host=host: serves_all_keys(started, host),
-                what=f"{host} to serve",
+                description=f"{host} to serve",
             )
         yield started
 
 
 def serves_all_keys(running: Deployment, host: str) -> bool:
-    return all(running.serves(host, f"/calendrier/{key}") for key in KEYS)
+    return all(running.get_if_served(host, f"/calendrier/{key}") for key in KEYS)
 
 
 def run_tool(
@@ -76,7 +76,7 @@
 
 
 def owner(running: Deployment, host: str, key: str) -> str | None:
-    reply = running.serves(host, f"/calendrier/{key}")
+    reply = running.get_if_served(host, f"/calendrier/{key}")
     return reply.body["server"] if reply is not None else None
 
 
@@ -106,7 +106,7 @@
         owners = {
             wait_until(
                 lambda host=host, key=key: {owner(running, host, key)} & new,
-                what=f"{key} to be served on the new site, seen from {host}",
+                description=f"{key} to be served on the new site, seen from {host}",
             ).pop()
             for host in THREE_DOMAINS
         }
@@ -144,5 +144,5 @@
         lambda: (
             run_tool(running, "lac-1", "rules", "status").returncode == ExitCode.DONE
         ),
-        what="the rules to be in force on the resumed host",
+        description="the rules to be in force on the resumed host",
     )
