--- a/bench/_fit.py
+++ b/bench/_fit.py
@@ -5,7 +5,7 @@
 from math import sqrt
 from typing import final
 
-LEAST_SIZES = 4
+MIN_SIZES = 4
 
 
 @final
@@ -14,23 +14,23 @@
     """``value = intercept + slope * size``.
 
     ``residual`` is the root mean square of what the line misses, as a share of the
-    mean value. ``largest`` is the largest size measured: beyond it the line is an
+    mean value. ``max_size`` is the largest size measured: beyond it the line is an
     extrapolation.
     """
 
     slope: float
     intercept: float
     residual: float
-    sizes: int
-    largest: float
+    size_count: int
+    max_size: float
 
     def at(self, size: float) -> float:
         """Return the line's value; never below 0."""
         return max(0.0, self.intercept + self.slope * size)
 
-    def extrapolated(self, size: float) -> float:
+    def extrapolation_factor(self, size: float) -> float:
         """Return by which factor ``size`` lies beyond what was measured, at least 1."""
-        return max(1.0, size / self.largest)
+        return max(1.0, size / self.max_size)
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Line:
@@ -41,8 +41,8 @@
     (2.0, 1.0, 0.0)
     """
     sizes = [size for size, _ in points]
-    if len(set(sizes)) < LEAST_SIZES:
-        raise ValueError(f"expected {LEAST_SIZES} sizes or more, got {sorted(sizes)}")
+    if len(set(sizes)) < MIN_SIZES:
+        raise ValueError(f"expected {MIN_SIZES} sizes or more, got {sorted(sizes)}")
     mean_size = sum(sizes) / len(points)
     mean_value = sum(value for _, value in points) / len(points)
     spread = sum((size - mean_size) ** 2 for size in sizes)
@@ -54,6 +54,6 @@
         slope=slope,
         intercept=intercept,
         residual=sqrt(missed / len(points)) / mean_value if mean_value else 0.0,
-        sizes=len(set(sizes)),
-        largest=max(sizes),
+        size_count=len(set(sizes)),
+        max_size=max(sizes),
     )
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -62,14 +62,14 @@
     rows = []
     for one in model.slopes():
         line = one.line
-        factor = line.extrapolated(one.target)
+        factor = line.extrapolation_factor(one.target)
         rows.append(
             [
                 one.title,
                 one.against,
                 f"{number(line.intercept)} + {number(line.slope)} × n {one.unit}",
                 f"{line.residual:.0%}",
-                f"{line.sizes}, up to {number(line.largest)}",
+                f"{line.size_count}, up to {number(line.max_size)}",
                 f"{number(factor)}×" if factor > 1 else "within",
             ]
         )
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -44,7 +44,7 @@
 
 
 def test_every_slope_of_the_page_rests_on_four_sizes() -> None:
-    assert all(one.line.sizes >= 4 for one in Model(read_results()).slopes())
+    assert all(one.line.size_count >= 4 for one in Model(read_results()).slopes())
 
 
 def test_wait_grows_without_bound_towards_full_load() -> None:
