--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements; ``python -m bench`` prints one JSON line a figure."""
+"""Benchmarks; ``python -m bench`` prints one JSON line per figure."""
 
 from ._figure import Figure, figure_line, machine
 
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,7 +1,7 @@
 """Print one JSON line per figure: ``python -m bench [MODULE ...]``.
 
-The exit code is 0 whatever the figures are; a module that raises is reported on
-standard error and makes it 1, since its figures were not measured.
+The exit code does not depend on the measured values. If a module raises, its figures
+are missing: the error is printed to standard error, and the exit code is 1.
 """
 
 import importlib
@@ -14,7 +14,7 @@
 
 
 def run_module(name: str) -> bool:
-    """Print a module's figures; return whether all of them could be measured."""
+    """Print a module's figures; return whether all of them were measured."""
     try:
         for figure in importlib.import_module(name).figures():
             print(figure_line(figure), flush=True)
@@ -26,7 +26,7 @@
 
 
 def run_program(name: str) -> bool:
-    """Run a program that prints its own figures; return whether it ended well."""
+    """Run a program that prints its own figures; return whether it exited with 0."""
     code = subprocess.call([sys.executable, "-m", name])
     if code:
         print(f"{name}: not measured, exit code {code}", file=sys.stderr)
@@ -34,12 +34,12 @@
 
 
 def run(name: str) -> bool:
-    """Run a module or a program."""
+    """Run a module or a program; return whether it succeeded."""
     return run_program(name) if name in PROGRAMS else run_module(name)
 
 
 def main(arguments: list[str]) -> int:
-    """Run the named modules, or all of them."""
+    """Run the named modules and programs, or all of them."""
     names = [f"bench.{name}" for name in arguments] or [*MODULES, *PROGRAMS]
     results = [run(name) for name in names]
     return 0 if all(results) else 1
--- a/bench/_figure.py
+++ b/bench/_figure.py
@@ -1,4 +1,4 @@
-"""A measured figure and the machine that it was measured on."""
+"""A measured figure and the machine on which it was measured."""
 
 import os
 import platform
@@ -14,8 +14,8 @@
 class Figure:
     """One measured value.
 
-    ``size`` holds what the value was measured at (shards, hosts, rules, ...), each
-    by name, so that slopes can be fitted over several figures of one name.
+    ``size`` maps each dimension of the input (shards, hosts, rules, ...) to its size,
+    so that a line can be fitted to several figures of the same name.
     """
 
     name: str
@@ -26,7 +26,7 @@
 
 
 def machine() -> dict[str, Any]:
-    """Return what a figure depends on; no host name and no path."""
+    """Describe the machine and the interpreter, without host name and paths."""
     return {
         "cores": os.cpu_count(),
         "python": platform.python_version(),
@@ -35,7 +35,7 @@
 
 
 def figure_line(figure: Figure) -> str:
-    """Return a figure as a line of JSON.
+    """Format a figure as one line of JSON.
 
     >>> line = figure_line(Figure(name="match", value=1.5, unit="us",
     ...                           size={"rules": 10}))
--- a/bench/_fit.py
+++ b/bench/_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with what is left over."""
+"""Least-squares lines through measured points, with their residuals."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -13,9 +13,9 @@
 class Line:
     """``value = intercept + slope * size``.
 
-    ``residual`` is the root mean square of what the line misses, as a share of the
-    mean value. ``max_size`` is the largest size measured: beyond it the line is an
-    extrapolation.
+    ``residual`` is the root mean square of the deviations, divided by the mean value.
+    ``size_count`` is the number of different sizes and ``max_size`` the largest one;
+    beyond it the line is an extrapolation.
     """
 
     slope: float
@@ -25,16 +25,18 @@
     max_size: float
 
     def at(self, size: float) -> float:
-        """Return the line's value; never below 0."""
+        """Return the line's value at ``size``, at least 0."""
         return max(0.0, self.intercept + self.slope * size)
 
     def extrapolation_factor(self, size: float) -> float:
-        """Return by which factor ``size`` lies beyond what was measured, at least 1."""
+        """Return the ratio of ``size`` to the largest size measured, at least 1."""
         return max(1.0, size / self.max_size)
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Line:
-    """Fit by least squares; raises ``ValueError`` below four different sizes.
+    """Fit a line by least squares.
+
+    Raises ``ValueError`` for fewer than four different sizes.
 
     >>> line = fit([(1, 3), (2, 5), (3, 7), (4, 9)])
     >>> line.slope, line.intercept, line.residual
@@ -45,15 +47,19 @@
         raise ValueError(f"expected {MIN_SIZES} sizes or more, got {sorted(sizes)}")
     mean_size = sum(sizes) / len(points)
     mean_value = sum(value for _, value in points) / len(points)
-    spread = sum((size - mean_size) ** 2 for size in sizes)
-    shared = sum((size - mean_size) * (value - mean_value) for size, value in points)
-    slope = shared / spread
+    variance_sum = sum((size - mean_size) ** 2 for size in sizes)
+    covariance_sum = sum(
+        (size - mean_size) * (value - mean_value) for size, value in points
+    )
+    slope = covariance_sum / variance_sum
     intercept = mean_value - slope * mean_size
-    missed = sum((value - intercept - slope * size) ** 2 for size, value in points)
+    squared_error = sum(
+        (value - intercept - slope * size) ** 2 for size, value in points
+    )
     return Line(
         slope=slope,
         intercept=intercept,
-        residual=sqrt(missed / len(points)) / mean_value if mean_value else 0.0,
+        residual=sqrt(squared_error / len(points)) / mean_value if mean_value else 0.0,
         size_count=len(set(sizes)),
         max_size=max(sizes),
     )
--- a/bench/_modules.py
+++ b/bench/_modules.py
@@ -1,7 +1,7 @@
-"""What ``python -m bench`` runs, in this order.
+"""The benchmarks that ``python -m bench`` runs, in this order.
 
-``MODULES`` have ``figures() -> Iterator[Figure]``. ``PROGRAMS`` print JSON lines of
-their own when run as programs.
+Each module of ``MODULES`` defines ``figures() -> Iterator[Figure]``. Those of
+``PROGRAMS`` are run as separate processes and print their own JSON lines.
 """
 
 MODULES = (
--- a/bench/_timing.py
+++ b/bench/_timing.py
@@ -9,9 +9,10 @@
 
 
 def time_us(operation: Callable[[], object], *, times: int) -> float:
-    """Return the least mean time of one call over a few rounds, in microseconds.
+    """Return the mean time of one call in the fastest round, in microseconds.
 
-    The least one: other programs on the machine only ever add time.
+    The fastest round is the closest to the true cost, since other programs on the
+    machine can only add time.
     """
     best_s = float("inf")
     gc.collect()
