--- a/bench/decision.py
+++ b/bench/decision.py
@@ -1,6 +1,7 @@
-"""All decisions of one keyed request: rule, owner, admission and its end.
+"""Time of all decisions for one keyed request: rule, owner, admission and completion.
 
-At the size of the goal: 200 rules and 65,536 shards. No network, one process.
+Measured at the target size of 200 rules and 65,536 shards, in one process and without
+a network.
 """
 
 from collections.abc import Iterator
@@ -24,7 +25,7 @@
 SHARDS = 65_536
 SERVERS = 16
 REQUESTS = 20_000
-# Other work on the machine only adds to a run: the quickest of these counts.
+# The fastest run is reported, since other work on the machine only adds time.
 REPEATS = 5
 SEED = 1
 MICROSECONDS = 1_000_000
@@ -58,19 +59,19 @@
     return RuleSet(document=document, revision=1, shards={"keyed": SHARDS})
 
 
-class _EndlessRights:
-    """Rights that hold, as in a running system."""
+class _PermanentRights:
+    """Rights that do not expire, as in a system where they are renewed."""
 
     def until_s(self, domain: str) -> float:
-        """Return a time far off."""
+        """Return a time far in the future."""
         return 1e9
 
 
 class _NoAllowances:
-    """No deadline that is longer than the rights allow."""
+    """Allowances of a system without deadlines beyond the end of the rights."""
 
     def until_s(self, service: str, shard: int, domain: str) -> float:
-        """Return a time long past."""
+        """Return a time before every request."""
         return float("-inf")
 
 
@@ -81,8 +82,8 @@
     ]
     return Router(
         tables=tables,
-        rights=cast(Rights, _EndlessRights()),
-        servers={one.id: one for one in service.servers},
+        rights=cast(Rights, _PermanentRights()),
+        servers={server.id: server for server in service.servers},
         allowances=cast(Allowances, _NoAllowances()),
         deadline_caps_s={"keyed": 0.3},
         sent={"keyed": SentCounts()},
@@ -103,7 +104,7 @@
 
 
 def figures() -> Iterator[Figure]:
-    """Yield the time of one request's decisions."""
+    """Yield the time that the decisions for one request take."""
     yield Figure(
         name="decision.keyed_request",
         value=min(_run() for _ in range(REPEATS)) / REQUESTS * MICROSECONDS,
@@ -117,7 +118,7 @@
     service = _service()
     rules, router, gate = _rules(), _router(service), _gate(service)
     rng = Random(SEED)
-    facts = [
+    requests = [
         RequestFacts(
             method="GET",
             host="gateway",
@@ -125,10 +126,10 @@
         )
         for _ in range(REQUESTS)
     ]
-    ended = load.Outcome(kind=load.OutcomeKind.OK, elapsed_s=0.002)
-    begun_s = perf_counter()
-    for number, one in enumerate(facts):
-        match = rules.match(one)
+    outcome = load.Outcome(kind=load.OutcomeKind.OK, elapsed_s=0.002)
+    start_s = perf_counter()
+    for number, request in enumerate(requests):
+        match = rules.match(request)
         assert match is not None
         assert match.shard is not None
         now_s = number * 0.001
@@ -146,5 +147,5 @@
             server=route.server_id,
         )
         gate.submit(ticket, now_s)
-        gate.finished(ticket.id, ended, now_s + 0.0005, route.server_id)
-    return perf_counter() - begun_s
+        gate.finished(ticket.id, outcome, now_s + 0.0005, route.server_id)
+    return perf_counter() - start_s
--- a/bench/metrics.py
+++ b/bench/metrics.py
@@ -1,4 +1,4 @@
-"""What recording an answer costs, against the 5 µs that a request may spend on it."""
+"""Cost of recording an answer; the budget is 5 µs per request."""
 
 from collections.abc import Iterator
 from random import Random
@@ -35,7 +35,7 @@
 
 
 def figures() -> Iterator[Figure]:
-    """Yield the cost of building, recording, folding and printing answers."""
+    """Yield the cost of recording and building answers and of the metrics pages."""
     random = Random(SEED)
     clock = Clock()
     recorder = Recorder(clock=clock, random=random)
@@ -51,7 +51,7 @@
     )
     yield Figure(
         name="metrics_answer_built",
-        value=time_us(lambda: _built(answers[0]), times=TIMES),
+        value=time_us(lambda: _build_copy(answers[0]), times=TIMES),
         unit="us",
         size={},
     )
@@ -71,24 +71,24 @@
     )
 
 
-def _built(like: Answer) -> Answer:
+def _build_copy(answer: Answer) -> Answer:
     return Answer(
-        service=like.service,
-        request_class=like.request_class,
-        rule=like.rule,
-        domain=like.domain,
-        server=like.server,
-        status=like.status,
-        run=like.run,
-        waited_s=like.waited_s,
-        elapsed_s=like.elapsed_s,
-        refused=like.refused,
-        shard=like.shard,
+        service=answer.service,
+        request_class=answer.request_class,
+        rule=answer.rule,
+        domain=answer.domain,
+        server=answer.server,
+        status=answer.status,
+        run=answer.run,
+        waited_s=answer.waited_s,
+        elapsed_s=answer.elapsed_s,
+        refused=answer.refused,
+        shard=answer.shard,
     )
 
 
 def _host_metrics(random: Random) -> HostMetrics:
-    """Return an entry host's metrics after many answers of several classes."""
+    """Return an entry host's metrics with many recorded answers of several classes."""
     metrics = HostMetrics()
     for number in range(HOST_ANSWERS):
         name = str(number % HOST_CLASSES)
--- a/bench/rules.py
+++ b/bench/rules.py
@@ -1,7 +1,8 @@
-"""What rules cost: a match and taking a list by its shape, the check of a large one.
+"""Cost of matching, compiling and checking rule lists of several shapes and sizes.
 
-The check goes up to what operators may apply. Hosts also take longer lists, which
-others have committed: up to 4,800 rules, as many as a store's value of 1 MiB holds.
+The check is measured up to the longest list that operators may apply. Hosts also
+accept longer lists that are already committed: up to 4,800 rules, as many as fit into
+a store value of 1 MiB.
 """
 
 import gc
@@ -84,7 +85,7 @@
 
 
 def _requests(random_numbers: random.Random, *, shape: str, rules: int) -> Requests:
-    """Return requests of which each is decided by a random rule of the list."""
+    """Return requests, each of which matches a random rule of the list."""
     requests = []
     for _ in range(MATCHES):
         number = random_numbers.randrange(rules)
@@ -102,29 +103,29 @@
 
 
 def figures() -> Iterator[Figure]:
-    """Yield the cost of a match by shape and size, then that of a whole list."""
+    """Yield the cost of a match by shape and size, then that of processing lists."""
     for name, shape in SHAPES.items():
         for size in (*SIZES, *COMMITTED_SIZES):
             yield from _list_figures(name, shape, size)
-    yield from _whole_lists()
+    yield from _worst_case_figures()
     yield from _memory_figures()
 
 
 def _list_figures(name: str, shape: Shape, size: int) -> Iterator[Figure]:
     document = _document(shape, size)
-    shards = {one.then.service: SHARDS for one in document.rules}
-    take = partial(RuleSet, document=document, revision=1, shards=shards)
+    shards = {rule.then.service: SHARDS for rule in document.rules}
+    compile_rules = partial(RuleSet, document=document, revision=1, shards=shards)
     sizes = {"rules": size, "shards": SHARDS}
     yield Figure(
         name=f"rules_take_{name}",
-        value=time_us(take, times=1) / 1000,
+        value=time_us(compile_rules, times=1) / 1000,
         unit="ms",
         size=sizes,
     )
     requests = _requests(random.Random(SEED), shape=name, rules=size)
     yield Figure(
         name=f"rules_match_{name}",
-        value=_match_us(take(), requests),
+        value=_match_us(compile_rules(), requests),
         unit="us",
         size=sizes,
         seed=SEED,
@@ -146,10 +147,11 @@
     return time_us(match_all, times=1) / len(requests)
 
 
-def _whole_lists() -> Iterator[Figure]:
-    """Yield the check and the compiling of the worst list.
+def _worst_case_figures() -> Iterator[Figure]:
+    """Yield the time to check and to compile the most expensive list.
 
-    Many shares, and no rule covers another: every pair has to be compared.
+    Each rule has a different share, and no rule covers another one, so that the
+    checker has to compare every pair.
     """
     scope = RuleScope(
         shards={"desk": SHARDS},
@@ -158,20 +160,20 @@
     )
     checker = RuleChecker(scope=scope)
     for size in SIZES:
-        document = _document(partial(_worst, size), size)
-        for name, work in (
+        document = _document(partial(_worst_case_rule, size), size)
+        for name, operation in (
             ("rules_check", partial(checker.check, document)),
             ("rules_compile", partial(_compile, document)),
         ):
             yield Figure(
                 name=name,
-                value=time_us(work, times=1) / 1000,
+                value=time_us(operation, times=1) / 1000,
                 unit="ms",
                 size={"rules": size, "shards": SHARDS},
             )
 
 
-def _worst(size: int, number: int) -> Fields:
+def _worst_case_rule(size: int, number: int) -> Fields:
     when = {
         "methods": ["GET"],
         "headers": {"x-part": str(number)},
@@ -185,34 +187,36 @@
 
 
 def _memory_figures() -> Iterator[Figure]:
-    """Yield what lists add to a process's resident memory, each in a new one."""
+    """Yield the resident memory that lists add, each measured in a new process."""
     for size in (MAX_RULES, *COMMITTED_SIZES):
         value = _document(_split, size).model_dump_json(exclude_none=True)
         for versions in (1, 2):
             with ProcessPoolExecutor(1, mp_context=get_context("spawn")) as pool:
-                grown_bytes = pool.submit(_grown_bytes, value, versions).result()
+                added_bytes = pool.submit(_added_bytes, value, versions).result()
             yield Figure(
                 name="rules_resident",
-                value=grown_bytes / MEGABYTE,
+                value=added_bytes / MEGABYTE,
                 unit="MB",
                 size={"rules": size, "versions": versions},
             )
 
 
-def _grown_bytes(value: str, versions: int) -> int:
-    """Return what ``versions`` of a list add, from their bytes to their rule sets.
+def _added_bytes(value: str, versions: int) -> int:
+    """Return the resident memory that ``versions`` parsed and compiled lists add.
 
-    A small list comes before, so that what is built once doesn't count.
+    A small list is compiled first, so that one-time initialization is not counted.
     """
     _compile(_document(_split, 1))
     RuleDocument.model_validate_json('{"rules": []}')
     gc.collect()
     before_bytes = _resident_bytes()
-    kept = [_compile(RuleDocument.model_validate_json(value)) for _ in range(versions)]
+    rule_sets = [
+        _compile(RuleDocument.model_validate_json(value)) for _ in range(versions)
+    ]
     gc.collect()
-    grown_bytes = _resident_bytes() - before_bytes
-    assert len(kept) == versions
-    return grown_bytes
+    added_bytes = _resident_bytes() - before_bytes
+    assert len(rule_sets) == versions
+    return added_bytes
 
 
 def _resident_bytes() -> int:
