--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,9 @@
-"""The whole path against a bare klein + treq relay, in one run.
+"""The whole request path, compared with a bare klein + treq relay in the same run.
 
-Both stand before the same three stand-in servers, as separate processes; eight
-connections ask as fast as they are answered. Processor time of the relaying process
-is given beside the rate, since other work on the machine does not count in it.
+Both relay to the same three stand-in servers and run as separate processes. Each of
+eight connections sends the next request as soon as it has the response. Beside the
+rate, the processor time of the relaying process is reported, since that does not
+include other work on the machine.
 """
 
 import json
@@ -37,19 +38,19 @@
 
 
 def _measure(name: str, pid: int, port: int, path: str) -> Iterator[Figure]:
-    begun_s = processor_s(pid)
+    start_s = processor_s(pid)
     report = _load(port, path)
-    spent_s = processor_s(pid) - begun_s
+    used_s = processor_s(pid) - start_s
     answers = report["answers"]
     values = {
         "rate": (answers / SECONDS, "1/s"),
-        "processor_time": (spent_s / answers * 1000, "ms/request"),
+        "processor_time": (used_s / answers * 1000, "ms/request"),
         "p50": (report["p50_ms"], "ms"),
         "p99": (report["p99_ms"], "ms"),
     }
-    for what, (value, unit) in values.items():
+    for quantity, (value, unit) in values.items():
         yield Figure(
-            name=f"path.{name}.{what}",
+            name=f"path.{name}.{quantity}",
             value=value,
             unit=unit,
             size={"connections": CONNECTIONS},
@@ -57,21 +58,21 @@
         )
 
 
-def _added(running: Deployment) -> Iterator[Figure]:
-    """Yield what the daemon adds to one caller's answers, who asks one by one.
+def _added_latency(running: Deployment) -> Iterator[Figure]:
+    """Yield the rate and the added latency for one caller on one connection.
 
-    That is about half of the rate that the daemon reaches with eight connections.
+    The rate on one connection is about half of that on eight connections.
     """
     direct = _load(running.ports["inscription-1"], PATH, connections=1)
-    through = _load(running.ports[f"{HOST}-callers"], PATH, connections=1)
+    relayed = _load(running.ports[f"{HOST}-callers"], PATH, connections=1)
     values = {
-        "rate": (through["answers"] / SECONDS, "1/s"),
-        "p50": (through["p50_ms"] - direct["p50_ms"], "ms"),
-        "p99": (through["p99_ms"] - direct["p99_ms"], "ms"),
+        "rate": (relayed["answers"] / SECONDS, "1/s"),
+        "p50": (relayed["p50_ms"] - direct["p50_ms"], "ms"),
+        "p99": (relayed["p99_ms"] - direct["p99_ms"], "ms"),
     }
-    for what, (value, unit) in values.items():
+    for quantity, (value, unit) in values.items():
         yield Figure(
-            name=f"path.added.{what}",
+            name=f"path.added.{quantity}",
             value=value,
             unit=unit,
             size={"connections": 1},
@@ -87,7 +88,7 @@
 
 
 def figures() -> Iterator[Figure]:
-    """Yield rate, processor time and latency of both, round by round."""
+    """Yield rate, processor time and latency of both relays for each round."""
     with deployment() as running:
         bare_port = _start_bare(running)
         port = running.ports[f"{HOST}-callers"]
@@ -100,4 +101,4 @@
             yield from _measure("bare", bare.pid, bare_port, PATH)
             yield from _measure("daemon", daemon.pid, port, PATH)
             yield from _measure("daemon_keyed", daemon.pid, port, KEYED_PATH)
-            yield from _added(running)
+            yield from _added_latency(running)
--- a/bench/path_bare.py
+++ b/bench/path_bare.py
@@ -1,6 +1,6 @@
-"""A bare klein + treq relay with no decisions: the baseline of the whole path.
+"""A bare klein + treq relay without decisions, the baseline for the whole path.
 
-``python -m bench.path_bare PORT SERVER_PORT...`` relays to the servers in turn.
+``python -m bench.path_bare PORT SERVER_PORT...`` relays to the servers round robin.
 """
 
 import sys
@@ -22,12 +22,12 @@
 
 @app.route("/", branch=True)
 async def relay(request: IRequest) -> bytes:
-    """Ask the next server and hand its answer back."""
+    """Send the request to the next server and return its response."""
     http = cast(Any, request)
     url = f"http://127.0.0.1:{next(servers)}{http.uri.decode()}"
-    answer = await treq.request(http.method.decode(), url, pool=pool)
-    http.setResponseCode(answer.code)
-    return await answer.content()
+    response = await treq.request(http.method.decode(), url, pool=pool)
+    http.setResponseCode(response.code)
+    return await response.content()
 
 
 if __name__ == "__main__":
--- a/bench/path_load.py
+++ b/bench/path_load.py
@@ -1,4 +1,4 @@
-"""Closed-loop load for the bench of the whole path.
+"""Closed-loop load generator for the benchmark of the whole path.
 
 ``python -m bench.path_load PORT CONNECTIONS SECONDS PATH`` prints one JSON object.
 """
@@ -13,22 +13,22 @@
 
 
 def run(port: int, seconds: float, path: str, latencies_s: list[float]) -> None:
-    """Ask again and again on one connection."""
+    """Send one request after another on one connection until the time is up."""
     request = f"GET {path} HTTP/1.1\r\nHost: gateway\r\n\r\n".encode()
     end_s = time.monotonic() + seconds
     with socket.create_connection(("127.0.0.1", port)) as connection:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        while (begun_s := time.monotonic()) < end_s:
+        while (start_s := time.monotonic()) < end_s:
             connection.sendall(request)
-            answer = connection.recv(BUFFER_BYTES)
-            while not _is_whole(answer):
-                answer += connection.recv(BUFFER_BYTES)
-            assert answer.startswith(b"HTTP/1.1 200"), answer[:300]
-            latencies_s.append(time.monotonic() - begun_s)
+            response = connection.recv(BUFFER_BYTES)
+            while not _is_complete(response):
+                response += connection.recv(BUFFER_BYTES)
+            assert response.startswith(b"HTTP/1.1 200"), response[:300]
+            latencies_s.append(time.monotonic() - start_s)
 
 
-def _is_whole(answer: bytes) -> bool:
-    head, separator, body = answer.partition(b"\r\n\r\n")
+def _is_complete(response: bytes) -> bool:
+    head, separator, body = response.partition(b"\r\n\r\n")
     if not separator:
         return False
     for line in head.split(b"\r\n"):
@@ -38,7 +38,7 @@
 
 
 def main() -> None:
-    """Run the load and print what came of it."""
+    """Run the load and print the number of responses and their latencies."""
     port, connections, seconds, path = sys.argv[1:]
     latencies_s: list[float] = []
     threads = [
