--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,8 +1,8 @@
-"""Switch one mechanism off at a time: ``python -m bench.ablation [NAME ...]``.
+"""Disable one mechanism at a time: ``python -m bench.ablation [NAME ...]``.
 
-Prints a JSON line for each load pattern and mechanism: what callers receive with all
-mechanisms, and without that one. What changes nothing anywhere is to be asked for its
-reason.
+Prints one JSON line for each scenario and mechanism: the figures with all mechanisms
+enabled, and with this one disabled. The purpose of a mechanism that changes no figure
+in any scenario should be reviewed.
 """
 
 import argparse
@@ -33,76 +33,86 @@
     "cold-start",
     "hot-key",
 )
-"""One for each load pattern that a mechanism answers."""
+"""One scenario for each kind of load that a mechanism handles."""
 
 FIGURES = ("goodput_per_s", "others_p99_ms", "others_refused_share")
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Off:
-    """One attribute of a class or module, and what stands in its place."""
+class Replacement:
+    """An attribute of a class or module, and the value that replaces it."""
 
     owner: Any
     name: str
-    instead: Any
+    value: Any
 
 
 def _nothing(*args: object, **kwargs: object) -> None:
     """Do nothing."""
 
 
-def _always(value: object) -> Callable[..., object]:
+def _returning(value: object) -> Callable[..., object]:
     return lambda *args, **kwargs: value
 
 
-def _at_most(limit: AdaptiveLimit, *args: object, **kwargs: object) -> None:
+def _set_to_maximum(limit: AdaptiveLimit, *args: object, **kwargs: object) -> None:
     limit.value = limit.maximum
 
 
-MECHANISMS: Mapping[str, tuple[Off, ...]] = {
+MECHANISMS: Mapping[str, tuple[Replacement, ...]] = {
     "adaptive limit": (
-        Off(owner=AdaptiveLimit, name="_adapt", instead=_at_most),
-        Off(owner=AdaptiveLimit, name="record_shed", instead=_at_most),
-        Off(owner=AdaptiveLimit, name="record_queue", instead=_at_most),
+        Replacement(owner=AdaptiveLimit, name="_adapt", value=_set_to_maximum),
+        Replacement(owner=AdaptiveLimit, name="record_shed", value=_set_to_maximum),
+        Replacement(owner=AdaptiveLimit, name="record_queue", value=_set_to_maximum),
+    ),
+    "second sends": (
+        Replacement(owner=Gate, name="_send_hedges", value=_returning([])),
     ),
-    "second sends": (Off(owner=Gate, name="_send_hedges", instead=_always([])),),
     "probes of suspects": (
-        Off(owner=ServerState, name="accepts_probe", instead=_always(False)),
+        Replacement(owner=ServerState, name="accepts_probe", value=_returning(False)),
     ),
     "slow servers set apart": (
-        Off(owner=ServerState, name="is_too_slow", instead=_always(False)),
+        Replacement(owner=ServerState, name="is_too_slow", value=_returning(False)),
     ),
-    "cold starts": (Off(owner=_server_state, name="RAMP_UP_S", instead=1e-6),),
+    "cold starts": (Replacement(owner=_server_state, name="RAMP_UP_S", value=1e-6),),
     "places to wait": (
-        Off(owner=FairQueue, name="can_enqueue", instead=_always(False)),
+        Replacement(owner=FairQueue, name="can_enqueue", value=_returning(False)),
+    ),
+    "fair rounds": (
+        Replacement(owner=FairQueue, name="round_of", value=_returning(1)),
+    ),
+    "pacing at an owner": (
+        Replacement(owner=Pacer, name="may_start", value=_returning(True)),
     ),
-    "fair rounds": (Off(owner=FairQueue, name="round_of", instead=_always(1)),),
-    "pacing at an owner": (Off(owner=Pacer, name="may_start", instead=_always(True)),),
     "own failure domain first": (
-        Off(owner=_choose, name="OTHER_DOMAIN_COST", instead=0.0),
+        Replacement(owner=_choose, name="OTHER_DOMAIN_COST", value=0.0),
+    ),
+    "retry budget": (
+        Replacement(owner=RetryBudget, name="take", value=_returning(True)),
     ),
-    "retry budget": (Off(owner=RetryBudget, name="take", instead=_always(True)),),
 }
 
 
 @contextmanager
 def without(mechanism: str | None) -> Iterator[None]:
-    """Switch a mechanism off; None leaves all on."""
+    """Disable a mechanism in this context; None leaves all enabled."""
     with ExitStack() as stack:
-        for off in MECHANISMS[mechanism] if mechanism is not None else ():
-            stack.enter_context(patch.object(off.owner, off.name, off.instead))
+        for replacement in MECHANISMS[mechanism] if mechanism is not None else ():
+            stack.enter_context(
+                patch.object(replacement.owner, replacement.name, replacement.value)
+            )
         yield
 
 
 def trial(name: str, mechanism: str | None, seed: int) -> dict[str, Any]:
-    """Run one load pattern without a mechanism."""
+    """Run one scenario without a mechanism and return its figures."""
     with without(mechanism):
         return run(name, "gentianwharf", seed)
 
 
 def main() -> int:
-    """Run what the command line names."""
+    """Run the scenarios that the command line names."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("names", nargs="*", metavar="NAME")
     parser.add_argument("--jobs", type=int, default=3)
@@ -114,15 +124,15 @@
         for mechanism in (None, *MECHANISMS)
     ]
     with ProcessPoolExecutor(max_workers=options.jobs) as pool:
-        runs = [pool.submit(trial, *one, options.seed) for one in plan]
-        rows = [one.result() for one in runs]
-    found = dict(zip(plan, rows, strict=True))
+        futures = [pool.submit(trial, *arguments, options.seed) for arguments in plan]
+        rows = [future.result() for future in futures]
+    results = dict(zip(plan, rows, strict=True))
     for name, mechanism in plan:
         if mechanism is not None:
             line = {"scenario": name, "without": mechanism, "seed": options.seed}
             for figure in FIGURES:
-                line[figure] = found[name, None][figure]
-                line[f"{figure}_without"] = found[name, mechanism][figure]
+                line[figure] = results[name, None][figure]
+                line[f"{figure}_without"] = results[name, mechanism][figure]
             print(json.dumps(line))
     return 0
 
