--- a/tests/test_bench_runner.py
+++ b/tests/test_bench_runner.py
@@ -1,4 +1,4 @@
-"""The bench runner: every module it names is there, a fault in one is told."""
+"""Tests of the benchmark runner: named modules exist, and a failure is reported."""
 
 import importlib
 import json
@@ -16,11 +16,11 @@
 
 
 @pytest.mark.parametrize("name", PROGRAMS)
-def test_program_is_there(name: str) -> None:
+def test_program_exists(name: str) -> None:
     assert find_spec(name) is not None
 
 
-def test_runner_prints_a_json_line_a_figure_and_names_what_was_not_measured() -> None:
+def test_runner_prints_a_json_line_per_figure_and_names_unmeasured_modules() -> None:
     result = subprocess.run(
         [sys.executable, "-m", "bench", "metrics", "nothing"],
         capture_output=True,
