--- a/bench/load.py
+++ b/bench/load.py
@@ -1,6 +1,6 @@
 """Measure the decisions under load: ``python -m bench.load [--jobs N] [NAME ...]``.
 
-Prints one JSON line a run. ``--record`` writes the rows of all runs to
+Prints one JSON line per run. ``--record`` writes the rows of all runs to
 ``bench/results/load.json``, from which ``python -m bench.load_page`` makes the tables
 of ``docs/LOAD.md``.
 """
@@ -21,14 +21,14 @@
 
 def run(name: str, router: str, seed: int) -> dict[str, Any]:
     """Run one scenario against one router and return its row."""
-    chosen = scenario(name)
-    trial = Trial(scenario=chosen, make_router=ROUTERS[router], seed=seed)
+    selected = scenario(name)
+    trial = Trial(scenario=selected, make_router=ROUTERS[router], seed=seed)
     trial.run()
-    return measure(chosen, router, seed, trial.requests).to_json()
+    return measure(selected, router, seed, trial.requests).to_json()
 
 
 def main() -> int:
-    """Run what the command line names."""
+    """Run the scenarios that the command line names."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("names", nargs="*", metavar="NAME")
     parser.add_argument("--jobs", type=int, default=3)
@@ -42,8 +42,10 @@
         for router in options.router or ROUTERS
     ]
     with ProcessPoolExecutor(max_workers=options.jobs) as pool:
-        runs = [pool.submit(run, name, router, options.seed) for name, router in plan]
-        rows = [one.result() for one in runs]
+        futures = [
+            pool.submit(run, name, router, options.seed) for name, router in plan
+        ]
+        rows = [future.result() for future in futures]
     for row in rows:
         print(json.dumps(row))
     if options.record:
@@ -52,13 +54,13 @@
 
 
 def record(rows: list[dict[str, Any]]) -> None:
-    """Write the rows in place of recorded ones of the same scenario and router."""
+    """Replace the recorded rows of the same scenarios and routers by these."""
     recorded = json.loads(RESULTS.read_text()) if RESULTS.exists() else []
     merged = {(row["scenario"], row["router"]): row for row in [*recorded, *rows]}
     order = [(name, router) for name in SCENARIO_NAMES for router in ROUTERS]
-    kept = [merged[place] for place in order if place in merged]
+    ordered = [merged[row_key] for row_key in order if row_key in merged]
     RESULTS.parent.mkdir(exist_ok=True)
-    RESULTS.write_text(json.dumps(kept, indent=1) + "\n")
+    RESULTS.write_text(json.dumps(ordered, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/bench/load_baselines.py
+++ b/bench/load_baselines.py
@@ -1,4 +1,4 @@
-"""The two baselines that the decisions under load are measured against."""
+"""The two baseline routers with which the gate is compared under load."""
 
 from collections.abc import Iterable, Sequence
 from random import Random
@@ -20,21 +20,21 @@
 
 
 class _Baseline:
-    """What both share: a table of servers, and one retry of what did not run."""
+    """Common part: a table of servers, and one retry of a request that was not run."""
 
     def __init__(self, *, services: Iterable[Service]) -> None:
-        self._servers = {one.name: list(one.servers) for one in services}
+        self._servers = {service.name: list(service.servers) for service in services}
         self._in_flight: dict[str, int] = {}
         self._retried: set[str] = set()
 
     def submit(self, ticket: Ticket, now_s: float) -> Decision:
-        """Choose a server, or refuse."""
+        """Choose a server, or refuse the request."""
         return self._start(ticket, None)
 
     def finished(
         self, ticket_id: str, outcome: Outcome, now_s: float, server: str | None = None
     ) -> list[Decision]:
-        """Count."""
+        """Update the number of requests in flight."""
         if server is not None:
             self._in_flight[server] -= 1
         return []
@@ -42,7 +42,7 @@
     def retry(
         self, ticket: Ticket, after: OutcomeKind, now_s: float, avoid: str | None = None
     ) -> Decision:
-        """Send once more, to another server, what proved not to have run."""
+        """Retry once, on another server, if the request was provably not run."""
         if after not in PROVES_NOT_RUN or ticket.id in self._retried:
             self._retried.discard(ticket.id)
             return _refuse(ticket)
@@ -50,23 +50,23 @@
         return self._start(ticket, avoid)
 
     def cancel(self, ticket_id: str, now_s: float) -> list[Decision]:
-        """Nothing waits here."""
+        """Return no decisions: the baselines do not queue."""
         return []
 
     def tick(self, now_s: float) -> list[Decision]:
-        """Nothing is due here."""
+        """Return no decisions: the baselines have no timers."""
         return []
 
     def set_servers(
         self, service: str, servers: Sequence[BackendServer], now_s: float
     ) -> list[Decision]:
-        """Use these servers from now on."""
+        """Replace the servers of a service."""
         self._servers[service] = list(servers)
         return []
 
     def _start(self, ticket: Ticket, avoid: str | None) -> Decision:
         server = ticket.server or self._choose(ticket.service, avoid)
-        if server is None or not self._has_room(server):
+        if server is None or not self._has_capacity(server):
             return _refuse(ticket)
         self._in_flight[server] = self._in_flight.get(server, 0) + 1
         return Start(ticket_id=ticket.id, server=server)
@@ -74,7 +74,7 @@
     def _choose(self, service: str, avoid: str | None) -> str | None:
         raise NotImplementedError
 
-    def _has_room(self, server: str) -> bool:
+    def _has_capacity(self, server: str) -> bool:
         return True
 
 
@@ -88,11 +88,11 @@
 
 @final
 class RoundRobin(_Baseline):
-    """First come, first served, round robin, no limits."""
+    """Round robin in order of arrival, without limits."""
 
     def __init__(self, *, services: Iterable[Service], rng: Random) -> None:
         super().__init__(services=services)
-        # Hosts that all begin with the same server would stay in step.
+        # With the same first server, all hosts would send to the same server in turn.
         self._next = rng.randrange(1000)
 
     def _choose(self, service: str, avoid: str | None) -> str | None:
@@ -103,9 +103,9 @@
 
 @final
 class LeastOutstanding(_Baseline):
-    """The server with the fewest of this host's requests, with a fixed limit each.
+    """Chooses the server with the fewest requests of this host, with a fixed limit.
 
-    The limit is the number of slots: the most that one host can use of a server.
+    The limit for each server is its number of slots, the most that one host can use.
     """
 
     def __init__(self, *, services: Iterable[Service], rng: Random) -> None:
@@ -115,13 +115,13 @@
         self._limit = services[0].servers[0].slots
 
     def _choose(self, service: str, avoid: str | None) -> str | None:
-        servers = [one.id for one in self._servers[service] if one.id != avoid]
+        servers = [server.id for server in self._servers[service] if server.id != avoid]
         if not servers:
             return None
-        fewest = min(self._in_flight.get(one, 0) for one in servers)
+        fewest = min(self._in_flight.get(server, 0) for server in servers)
         return self._rng.choice(
-            [one for one in servers if self._in_flight.get(one, 0) == fewest]
+            [id_ for id_ in servers if self._in_flight.get(id_, 0) == fewest]
         )
 
-    def _has_room(self, server: str) -> bool:
+    def _has_capacity(self, server: str) -> bool:
         return self._in_flight.get(server, 0) < self._limit
--- a/bench/load_cost.py
+++ b/bench/load_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of one request's decisions: ``python -m bench.load_cost``."""
+"""Processor time of the decisions for one request: ``python -m bench.load_cost``."""
 
 import json
 from random import Random
@@ -9,15 +9,15 @@
 from gentianwharf.load import Gate, Outcome, OutcomeKind, Start, Ticket
 
 ROUNDS = 10_000
-# Other work on the machine only adds to a run: the quickest of these is reported.
+# The fastest run is reported, since other work on the machine only adds time.
 REPEATS = 7
-# Three requests come for each that ends.
+# Three requests arrive for each one that completes.
 OVERLOAD = 3
 OK = Outcome(kind=OutcomeKind.OK, elapsed_s=0.02)
 
 
 def make_ticket(number: int, server: str | None) -> Ticket:
-    """Return a request."""
+    """Return a request, pinned to ``server`` unless that is None."""
     return Ticket(
         id=str(number),
         service="service",
@@ -33,15 +33,15 @@
 def measure_path(
     name: str, *, in_flight: int, pinned: bool, overload: bool = False
 ) -> dict[str, object]:
-    """Return the mean time of submit and finished together, in microseconds."""
+    """Return the mean time of submit plus finished, in microseconds."""
     rows = [
         _run(in_flight=in_flight, pinned=pinned, overload=overload)
         for _ in range(REPEATS)
     ]
-    took_s, refused = min(rows)
+    used_s, refused = min(rows)
     return {
         "figure": f"load.cost.{name}",
-        "us_per_request": round(took_s / ROUNDS * 1e6, 2),
+        "us_per_request": round(used_s / ROUNDS * 1e6, 2),
         "rounds": ROUNDS,
         "repeats": REPEATS,
         "refused": refused,
@@ -60,7 +60,7 @@
     server = service.servers[0].id if pinned else None
     tickets = [make_ticket(number, server) for number in range(ROUNDS)]
     running: list[str] = []
-    begin_s = process_time()
+    start_s = process_time()
     for number, ticket in enumerate(tickets):
         now_s = number * 0.001
         if isinstance(gate.submit(ticket, now_s), Start):
@@ -70,12 +70,12 @@
             for decision in gate.finished(running.pop(0), OK, now_s):
                 if isinstance(decision, Start):
                     running.append(decision.ticket_id)
-    took_s = process_time() - begin_s
-    return took_s, sum(gate.snapshot().refused.values())
+    used_s = process_time() - start_s
+    return used_s, sum(gate.snapshot().refused.values())
 
 
 def main() -> int:
-    """Print one JSON line a path."""
+    """Print one JSON line for each path."""
     print(json.dumps(measure_path("free", in_flight=2, pinned=False)))
     print(json.dumps(measure_path("pinned", in_flight=1, pinned=True)))
     print(
--- a/bench/load_fakes.py
+++ b/bench/load_fakes.py
@@ -1,9 +1,9 @@
-"""Small fakes around the decisions: a virtual clock, backend servers, hosts.
+"""Fakes for trials of the decisions: a virtual clock, backend servers and hosts.
 
-Servers have slots and a first-come-first-served queue inside, shed when that is full,
-honour deadlines and cancellation, and can be slow, cold, frozen or lost. A host does
-what the relay does with the decisions of its router, one router a host; the hosts do
-not talk to each other.
+Servers have slots and an internal FIFO queue, shed requests when the queue is full,
+honour deadlines and cancellation, and can be slow, cold, frozen or lost. Each host has
+a router of its own and carries out its decisions as the relay does. Hosts do not
+communicate with each other.
 """
 
 from collections import deque
@@ -28,14 +28,14 @@
 OTHER_DOMAIN_S = 0.0005
 CONNECT_S = 0.001
 TICK_S = 0.02
-# A server sheds once this many requests wait inside it for each slot.
+# A server sheds requests once its queue holds this many per slot.
 WAITING_PER_SLOT = 4
 COLD_FACTOR = 3.0
 COLD_S = 5.0
 
 
 class Router(Protocol):
-    """The part of ``gentianwharf.load.Gate`` that a host calls; baselines have it."""
+    """The methods of ``gentianwharf.load.Gate`` that hosts call, also in baselines."""
 
     def submit(self, ticket: Ticket, now_s: float) -> Decision:
         """Decide on a new request."""
@@ -43,28 +43,28 @@
     def finished(
         self, ticket_id: str, outcome: Outcome, now_s: float, server: str | None = None
     ) -> list[Decision]:
-        """Note how a request ended."""
+        """Record the outcome of a request."""
 
     def retry(
         self, ticket: Ticket, after: OutcomeKind, now_s: float, avoid: str | None = None
     ) -> Decision:
-        """Decide on sending once more."""
+        """Decide whether to retry a request."""
 
     def cancel(self, ticket_id: str, now_s: float) -> list[Decision]:
-        """Forget a request."""
+        """Discard a request."""
 
     def tick(self, now_s: float) -> list[Decision]:
-        """Decide what is due."""
+        """Return the decisions that are due."""
 
     def set_servers(
         self, service: str, servers: Sequence[BackendServer], now_s: float
     ) -> list[Decision]:
-        """Follow servers that join or leave."""
+        """Replace the servers of a service."""
 
 
 @final
 class VirtualClock:
-    """Calls in order of their time."""
+    """Runs scheduled calls in order of their time."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -72,11 +72,11 @@
         self._sequence = count()
 
     def call_at(self, at_s: float, call: Callable[..., None], *args: Any) -> None:
-        """Plan a call."""
+        """Schedule a call."""
         heappush(self._calls, (at_s, next(self._sequence), call, args))
 
     def run_until(self, end_s: float) -> None:
-        """Make the calls up to ``end_s``."""
+        """Run the calls that are due up to ``end_s``."""
         calls = self._calls
         while calls and calls[0][0] <= end_s:
             self.now_s, _, call, args = heappop(calls)
@@ -87,12 +87,12 @@
 @final
 @dataclass(kw_only=True, slots=True, eq=False)
 class Request:
-    """A caller's request and what it came to."""
+    """A caller's request and its result."""
 
     ticket: Ticket
     work_s: float
     submitted_s: float
-    attempt: int = 0
+    retries: int = 0
     ended_s: float = 0.0
     result: str = ""
     runs: int = 0
@@ -102,17 +102,17 @@
 @final
 @dataclass(kw_only=True, slots=True, eq=False)
 class Job:
-    """A request on one server."""
+    """The execution of a request on one server."""
 
     request: Request
     host: "FakeHost"
     sent_s: float
     running: bool = False
-    gone: bool = False
+    abandoned: bool = False
 
 
 class FakeServer:
-    """A backend server that runs what it gets in order."""
+    """A backend server that runs requests in order of arrival."""
 
     def __init__(
         self, *, clock: VirtualClock, server: BackendServer, sheds: bool = True
@@ -124,41 +124,41 @@
         self.lost = False
         self._clock = clock
         self._frozen = False
-        self._stalled: list[tuple[Callable[[Job], None], Job]] = []
+        self._held_calls: list[tuple[Callable[[Job], None], Job]] = []
         self._running = 0
         self._waiting: deque[Job] = deque()
         per_slot = server.slots * WAITING_PER_SLOT
-        self._most_waiting = per_slot if sheds else server.connections
+        self._max_waiting = per_slot if sheds else server.connections
 
     def receive(self, job: Job) -> None:
-        """Take a request."""
-        if self.lost or job.gone:
+        """Run a request, queue it or shed it."""
+        if self.lost or job.abandoned:
             return
         if self._frozen:
-            self._stalled.append((self.receive, job))
+            self._held_calls.append((self.receive, job))
         elif self._running < self.server.slots:
             self._run(job)
-        elif len(self._waiting) >= self._most_waiting:
+        elif len(self._waiting) >= self._max_waiting:
             job.host.answer_later(self, job, OutcomeKind.SHED)
         else:
             self._waiting.append(job)
 
     def cancel(self, job: Job) -> None:
-        """Forget a request that its host gave up."""
+        """Stop a request that its host cancelled."""
         if job.running and not self._frozen:
             job.running = False
             self._running -= 1
             self._next()
 
     def freeze(self) -> None:
-        """Stop; requests are accepted and nothing happens."""
+        """Stop processing; requests are still accepted."""
         self._frozen = True
 
     def thaw(self) -> None:
-        """Go on as though nothing had happened."""
+        """Resume, with the calls that were held back while frozen."""
         self._frozen = False
-        stalled, self._stalled = self._stalled, []
-        for call, job in stalled:
+        held_calls, self._held_calls = self._held_calls, []
+        for call, job in held_calls:
             call(job)
 
     def _run(self, job: Job) -> None:
@@ -172,31 +172,31 @@
         if self.cold_since_s is None:
             return self.slowness
         age_s = self._clock.now_s - self.cold_since_s
-        warm = min(1.0, age_s / COLD_S)
-        return self.slowness * (COLD_FACTOR - (COLD_FACTOR - 1.0) * warm)
+        warm_share = min(1.0, age_s / COLD_S)
+        return self.slowness * (COLD_FACTOR - (COLD_FACTOR - 1.0) * warm_share)
 
     def _finish(self, job: Job) -> None:
         if not job.running or self.lost:
             return
         if self._frozen:
-            self._stalled.append((self._finish, job))
+            self._held_calls.append((self._finish, job))
             return
         job.running = False
         self._running -= 1
-        if not job.gone:
+        if not job.abandoned:
             job.host.answer_later(self, job, OutcomeKind.OK)
         self._next()
 
     def _next(self) -> None:
         while self._waiting and self._running < self.server.slots:
             job = self._waiting.popleft()
-            if not job.gone and self._clock.now_s < job.request.ticket.deadline_s:
+            if not job.abandoned and self._clock.now_s < job.request.ticket.deadline_s:
                 self._run(job)
 
 
 @final
 class FakeHost:
-    """An entry host: a router, and connections to the servers."""
+    """An entry host with a router and connections to the servers."""
 
     def __init__(
         self,
@@ -205,33 +205,33 @@
         domain: str,
         router: Router,
         servers: dict[str, FakeServer],
-        ended: Callable[["FakeHost", Request, float], None],
+        on_end: Callable[["FakeHost", Request, float], None],
     ) -> None:
         self.domain = domain
         self.router = router
         self.lost = False
         self._clock = clock
         self._servers = servers
-        self._ended = ended
+        self._on_end = on_end
         self._requests: dict[str, Request] = {}
         self._idle: dict[str, int] = {}
 
     def start(self, first_tick_s: float) -> None:
-        """Begin to tick."""
+        """Start the periodic ticks of the router."""
         self._clock.call_at(first_tick_s, self._tick)
 
     def submit(self, request: Request) -> None:
-        """Take a caller's request."""
+        """Pass a caller's request to the router."""
         if self.lost:
             self._end(request, "failed", 1.0)
             return
         ticket = request.ticket
         self._requests[ticket.id] = request
-        self._clock.call_at(ticket.deadline_s, self._give_up, request)
+        self._clock.call_at(ticket.deadline_s, self._expire, request)
         self.apply([self.router.submit(ticket, self._clock.now_s)])
 
     def apply(self, decisions: Sequence[Decision]) -> None:
-        """Do what the router decided."""
+        """Carry out the router's decisions."""
         for decision in decisions:
             request = self._requests.get(decision.ticket_id)
             if request is None:
@@ -242,13 +242,13 @@
                 self._end(request, "refused", decision.retry_after_s)
 
     def answer_later(self, server: FakeServer, job: Job, kind: OutcomeKind) -> None:
-        """Let an answer travel."""
+        """Deliver an answer after the network latency."""
         at_s = self._clock.now_s + self._latency_s(server)
         self._clock.call_at(at_s, self._answer, server, job, kind)
 
     def _latency_s(self, server: FakeServer) -> float:
-        near = server.server.domain == self.domain
-        return SAME_DOMAIN_S if near else OTHER_DOMAIN_S
+        same_domain = server.server.domain == self.domain
+        return SAME_DOMAIN_S if same_domain else OTHER_DOMAIN_S
 
     def _tick(self) -> None:
         if not self.lost:
@@ -260,23 +260,23 @@
         now_s = self._clock.now_s
         job = Job(request=request, host=self, sent_s=now_s)
         request.jobs[server_id] = job
-        arrives_s = now_s + self._latency_s(server)
+        arrival_s = now_s + self._latency_s(server)
         if self._idle.get(server_id, 0):
             self._idle[server_id] -= 1
         elif server.connections >= server.server.connections:
-            refused_s = arrives_s + self._latency_s(server)
+            refused_s = arrival_s + self._latency_s(server)
             kind = OutcomeKind.CONNECT_FAILED
             self._clock.call_at(refused_s, self._answer, server, job, kind)
             return
         else:
             server.connections += 1
-            arrives_s += CONNECT_S
-        self._clock.call_at(arrives_s, server.receive, job)
+            arrival_s += CONNECT_S
+        self._clock.call_at(arrival_s, server.receive, job)
 
     def _answer(self, server: FakeServer, job: Job, kind: OutcomeKind) -> None:
-        if job.gone or self.lost:
+        if job.abandoned or self.lost:
             return
-        job.gone = True
+        job.abandoned = True
         request, server_id = job.request, server.server.id
         if kind is not OutcomeKind.CONNECT_FAILED:
             self._idle[server_id] = self._idle.get(server_id, 0) + 1
@@ -292,7 +292,7 @@
         elif not request.result and not request.jobs:
             self.apply([self.router.retry(ticket, kind, now_s, server_id)])
 
-    def _give_up(self, request: Request) -> None:
+    def _expire(self, request: Request) -> None:
         if request.result or self.lost:
             return
         self._end(request, "failed", 1.0)
@@ -305,8 +305,8 @@
         now_s = self._clock.now_s
         for server_id, job in list(request.jobs.items()):
             server = self._servers[server_id]
-            job.gone = True
-            # Its connection holds an unfinished answer and is closed.
+            job.abandoned = True
+            # The connection is closed, since it carries an incomplete answer.
             server.connections -= 1
             self._clock.call_at(now_s + self._latency_s(server), server.cancel, job)
             outcome = Outcome(kind=kind, elapsed_s=now_s - job.sent_s)
@@ -319,17 +319,17 @@
         request.result = result
         request.ended_s = self._clock.now_s
         self._requests.pop(request.ticket.id, None)
-        self._ended(self, request, retry_after_s)
+        self._on_end(self, request, retry_after_s)
 
     def lose(self) -> None:
-        """Vanish; callers see their connections break."""
+        """Stop the host abruptly, so that the requests of its callers fail."""
         self.lost = True
         for request in list(self._requests.values()):
             for job in request.jobs.values():
-                job.gone = True
+                job.abandoned = True
             self._end(request, "failed", 1.0)
 
 
 def make_rng(seed: int, name: str) -> Random:
-    """Return a random generator of its own for each purpose."""
+    """Return an independent random generator for each purpose."""
     return Random(f"{seed}/{name}")
--- a/bench/load_measures.py
+++ b/bench/load_measures.py
@@ -1,4 +1,4 @@
-"""From what callers received to the columns of docs/LOAD.md."""
+"""Computes the columns of docs/LOAD.md from the answers that callers received."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -6,24 +6,30 @@
 from typing import Any, final
 
 from bench.load_fakes import Request
-from bench.load_scenarios import FROM_S, LIMITS_S, TO_S, Scenario, Stream
-
-# What is at hand before the fault or burst begins.
-BEFORE_FROM_S = 3.0
+from bench.load_scenarios import (
+    DISTURBANCE_END_S,
+    DISTURBANCE_START_S,
+    LATENCY_LIMITS_S,
+    Scenario,
+    Stream,
+)
+
+# Start of the reference period that ends when the fault or burst begins.
+BEFORE_START_S = 3.0
 SETTLING_S = 1.0
 BIN_S = 1.0
 NORMAL_P99_GROWTH = 1.5
 NORMAL_GOODPUT = 0.95
-CALM_BINS = 3
+MIN_NORMAL_BINS = 3
 LONG_WORK_S = 0.5
-# What stands for "no answer at all" in a quantile.
-ENDLESS_MS = 1e6
+# Value of a request without answer in a quantile.
+NO_ANSWER_MS = 1e6
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClassFigures:
-    """What the callers of one class received; from FROM_S + 1 s to TO_S."""
+    """Figures of one request class during the disturbance, without its first second."""
 
     goodput_per_s: float
     offered_per_s: float
@@ -38,7 +44,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Figures:
-    """A row of results."""
+    """A row of results: the figures of one scenario with one router."""
 
     scenario: str
     router: str
@@ -57,12 +63,12 @@
     normal_after_s: float | None
 
     def to_json(self) -> dict[str, Any]:
-        """Return the row as recorded."""
+        """Return the row as it is recorded."""
         return asdict(self)
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return the exact quantile, 0 without values.
+    """Return the exact quantile, or 0 if there are no values.
 
     >>> quantile([3.0, 1.0, 2.0], 0.5)
     2.0
@@ -76,54 +82,68 @@
 def measure(
     scenario: Scenario, router: str, seed: int, requests: list[Request]
 ) -> Figures:
-    """Return the figures of one run."""
-    extra_s = 2 * scenario.place.client_latency_s
-    during = [one for one in requests if FROM_S + SETTLING_S <= one.submitted_s < TO_S]
-    before = [one for one in requests if BEFORE_FROM_S <= one.submitted_s < FROM_S]
-    names = sorted({one.ticket.request_class for one in requests})
+    """Return the figures of one trial."""
+    extra_s = 2 * scenario.size.client_latency_s
+    during = [
+        request
+        for request in requests
+        if DISTURBANCE_START_S + SETTLING_S <= request.submitted_s < DISTURBANCE_END_S
+    ]
+    before = [
+        request
+        for request in requests
+        if BEFORE_START_S <= request.submitted_s < DISTURBANCE_START_S
+    ]
+    names = sorted({request.ticket.request_class for request in requests})
     classes = {
-        name: _class_figures(_of(name, during), _of(name, before), extra_s)
+        name: _class_figures(_of_class(name, during), _of_class(name, before), extra_s)
         for name in names
     }
     refused_ms = [
-        (one.ended_s - one.submitted_s) * 1000
-        for one in requests
-        if one.result == "refused" and one.submitted_s >= BEFORE_FROM_S
+        (request.ended_s - request.submitted_s) * 1000
+        for request in requests
+        if request.result == "refused" and request.submitted_s >= BEFORE_START_S
     ]
-    others = [one for one in during if _is_other(one)]
+    others = [request for request in during if _is_other(request)]
     return Figures(
         scenario=scenario.name,
         router=router,
         seed=seed,
         classes=classes,
-        goodput_per_s=round(sum(one.goodput_per_s for one in classes.values()), 1),
+        goodput_per_s=round(
+            sum(figures.goodput_per_s for figures in classes.values()), 1
+        ),
         slots_busy_share=_slots_busy_share(scenario, during),
         others_refused_share=round(
-            sum(one.result == "refused" for one in others) / max(1, len(others)), 4
+            sum(request.result == "refused" for request in others)
+            / max(1, len(others)),
+            4,
         ),
         others_p99_ms=_latency_ms(others, 0.99, extra_s),
         refusals_p99_ms=round(quantile(refused_ms, 0.99), 2),
         unserved_caller_s=_longest_unserved_s(
-            (one.ticket.caller, one) for one in requests
+            (request.ticket.caller, request) for request in requests
         ),
         unserved_key_s=_longest_unserved_s(
-            (one.ticket.key, one) for one in requests if one.ticket.key is not None
+            (request.ticket.key, request)
+            for request in requests
+            if request.ticket.key is not None
         ),
         gave_up_share=_gave_up_share(scenario, requests),
-        wrong_runs=sum(_is_wrong(one) for one in requests),
+        wrong_runs=sum(_ran_wrongly(request) for request in requests),
         runs_per_request=round(
-            sum(one.runs for one in requests) / max(1, len(requests)), 3
+            sum(request.runs for request in requests) / max(1, len(requests)), 3
         ),
         normal_after_s=_normal_after_s(scenario, requests, extra_s),
     )
 
 
-def _of(name: str, requests: list[Request]) -> list[Request]:
-    return [one for one in requests if one.ticket.request_class == name]
+def _of_class(name: str, requests: list[Request]) -> list[Request]:
+    return [request for request in requests if request.ticket.request_class == name]
 
 
 def _is_other(request: Request) -> bool:
-    """Whether the request is a short one, neither of the hot caller nor the hot key."""
+    """Whether a request is short, and neither the hot caller's nor for the hot key."""
     ticket = request.ticket
     if ticket.caller == "hot" or ticket.key == "0":
         return False
@@ -131,65 +151,75 @@
 
 
 def _latency_ms(requests: list[Request], share: float, extra_s: float) -> float:
-    """Return a quantile over answers, with what failed counted as endless."""
+    """Return a latency quantile; a failed request counts as ``NO_ANSWER_MS``."""
     values = [
-        one.ended_s - one.submitted_s + extra_s if one.result == "ok" else ENDLESS_MS
-        for one in requests
-        if one.result in ("ok", "failed")
+        request.ended_s - request.submitted_s + extra_s
+        if request.result == "ok"
+        else NO_ANSWER_MS
+        for request in requests
+        if request.result in ("ok", "failed")
     ]
-    return round(min(quantile(values, share) * 1000, ENDLESS_MS), 1)
+    return round(min(quantile(values, share) * 1000, NO_ANSWER_MS), 1)
 
 
 def _class_figures(
     during: list[Request], before: list[Request], extra_s: float
 ) -> ClassFigures:
-    span_s = TO_S - FROM_S - SETTLING_S
+    span_s = DISTURBANCE_END_S - DISTURBANCE_START_S - SETTLING_S
     count = max(1, len(during))
     return ClassFigures(
-        goodput_per_s=round(sum(_is_good(one, extra_s) for one in during) / span_s, 1),
+        goodput_per_s=round(
+            sum(_is_good(request, extra_s) for request in during) / span_s, 1
+        ),
         offered_per_s=round(len(during) / span_s, 1),
         p50_ms=_latency_ms(during, 0.5, extra_s),
         p99_ms=_latency_ms(during, 0.99, extra_s),
         p999_ms=_latency_ms(during, 0.999, extra_s),
         before_p99_ms=_latency_ms(before, 0.99, extra_s),
-        refused_share=round(sum(o.result == "refused" for o in during) / count, 4),
-        failed_share=round(sum(o.result == "failed" for o in during) / count, 5),
+        refused_share=round(
+            sum(item.result == "refused" for item in during) / count, 4
+        ),
+        failed_share=round(sum(item.result == "failed" for item in during) / count, 5),
     )
 
 
 def _slots_busy_share(scenario: Scenario, during: list[Request]) -> float:
-    """Return the part of the slots' time that went into answers.
+    """Return the share of the slots' time that was spent on answered requests.
 
-    Where slots are full, good answers a second differ by the work that chance gave
-    to those who were served; this does not.
+    When all slots are busy, the number of good answers per second depends on the
+    random work of the requests served; this share does not.
     """
-    span_s = TO_S - FROM_S - SETTLING_S
-    worked_s = sum(one.work_s for one in during if one.result == "ok")
-    return round(worked_s / (span_s * scenario.servers * scenario.place.slots), 4)
+    span_s = DISTURBANCE_END_S - DISTURBANCE_START_S - SETTLING_S
+    worked_s = sum(request.work_s for request in during if request.result == "ok")
+    return round(worked_s / (span_s * scenario.servers * scenario.size.slots), 4)
 
 
 def _is_good(request: Request, extra_s: float) -> bool:
-    took_s = request.ended_s - request.submitted_s + extra_s
-    return request.result == "ok" and took_s <= LIMITS_S[request.ticket.request_class]
+    latency_s = request.ended_s - request.submitted_s + extra_s
+    return (
+        request.result == "ok"
+        and latency_s <= LATENCY_LIMITS_S[request.ticket.request_class]
+    )
 
 
 def _gave_up_share(scenario: Scenario, requests: list[Request]) -> float:
-    """Return the part of callers' wishes that were never answered, in all tries."""
-    streams = {one.request_class: one for one in scenario.streams}
+    """Return the share of callers' requests that got no answer after all retries."""
+    streams = {stream.request_class: stream for stream in scenario.streams}
     gave_up = sum(
-        one.result != "ok" and one.attempt >= _tries(streams, one) for one in requests
+        request.result != "ok" and request.retries >= _retry_limit(streams, request)
+        for request in requests
     )
-    wishes = sum(one.attempt == 0 for one in requests)
-    return round(gave_up / max(1, wishes), 4)
+    first_attempts = sum(request.retries == 0 for request in requests)
+    return round(gave_up / max(1, first_attempts), 4)
 
 
-def _tries(streams: dict[str, Stream], request: Request) -> int:
+def _retry_limit(streams: dict[str, Stream], request: Request) -> int:
     stream = streams[request.ticket.request_class]
     hot = request.ticket.caller == "hot"
-    return stream.hot_tries if hot else stream.comes_back
+    return stream.hot_retry_limit if hot else stream.retry_limit
 
 
-def _is_wrong(request: Request) -> bool:
+def _ran_wrongly(request: Request) -> bool:
     if request.result == "refused":
         return request.runs > 0
     return request.runs > 1 and not request.ticket.repeatable
@@ -210,34 +240,40 @@
 def _normal_after_s(
     scenario: Scenario, requests: list[Request], extra_s: float
 ) -> float | None:
-    """Return when the look-ups were as before again, None for not at all.
+    """Return the time until look-ups are back to normal, or None if they never are.
 
-    Counted from the end of a burst or a fault, and from the beginning of a fault
-    that stays.
+    The time counts from the start of a fault, and otherwise from the end of the burst.
     """
-    looked_up = [
-        one
-        for one in requests
-        if one.ticket.request_class == "consultation" and one.ticket.caller != "hot"
+    lookups = [
+        request
+        for request in requests
+        if request.ticket.request_class == "consultation"
+        and request.ticket.caller != "hot"
+    ]
+    before = [
+        request
+        for request in lookups
+        if BEFORE_START_S <= request.submitted_s < DISTURBANCE_START_S
     ]
-    before = [one for one in looked_up if BEFORE_FROM_S <= one.submitted_s < FROM_S]
-    most_ms = _latency_ms(before, 0.99, extra_s) * NORMAL_P99_GROWTH
+    max_p99_ms = _latency_ms(before, 0.99, extra_s) * NORMAL_P99_GROWTH
     bins: dict[int, list[Request]] = defaultdict(list)
-    for one in looked_up:
-        bins[int(one.submitted_s / BIN_S)].append(one)
-    from_s = FROM_S if scenario.fault else TO_S
-    calm = 0
+    for request in lookups:
+        bins[int(request.submitted_s / BIN_S)].append(request)
+    from_s = DISTURBANCE_START_S if scenario.fault else DISTURBANCE_END_S
+    normal_bins = 0
     for number in range(int(from_s / BIN_S), int(scenario.end_s / BIN_S)):
-        calm = calm + 1 if _is_normal(bins[number], most_ms, extra_s) else 0
-        if calm == CALM_BINS:
-            return (number + 1 - CALM_BINS) * BIN_S - from_s
+        normal_bins = (
+            normal_bins + 1 if _is_normal(bins[number], max_p99_ms, extra_s) else 0
+        )
+        if normal_bins == MIN_NORMAL_BINS:
+            return (number + 1 - MIN_NORMAL_BINS) * BIN_S - from_s
     return None
 
 
-def _is_normal(requests: list[Request], most_ms: float, extra_s: float) -> bool:
+def _is_normal(requests: list[Request], max_p99_ms: float, extra_s: float) -> bool:
     if not requests:
         return False
-    good = sum(_is_good(one, extra_s) for one in requests)
+    good = sum(_is_good(request, extra_s) for request in requests)
     if good < NORMAL_GOODPUT * len(requests):
         return False
-    return _latency_ms(requests, 0.99, extra_s) <= most_ms
+    return _latency_ms(requests, 0.99, extra_s) <= max_p99_ms
--- a/bench/load_page.py
+++ b/bench/load_page.py
@@ -1,6 +1,6 @@
 """Make the tables of docs/LOAD.md from the recorded rows.
 
-``python -m bench.load_page`` replaces only what stands between the two marks. A test
+``python -m bench.load_page`` replaces only the text between the two markers. A test
 checks that the page and the recorded rows agree.
 """
 
@@ -9,7 +9,7 @@
 from typing import Any
 
 from bench.load import RESULTS
-from bench.load_measures import ENDLESS_MS
+from bench.load_measures import NO_ANSWER_MS
 
 PAGE = Path(__file__).parent.parent / "docs" / "LOAD.md"
 BEGIN = "<!-- begin: made by python -m bench.load_page -->"
@@ -46,7 +46,7 @@
 
 def make_tables(rows: list[dict[str, Any]]) -> str:
     """Return both tables in Markdown."""
-    whole = [_whole_row(row) for row in rows]
+    totals = [_total_row(row) for row in rows]
     classes = [
         _class_row(row, name, figures)
         for row in rows
@@ -56,7 +56,7 @@
         [
             f"Seed {rows[0]['seed']}. All callers together:",
             "",
-            *_table(COLUMNS, whole),
+            *_table(COLUMNS, totals),
             "",
             "By class:",
             "",
@@ -76,7 +76,7 @@
     return f"{head}{BEGIN}\n{tables}\n{END}{tail}"
 
 
-def _whole_row(row: dict[str, Any]) -> list[str]:
+def _total_row(row: dict[str, Any]) -> list[str]:
     normal = row["normal_after_s"]
     return [
         row["scenario"],
@@ -112,7 +112,7 @@
 
 
 def _ms(value: float) -> str:
-    return "no answer" if value >= ENDLESS_MS else f"{value:.0f}"
+    return "no answer" if value >= NO_ANSWER_MS else f"{value:.0f}"
 
 
 def _share(value: float) -> str:
@@ -128,7 +128,7 @@
 
 
 def main() -> int:
-    """Rewrite the page."""
+    """Replace the tables of the page."""
     tables = make_tables(json.loads(RESULTS.read_text()))
     PAGE.write_text(put_tables(PAGE.read_text(), tables))
     return 0
--- a/bench/load_scenarios.py
+++ b/bench/load_scenarios.py
@@ -1,24 +1,24 @@
-"""The load patterns, with the sizes of the brief.
+"""The load scenarios, with the sizes of two deployments.
 
-Rates are parts of what the servers can do (1.0: every slot always busy). Each run
-lasts ``END_S`` on the virtual clock; what goes wrong begins at ``FROM_S`` and ends at
-``TO_S``.
+Rates are fractions of the servers' capacity (1.0: every slot is always busy). A trial
+lasts ``END_S`` on the virtual clock. The fault or burst begins at
+``DISTURBANCE_START_S`` and ends at ``DISTURBANCE_END_S``.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 from typing import final
 
-FROM_S, TO_S, END_S = 8.0, 18.0, 30.0
+DISTURBANCE_START_S, DISTURBANCE_END_S, END_S = 8.0, 18.0, 30.0
 NORMAL = 0.7
-# Until the last of the refused have returned.
-COMEBACK_END_S = 170.0
+# By then the last refused callers have retried.
+RETRIES_END_S = 170.0
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Place:
-    """A deployment's sizes."""
+class DeploymentSize:
+    """The size of a deployment."""
 
     domains: tuple[str, ...]
     client_latency_s: float
@@ -26,13 +26,13 @@
     connections: int
 
 
-TUNIS = Place(
+TUNIS = DeploymentSize(
     domains=("lac", "charguia", "ariana"),
     client_latency_s=0.008,
     slots=6,
     connections=130,
 )
-BRAZOS_BEND = Place(
+BRAZOS_BEND = DeploymentSize(
     domains=("hall-a", "hall-b", "hall-c"),
     client_latency_s=0.001,
     slots=3,
@@ -43,10 +43,12 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Stream:
-    """Requests of one class: ``load`` is the part of all slots that they need.
+    """A stream of requests of one class.
 
-    ``hot_tries``: how often the hot caller asks again at once when it is refused,
-    whatever it is told.
+    ``load`` is the fraction of all slots that the requests need. ``retry_limit`` is the
+    number of times that a caller retries after a refusal or failure.
+    ``hot_retry_limit`` is that of the hot caller, which retries at once and ignores the
+    retry time of the refusal.
     """
 
     request_class: str
@@ -54,46 +56,51 @@
     work_s: float
     repeatable: bool = True
     callers: int = 200
-    hot_caller: float = 0.0
-    hot_tries: int = 0
+    hot_caller_factor: float = 0.0
+    hot_retry_limit: int = 0
     keys: int = 0
-    zipf: float = 1.0
-    hot_key: float = 0.0
+    zipf_exponent: float = 1.0
+    hot_key_share: float = 0.0
     long_one_in: int = 0
-    peak: float = 1.0
-    comes_back: int = 0
+    burst_factor: float = 1.0
+    retry_limit: int = 0
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Scenario:
-    """A load pattern; ``fault`` names what happens to the servers.
+    """A load scenario; ``fault`` names the fault of the servers, if any.
 
-    ``shares``: servers run all that they have at once (processor sharing).
+    With ``processor_sharing``, servers run all their requests at once.
     """
 
     name: str
-    place: Place
+    size: DeploymentSize
     servers: int
     streams: tuple[Stream, ...]
     fault: str = ""
     end_s: float = END_S
     sheds: bool = True
-    shares: bool = False
+    processor_sharing: bool = False
     busy_hosts: int = 12
     service: str = "service"
 
     @property
     def keyed(self) -> bool:
-        """Whether the service is divided by key."""
+        """Whether the service is sharded by key."""
         return any(stream.keys for stream in self.streams)
 
 
-# Seconds within which an answer still counts. Half a second keeps a family on the
-# page; a reservation is waited for; transfers have their deadline.
-LIMITS_S = {"consultation": 0.5, "posting": 1.0, "upload": 30.0, "archive": 60.0}
+# An answer counts as good within this time. Half a second keeps users on the page, a
+# reservation may take longer, and transfers have their deadline.
+LATENCY_LIMITS_S = {
+    "consultation": 0.5,
+    "posting": 1.0,
+    "upload": 30.0,
+    "archive": 60.0,
+}
 
-_LOOK_UP = Stream(request_class="consultation", load=NORMAL, work_s=0.02)
+_LOOKUP = Stream(request_class="consultation", load=NORMAL, work_s=0.02)
 _POST = Stream(request_class="posting", load=NORMAL / 2, work_s=0.02, repeatable=False)
 
 
@@ -104,7 +111,7 @@
     post = replace(half, request_class="posting", repeatable=False)
     return Scenario(
         name=name,
-        place=TUNIS,
+        size=TUNIS,
         servers=8,
         streams=(half, post),
         fault=fault,
@@ -113,89 +120,89 @@
 
 
 def _no_shed(scenario: Scenario) -> Scenario:
-    """Let the servers take what comes over their connections, and never shed."""
+    """Return the scenario with servers that queue requests instead of shedding."""
     return replace(scenario, sheds=False)
 
 
 def _shared(name: str, scenario: Scenario) -> Scenario:
-    """Let the servers run all that they have at once."""
-    return replace(scenario, name=name, shares=True)
+    """Return the scenario under ``name``, with processor-sharing servers."""
+    return replace(scenario, name=name, processor_sharing=True)
 
 
-def _texas(name: str, *streams: Stream) -> Scenario:
-    return Scenario(name=name, place=BRAZOS_BEND, servers=12, streams=streams)
+def _brazos_bend(name: str, *streams: Stream) -> Scenario:
+    return Scenario(name=name, size=BRAZOS_BEND, servers=12, streams=streams)
 
 
-_READ = replace(_LOOK_UP, load=0.35)
+_READ = replace(_LOOKUP, load=0.35)
 _UPLOAD = Stream(request_class="upload", load=0.2, work_s=1.0, repeatable=False)
 _ARCHIVE = Stream(request_class="archive", load=0.2, work_s=2.0, callers=20)
-_KEYED = replace(_LOOK_UP, load=0.3, keys=2000)
+_KEYED = replace(_LOOKUP, load=0.3, keys=2000)
 
 SCENARIOS: tuple[Scenario, ...] = (
-    _tunis("normal", _LOOK_UP),
-    _tunis("burst-5x", replace(_LOOK_UP, peak=5.0)),
+    _tunis("normal", _LOOKUP),
+    _tunis("burst-5x", replace(_LOOKUP, burst_factor=5.0)),
     _tunis(
         "callers-come-back",
-        replace(_LOOK_UP, peak=5.0, comes_back=5),
-        end_s=COMEBACK_END_S,
+        replace(_LOOKUP, burst_factor=5.0, retry_limit=5),
+        end_s=RETRIES_END_S,
     ),
-    _tunis("hot-caller-20x", replace(_LOOK_UP, callers=20, hot_caller=20.0)),
-    _tunis("server-10x-slow", _LOOK_UP, fault="slow"),
-    _tunis("server-frozen", _LOOK_UP, fault="frozen"),
-    _tunis("long-1-in-100", replace(_LOOK_UP, work_s=0.01, long_one_in=100)),
-    _tunis("overload-1x", replace(_LOOK_UP, load=1.0), end_s=18.0),
-    _tunis("overload-1.5x", replace(_LOOK_UP, load=1.5), end_s=18.0),
-    _tunis("overload-3x", replace(_LOOK_UP, load=3.0), end_s=18.0),
-    _tunis("overload-10x", replace(_LOOK_UP, load=10.0), end_s=18.0),
-    _no_shed(_tunis("overload-3x-no-shed", replace(_LOOK_UP, load=3.0), end_s=18.0)),
-    _no_shed(_tunis("burst-5x-no-shed", replace(_LOOK_UP, peak=5.0))),
-    replace(_tunis("two-busy-hosts", _LOOK_UP), busy_hosts=2),
-    _tunis("domain-lost", _LOOK_UP, fault="domain"),
-    _tunis("cold-start", _LOOK_UP, fault="cold"),
-    _texas("lookups-alone", _READ),
-    _texas("lookups-and-long", _READ, _UPLOAD, _ARCHIVE),
-    _texas("texas-normal", _LOOK_UP),
-    _texas("texas-overload-10x", replace(_LOOK_UP, load=10.0)),
-    Scenario(name="keyed-normal", place=TUNIS, servers=16, streams=(_KEYED,)),
+    _tunis("hot-caller-20x", replace(_LOOKUP, callers=20, hot_caller_factor=20.0)),
+    _tunis("server-10x-slow", _LOOKUP, fault="slow"),
+    _tunis("server-frozen", _LOOKUP, fault="frozen"),
+    _tunis("long-1-in-100", replace(_LOOKUP, work_s=0.01, long_one_in=100)),
+    _tunis("overload-1x", replace(_LOOKUP, load=1.0), end_s=18.0),
+    _tunis("overload-1.5x", replace(_LOOKUP, load=1.5), end_s=18.0),
+    _tunis("overload-3x", replace(_LOOKUP, load=3.0), end_s=18.0),
+    _tunis("overload-10x", replace(_LOOKUP, load=10.0), end_s=18.0),
+    _no_shed(_tunis("overload-3x-no-shed", replace(_LOOKUP, load=3.0), end_s=18.0)),
+    _no_shed(_tunis("burst-5x-no-shed", replace(_LOOKUP, burst_factor=5.0))),
+    replace(_tunis("two-busy-hosts", _LOOKUP), busy_hosts=2),
+    _tunis("domain-lost", _LOOKUP, fault="domain"),
+    _tunis("cold-start", _LOOKUP, fault="cold"),
+    _brazos_bend("lookups-alone", _READ),
+    _brazos_bend("lookups-and-long", _READ, _UPLOAD, _ARCHIVE),
+    _brazos_bend("texas-normal", _LOOKUP),
+    _brazos_bend("texas-overload-10x", replace(_LOOKUP, load=10.0)),
+    Scenario(name="keyed-normal", size=TUNIS, servers=16, streams=(_KEYED,)),
     Scenario(
         name="hot-key",
-        place=TUNIS,
+        size=TUNIS,
         servers=16,
-        streams=(replace(_KEYED, hot_key=0.5),),
+        streams=(replace(_KEYED, hot_key_share=0.5),),
     ),
     Scenario(
         name="keyed-and-long",
-        place=TUNIS,
+        size=TUNIS,
         servers=16,
         streams=(
-            replace(_KEYED, zipf=0.0),
-            replace(_UPLOAD, keys=2000, zipf=0.0),
-            replace(_ARCHIVE, keys=2000, zipf=0.0),
+            replace(_KEYED, zipf_exponent=0.0),
+            replace(_UPLOAD, keys=2000, zipf_exponent=0.0),
+            replace(_ARCHIVE, keys=2000, zipf_exponent=0.0),
         ),
     ),
     _tunis(
         "hot-caller-returns",
-        replace(_LOOK_UP, callers=20, hot_caller=20.0, hot_tries=10),
+        replace(_LOOKUP, callers=20, hot_caller_factor=20.0, hot_retry_limit=10),
     ),
-    _shared("shared-normal", _tunis("normal", _LOOK_UP)),
-    _shared("shared-10x-slow", _tunis("slow", _LOOK_UP, fault="slow")),
-    _shared("shared-overload-3x", _tunis("3x", replace(_LOOK_UP, load=3.0))),
+    _shared("shared-normal", _tunis("normal", _LOOKUP)),
+    _shared("shared-10x-slow", _tunis("slow", _LOOKUP, fault="slow")),
+    _shared("shared-overload-3x", _tunis("3x", replace(_LOOKUP, load=3.0))),
     Scenario(
         name="uploads-and-reservations",
-        place=TUNIS,
+        size=TUNIS,
         servers=8,
         service="inscription",
         streams=(
-            replace(_LOOK_UP, load=0.2),
+            replace(_LOOKUP, load=0.2),
             replace(_POST, load=0.3),
             replace(_UPLOAD, load=0.2),
         ),
     ),
 )
-SCENARIO_NAMES = tuple(one.name for one in SCENARIOS)
+SCENARIO_NAMES = tuple(scenario.name for scenario in SCENARIOS)
 RateOf = Callable[[float], float]
 
 
 def scenario(name: str) -> Scenario:
     """Return the scenario of this name."""
-    return next(one for one in SCENARIOS if one.name == name)
+    return next(scenario for scenario in SCENARIOS if scenario.name == name)
--- a/bench/load_trial.py
+++ b/bench/load_trial.py
@@ -1,4 +1,4 @@
-"""One run of a scenario against one router: twelve hosts, seeded, virtual time."""
+"""A trial: one scenario with one router, on twelve hosts, seeded, in virtual time."""
 
 from bisect import bisect
 from collections.abc import Callable
@@ -16,7 +16,13 @@
     VirtualClock,
     make_rng,
 )
-from bench.load_scenarios import FROM_S, TO_S, Place, Scenario, Stream
+from bench.load_scenarios import (
+    DISTURBANCE_END_S,
+    DISTURBANCE_START_S,
+    DeploymentSize,
+    Scenario,
+    Stream,
+)
 from bench.load_shared_server import SharedServer
 from gentianwharf.load import Gate, RequestClass, Ticket
 from gentianwharf.topology import BackendServer, Service
@@ -24,8 +30,8 @@
 HOSTS = 12
 LONG_FACTOR = 100.0
 SLOW_FACTOR = 10.0
-# A caller that was refused or failed asks again, up to its stream's number of times.
-IMPATIENT_S = 1.0
+# Callers whose request was refused or failed retry, up to their stream's limit.
+RETRY_DELAY_S = 1.0
 CLASSES = tuple(
     RequestClass.from_deadline(name=name, deadline_ms=deadline_ms, weight=weight)
     for name, deadline_ms, weight in (
@@ -35,23 +41,23 @@
         ("archive", 60_000, 1),
     )
 )
-DEADLINES_S = {one.name: one.deadline_ms / 1000 for one in CLASSES}
+DEADLINES_S = {class_.name: class_.deadline_ms / 1000 for class_ in CLASSES}
 
 
 def make_gate(service: Service, domain: str, rng: Random) -> Router:
-    """Return the gate as the daemon makes it."""
+    """Return a gate that is configured as in the daemon."""
     return Gate(
         services=[service], classes=CLASSES, domain=domain, rng=rng, daemons=HOSTS
     )
 
 
 def make_round_robin(service: Service, domain: str, rng: Random) -> Router:
-    """Return the first baseline."""
+    """Return the round-robin baseline."""
     return RoundRobin(services=[service], rng=rng)
 
 
 def make_least_outstanding(service: Service, domain: str, rng: Random) -> Router:
-    """Return the second baseline."""
+    """Return the least-outstanding baseline."""
     return LeastOutstanding(services=[service], rng=rng)
 
 
@@ -64,33 +70,35 @@
 
 
 def make_service(scenario: Scenario) -> Service:
-    """Return the scenario's service, its servers dealt over the domains."""
-    place = scenario.place
+    """Return the scenario's service, with servers distributed over the domains."""
+    size = scenario.size
     return Service(
         name=scenario.service,
         keyed=scenario.keyed,
         shards=1024 if scenario.keyed else 0,
         servers=tuple(
-            _make_server(scenario.service, place, number, number)
+            _make_server(scenario.service, size, number, number)
             for number in range(scenario.servers)
         ),
     )
 
 
-def _make_server(service: str, place: Place, number: int, port: int) -> BackendServer:
+def _make_server(
+    service: str, size: DeploymentSize, number: int, port: int
+) -> BackendServer:
     return BackendServer(
         id=f"{service}-{port}",
         service=service,
-        domain=place.domains[number % len(place.domains)],
+        domain=size.domains[number % len(size.domains)],
         address=f"127.0.0.1:{9000 + port}",
-        slots=place.slots,
-        connections=place.connections,
+        slots=size.slots,
+        connections=size.connections,
     )
 
 
 @final
 class Trial:
-    """A scenario in motion; ``requests`` holds what every caller received."""
+    """A run of a scenario; ``requests`` holds all requests and their results."""
 
     def __init__(
         self, *, scenario: Scenario, make_router: MakeRouter, seed: int
@@ -100,10 +108,10 @@
         self._seed = seed
         self._clock = VirtualClock()
         self._service = make_service(scenario)
-        make = SharedServer if scenario.shares else FakeServer
+        make = SharedServer if scenario.processor_sharing else FakeServer
         self._servers: dict[str, FakeServer] = {
-            one.id: make(clock=self._clock, server=one, sheds=scenario.sheds)
-            for one in self._service.servers
+            server.id: make(clock=self._clock, server=server, sheds=scenario.sheds)
+            for server in self._service.servers
         }
         self.hosts = [self._make_host(make_router, n) for n in range(HOSTS)]
         self._balancer = make_rng(seed, "balancer")
@@ -118,16 +126,16 @@
         ]
 
     def run(self) -> None:
-        """Run to the scenario's end, and until the last deadline of short classes."""
+        """Run to the end of the scenario, plus the deadline of the look-ups."""
         for number, host in enumerate(self.hosts):
             host.start(number * 0.001)
         for source in self._sources:
             self._clock.call_at(source.gap_s(0.0), self._arrive, source)
-        self._plan_fault()
+        self._schedule_fault()
         self._clock.run_until(self.scenario.end_s + 2.0)
 
     def _make_host(self, make_router: MakeRouter, number: int) -> FakeHost:
-        domains = self.scenario.place.domains
+        domains = self.scenario.size.domains
         domain = domains[number % len(domains)]
         rng = make_rng(self._seed, f"host-{number}")
         return FakeHost(
@@ -135,7 +143,7 @@
             domain=domain,
             router=make_router(self._service, domain, rng),
             servers=self._servers,
-            ended=self._ended,
+            on_end=self._on_end,
         )
 
     def _arrive(self, source: "_Source") -> None:
@@ -150,25 +158,25 @@
 
     def _send(self, request: Request, source: "_Source") -> None:
         hosts = self.hosts[: self.scenario.busy_hosts]
-        request_hosts = [one for one in hosts if not one.lost]
+        running_hosts = [host for host in hosts if not host.lost]
         self.requests.append(request)
-        self._comes_back[request.ticket.id] = source
-        self._balancer.choice(request_hosts).submit(request)
+        self._sources_by_ticket[request.ticket.id] = source
+        self._balancer.choice(running_hosts).submit(request)
 
-    def _ended(self, host: FakeHost, request: Request, retry_after_s: float) -> None:
-        source = self._comes_back.pop(request.ticket.id)
+    def _on_end(self, host: FakeHost, request: Request, retry_after_s: float) -> None:
+        source = self._sources_by_ticket.pop(request.ticket.id)
         stream, hot = source.stream, request.ticket.caller == "hot"
-        tries = stream.hot_tries if hot else stream.comes_back
-        if request.result == "ok" or request.attempt >= tries:
+        retry_limit = stream.hot_retry_limit if hot else stream.retry_limit
+        if request.result == "ok" or request.retries >= retry_limit:
             return
-        if hot and stream.hot_tries:
-            retry_after_s = 2 * self.scenario.place.client_latency_s
+        if hot and stream.hot_retry_limit:
+            retry_after_s = 2 * self.scenario.size.client_latency_s
         now_s = self._clock.now_s
         at_s = now_s + retry_after_s
         if at_s < self.scenario.end_s:
-            self._clock.call_at(at_s, self._come_back, request, source)
+            self._clock.call_at(at_s, self._retry, request, source)
 
-    def _come_back(self, request: Request, source: "_Source") -> None:
+    def _retry(self, request: Request, source: "_Source") -> None:
         now_s = self._clock.now_s
         old = request.ticket
         ticket = replace(
@@ -176,13 +184,13 @@
             id=self._next_id(),
             deadline_s=now_s + DEADLINES_S[old.request_class],
         )
-        again = Request(
+        retried = Request(
             ticket=ticket,
             work_s=request.work_s,
             submitted_s=now_s,
-            attempt=request.attempt + 1,
+            retries=request.retries + 1,
         )
-        self._send(again, source)
+        self._send(retried, source)
 
     def _next_id(self) -> str:
         self._ids += 1
@@ -193,27 +201,27 @@
         return servers[int(key) * 7919 % len(servers)].id
 
     @property
-    def _comes_back(self) -> "dict[str, _Source]":
+    def _sources_by_ticket(self) -> "dict[str, _Source]":
         return self.__dict__.setdefault("_comes_back_table", {})
 
-    # Faults.
-
-    def _plan_fault(self) -> None:
+    def _schedule_fault(self) -> None:
         fault = self.scenario.fault
         if not fault:
             return
         first = next(iter(self._servers.values()))
-        plan = self._clock.call_at
+        schedule = self._clock.call_at
         if fault == "slow":
-            plan(FROM_S, setattr, first, "slowness", SLOW_FACTOR)
-            plan(TO_S, setattr, first, "slowness", 1.0)
+            schedule(DISTURBANCE_START_S, setattr, first, "slowness", SLOW_FACTOR)
+            schedule(DISTURBANCE_END_S, setattr, first, "slowness", 1.0)
         elif fault == "frozen":
-            plan(FROM_S, first.freeze)
-            plan(TO_S, first.thaw)
+            schedule(DISTURBANCE_START_S, first.freeze)
+            schedule(DISTURBANCE_END_S, first.thaw)
         elif fault == "domain":
-            plan(FROM_S, self._lose_domain, self.scenario.place.domains[0])
+            schedule(
+                DISTURBANCE_START_S, self._lose_domain, self.scenario.size.domains[0]
+            )
         elif fault == "cold":
-            plan(FROM_S, self._replace_third)
+            schedule(DISTURBANCE_START_S, self._replace_third)
 
     def _lose_domain(self, domain: str) -> None:
         for server in self._servers.values():
@@ -223,24 +231,26 @@
                 host.lose()
 
     def _replace_third(self) -> None:
-        kept = list(self._service.servers)
-        for number in range(0, len(kept), 3):
+        servers = list(self._service.servers)
+        for number in range(0, len(servers), 3):
             joined = _make_server(
-                self.scenario.service, self.scenario.place, number, number + 1000
+                self.scenario.service, self.scenario.size, number, number + 1000
             )
             fake = FakeServer(clock=self._clock, server=joined)
             fake.cold_since_s = self._clock.now_s
             self._servers[joined.id] = fake
-            kept[number] = joined
+            servers[number] = joined
         for host in self.hosts:
             host.apply(
-                host.router.set_servers(self.scenario.service, kept, self._clock.now_s)
+                host.router.set_servers(
+                    self.scenario.service, servers, self._clock.now_s
+                )
             )
 
 
 @final
 class _Source:
-    """Draws a stream's arrivals, callers, keys and work."""
+    """Generates the arrivals, callers, keys and work of a stream."""
 
     def __init__(self, *, stream: Stream, scenario: Scenario, rng: Random) -> None:
         self.stream = stream
@@ -249,21 +259,21 @@
         mean_s = stream.work_s
         if stream.long_one_in:
             mean_s *= 1 + (LONG_FACTOR - 1) / stream.long_one_in
-        slots = scenario.servers * scenario.place.slots
+        slots = scenario.servers * scenario.size.slots
         self._rate_per_s = stream.load * slots / mean_s
-        self._hot_share = stream.hot_caller / stream.callers
-        weights = [(rank + 1) ** -stream.zipf for rank in range(stream.keys)]
+        self._hot_share = stream.hot_caller_factor / stream.callers
+        weights = [(rank + 1) ** -stream.zipf_exponent for rank in range(stream.keys)]
         self._zipf = list(accumulate(weights))
 
     def gap_s(self, now_s: float) -> float:
         """Return the time until the next arrival."""
         rate = self._rate_per_s
-        if FROM_S <= now_s < TO_S:
-            rate *= self.stream.peak + self._hot_share
+        if DISTURBANCE_START_S <= now_s < DISTURBANCE_END_S:
+            rate *= self.stream.burst_factor + self._hot_share
         return self._rng.expovariate(rate)
 
     def make(self, id_: str, now_s: float) -> tuple[Ticket, float]:
-        """Return a request and how long a server needs for it."""
+        """Return a request and the time that a server needs for it."""
         stream, rng = self.stream, self._rng
         work_s = max(0.001, rng.expovariate(1 / stream.work_s))
         if stream.long_one_in and rng.random() * stream.long_one_in < 1:
@@ -280,7 +290,9 @@
         return ticket, work_s
 
     def _caller(self, now_s: float) -> str:
-        hot = self._hot_share if FROM_S <= now_s < TO_S else 0.0
+        hot = (
+            self._hot_share if DISTURBANCE_START_S <= now_s < DISTURBANCE_END_S else 0.0
+        )
         if hot and self._rng.random() < hot / (1 + hot):
             return "hot"
         return str(self._rng.randrange(self.stream.callers))
@@ -288,7 +300,10 @@
     def _key(self, now_s: float) -> str | None:
         if not self.stream.keys:
             return None
-        if FROM_S <= now_s < TO_S and self._rng.random() < self.stream.hot_key:
+        if (
+            DISTURBANCE_START_S <= now_s < DISTURBANCE_END_S
+            and self._rng.random() < self.stream.hot_key_share
+        ):
             return "0"
         draw = self._rng.random() * self._zipf[-1]
         return str(bisect(self._zipf, draw) + 1)
--- a/tests/test_load_patterns.py
+++ b/tests/test_load_patterns.py
@@ -2,7 +2,7 @@
 
 These are the trials of ``python -m bench.load``, shortened, on a virtual clock and with
 a fixed seed, so that figures are the same on every machine. Bounds are the goals where
-these are met, and otherwise what was reached (docs/LOAD.md states which).
+these are met, and otherwise the values reached (docs/LOAD.md states which).
 """
 
 import json
@@ -14,20 +14,20 @@
 from bench.load import RESULTS, SEED
 from bench.load_measures import Figures, measure
 from bench.load_page import PAGE, make_tables, put_tables
-from bench.load_scenarios import SCENARIO_NAMES, TO_S, scenario
+from bench.load_scenarios import DISTURBANCE_END_S, SCENARIO_NAMES, scenario
 from bench.load_trial import ROUTERS, Trial
 
-SHORT_END_S = TO_S + 6.0
-# By then callers that are all told to retry within half a minute have done so.
-COMEBACK_END_S = TO_S + 20.0
-# These largest loads run with half of the servers and callers, and get half of the
-# answers.
+SHORT_END_S = DISTURBANCE_END_S + 6.0
+# By then, all callers have retried whose retry time is at most half a minute.
+RETRIES_END_S = DISTURBANCE_END_S + 20.0
+# The largest loads run with half of the servers and callers, so that half of the
+# answers are expected.
 HALVED = {"overload-10x", "burst-5x"}
 
 
 @cache
 def run_trial(name: str, router: str) -> Trial:
-    end_s = COMEBACK_END_S if name == "callers-come-back" else SHORT_END_S
+    end_s = RETRIES_END_S if name == "callers-come-back" else SHORT_END_S
     shortened = scenario(name)
     shortened = replace(shortened, end_s=min(shortened.end_s, end_s))
     if name in HALVED:
@@ -46,7 +46,7 @@
 
 @cache
 def recorded(name: str, router: str) -> dict[str, Any]:
-    """Return a recorded row of the page, which saves a run here."""
+    """Return a recorded row of the page, which avoids a run here."""
     rows: list[dict[str, Any]] = json.loads(RESULTS.read_text())
     return next(
         row for row in rows if (row["scenario"], row["router"]) == (name, router)
@@ -61,8 +61,8 @@
 
 def test_burst_is_refused_quickly_and_service_recovers_at_once() -> None:
     figures = run("burst-5x")
-    usual = recorded("overload-1x", "gentianwharf")["goodput_per_s"]
-    assert figures.goodput_per_s > 0.95 * usual / 2
+    normal = recorded("overload-1x", "gentianwharf")["goodput_per_s"]
+    assert figures.goodput_per_s > 0.95 * normal / 2
     assert figures.refusals_p99_ms < 5.0
     assert figures.normal_after_s is not None
     assert figures.normal_after_s <= 5.0
@@ -70,8 +70,8 @@
 
 def test_goodput_at_ten_times_the_load_is_that_of_normal_load() -> None:
     figures = run("overload-10x")
-    usual = recorded("overload-1x", "gentianwharf")["goodput_per_s"]
-    assert figures.goodput_per_s > 0.95 * usual / 2
+    normal = recorded("overload-1x", "gentianwharf")["goodput_per_s"]
+    assert figures.goodput_per_s > 0.95 * normal / 2
     assert figures.refusals_p99_ms < 5.0
     assert figures.unserved_caller_s < 2.0
 
@@ -79,15 +79,17 @@
 def test_retries_of_refused_callers_do_not_prolong_the_overload() -> None:
     """Guards against a second overload by callers that were refused in a burst.
 
-    The load is five times as high for ten seconds, and all refused callers retry. When
-    they were told to retry within 30 s, all did so between 30 and 48 s after the start
+    The load is five times as high for ten seconds, and all refused callers retry. With
+    retry times of up to 30 s, all of them retried between 30 and 48 s after the start
     of the burst, and 40 % of the new callers were refused then.
     """
     trial = run_trial("callers-come-back", "gentianwharf")
     figures = run("callers-come-back")
     assert figures.normal_after_s is not None
     assert figures.normal_after_s <= 5.0
-    later = [item for item in trial.requests if item.submitted_s > TO_S + 5.0]
+    later = [
+        item for item in trial.requests if item.submitted_s > DISTURBANCE_END_S + 5.0
+    ]
     refused = sum(item.result == "refused" for item in later)
     assert refused < 0.01 * len(later)
 
@@ -124,7 +126,7 @@
 
     The load balancer sends everything to two of twelve hosts, and the servers are 70 %
     busy. Each host stayed at its fair share, a twelfth, and 30 % was refused: with few
-    answers in a window, it always seemed slower by chance than the best window.
+    answers in a window, its latency was by chance always above that of the best window.
     """
     figures = run("two-busy-hosts")
     assert figures.others_refused_share < 0.005
@@ -135,7 +137,7 @@
 def test_long_jobs_at_owners_of_keys_are_no_worse_than_with_a_baseline() -> None:
     """Guards against long jobs that fill the owners that answer look-ups too.
 
-    Twelve hosts sent a long job each, and six of those filled an owner. The gate was
+    Each of twelve hosts sent a long job, and six of those filled an owner. The gate was
     then worse than no limits at all: p99 714 ms, refusals after 691 ms.
     """
     trial = run_trial("keyed-and-long", "gentianwharf")
