--- a/bench/load_fakes.py
+++ b/bench/load_fakes.py
@@ -102,13 +102,16 @@
 @final
 @dataclass(kw_only=True, slots=True, eq=False)
 class Job:
-    """The execution of a request on one server."""
+    """The execution of a request on one server.
+
+    It is ``closed`` once its host no longer waits for the answer.
+    """
 
     request: Request
     host: "FakeHost"
     sent_s: float
     running: bool = False
-    abandoned: bool = False
+    closed: bool = False
 
 
 class FakeServer:
@@ -132,7 +135,7 @@
 
     def receive(self, job: Job) -> None:
         """Run a request, queue it or shed it."""
-        if self.lost or job.abandoned:
+        if self.lost or job.closed:
             return
         if self._frozen:
             self._held_calls.append((self.receive, job))
@@ -183,14 +186,14 @@
             return
         job.running = False
         self._running -= 1
-        if not job.abandoned:
+        if not job.closed:
             job.host.answer_later(self, job, OutcomeKind.OK)
         self._next()
 
     def _next(self) -> None:
         while self._waiting and self._running < self.server.slots:
             job = self._waiting.popleft()
-            if not job.abandoned and self._clock.now_s < job.request.ticket.deadline_s:
+            if not job.closed and self._clock.now_s < job.request.ticket.deadline_s:
                 self._run(job)
 
 
@@ -274,9 +277,9 @@
         self._clock.call_at(arrival_s, server.receive, job)
 
     def _answer(self, server: FakeServer, job: Job, kind: OutcomeKind) -> None:
-        if job.abandoned or self.lost:
+        if job.closed or self.lost:
             return
-        job.abandoned = True
+        job.closed = True
         request, server_id = job.request, server.server.id
         if kind is not OutcomeKind.CONNECT_FAILED:
             self._idle[server_id] = self._idle.get(server_id, 0) + 1
@@ -305,7 +308,7 @@
         now_s = self._clock.now_s
         for server_id, job in list(request.jobs.items()):
             server = self._servers[server_id]
-            job.abandoned = True
+            job.closed = True
             # The connection is closed, since it carries an incomplete answer.
             server.connections -= 1
             self._clock.call_at(now_s + self._latency_s(server), server.cancel, job)
@@ -326,7 +329,7 @@
         self.lost = True
         for request in list(self._requests.values()):
             for job in request.jobs.values():
-                job.abandoned = True
+                job.closed = True
             self._end(request, "failed", 1.0)
 
 
--- a/bench/load_shared_server.py
+++ b/bench/load_shared_server.py
@@ -32,7 +32,7 @@
 
     def receive(self, job: Job) -> None:
         """Run a request concurrently with the others, or shed it."""
-        if self.lost or job.abandoned:
+        if self.lost or job.closed:
             return
         if self._running >= self._max_running:
             job.host.answer_later(self, job, OutcomeKind.SHED)
@@ -79,6 +79,6 @@
         _, _, job = heappop(self._ends)
         job.running = False
         self._running -= 1
-        if not job.abandoned:
+        if not job.closed:
             job.host.answer_later(self, job, OutcomeKind.OK)
         self._schedule_end()
