--- a/src/gentianwharf/ownership/_loads.py
+++ b/src/gentianwharf/ownership/_loads.py
@@ -1,4 +1,4 @@
-"""How much each shard is asked for, gathered at the control holder."""
+"""Request rates of shards and keys: counted on hosts, summed by the control holder."""
 
 from collections.abc import Iterable, Mapping
 from random import Random
@@ -15,33 +15,33 @@
 Name = TypeVar("Name", int, str)
 
 REPORT_EVERY_S = 2.0
-"""How often a host tells the control holder what it sent."""
+"""Interval of a host's load reports to the control holder."""
 
-MOST_REPORTED = 512
-"""Shards in one report, the busiest first: some 3 kB at most."""
+MAX_REPORTED_SHARDS = 512
+"""Maximum number of shards in one report, the busiest first: about 3 kB."""
 
 MOST_REPORTERS = 400
-"""Hosts that report in one period; of more hosts a new sample each time.
+"""Expected number of reports per period; larger fleets are sampled anew each period.
 
-The balancer spreads callers over the hosts, so that any sample of them tells the rates
-of all: 400 hosts with 450 requests a second each have sent 360,000 in a period. With a
-report from every one of 60,000 daemons a holder would get 30,000 messages a second.
+The load balancer spreads callers over the hosts, so any sample represents the rates of
+all: 400 hosts at 450 requests per second each send 360,000 in a period. Reports from
+all of 60,000 daemons would be 30,000 messages per second at the control holder.
 """
 
 HALF_LIFE_S = 30.0
-"""After which a past rate counts half: hot keys change within minutes."""
+"""Half-life of a past rate; hot keys change within minutes."""
 
-LEAST_RATE = 0.001
-"""Requests a second below which a shard's rate is forgotten."""
+MIN_RATE = 0.001
+"""Rate in requests per second below which a shard or key is discarded."""
 
-DECAY_EVERY_S = 1.0
-"""How often past rates are lowered. At each report, of which a holder gets one from
-every host, would touch every known shard for each host; the delay is 2 % of a rate."""
+DECAY_INTERVAL_S = 1.0
+"""Interval at which past rates decay. Decaying on every report would visit every known
+shard once per host; the delay causes an error of 2 % of a rate."""
 
 
 @final
 class SentCounts:
-    """What this host sent for each shard of one service since the last report."""
+    """Requests that this host sent per shard of one service since the last report."""
 
     def __init__(self) -> None:
         self.keys = KeyCounts()
@@ -57,22 +57,22 @@
             self.keys.add(shard, key)
 
     def answered(self, busy_s: float) -> None:
-        """Count one answer, and how long it kept a server busy."""
+        """Count one answer and the time for which it kept a server busy."""
         self._answers += 1
         self._busy_s += busy_s
 
     def take(self, service: str, now_s: float) -> Loads | None:
-        """Return the report that is due, or None."""
+        """Return the report if one is due, else None."""
         elapsed_s = now_s - self._since_s
         if elapsed_s < REPORT_EVERY_S:
             return None
         if not self._counts and not self._answers:
             self._since_s = now_s
             return None
-        busiest = sorted(self._counts.items(), key=lambda one: -one[1])
+        busiest = sorted(self._counts.items(), key=lambda item: -item[1])
         rates = {
             shard: round(count / elapsed_s, 3)
-            for shard, count in busiest[:MOST_REPORTED]
+            for shard, count in busiest[:MAX_REPORTED_SHARDS]
         }
         keys, watched = self.keys.take()
         report = Loads(
@@ -91,7 +91,7 @@
 
 
 def sampled(report: Loads, *, hosts: int, rng: Random) -> Loads | None:
-    """Return the report as one of ``MOST_REPORTERS``, or None when others report.
+    """Return the report weighted for its sample, or None if this host is not sampled.
 
     >>> report = Loads(service="ledger", rates={})
     >>> sampled(report, hosts=12, rng=Random(1)).hosts
@@ -108,10 +108,10 @@
 class ShardLoads:
     """Smoothed rates of all hosts, per shard, in requests per second.
 
-    A rate alone says nothing of how full a server is. Times how long an answer of
-    the service takes it is the slots in use (Little's law). The time is the whole
-    service's: that of a shard alone would rise with its owner's queue, and a
-    request that is refused before it is sent has none but counts as asked for.
+    The rate times the mean busy time of an answer is the number of slots in use
+    (Little's law). The mean is taken over the whole service: that of one shard would
+    rise with its owner's queue. Requests that are refused before they are sent have
+    no busy time, but count towards the rate.
     """
 
     def __init__(self, *, shards: int) -> None:
@@ -124,12 +124,12 @@
         self._since_s: float | None = None
 
     def hear(self, loads: Loads, now_s: float) -> None:
-        """Add one host's report of the last ``REPORT_EVERY_S``."""
+        """Add one host's report for the last ``REPORT_EVERY_S``."""
         self.decay(now_s)
         self._answers += loads.hosts * loads.answers
         self._busy_s += loads.hosts * loads.busy_s
-        # Each host adds this much of its rate at each report; with the decay the
-        # sum settles at the rates' sum over the hosts.
+        # With the decay, adding this share of each reported rate makes the sum
+        # converge to the total rate of all hosts.
         share = loads.hosts * (1 - 0.5 ** (REPORT_EVERY_S / HALF_LIFE_S))
         for shard, rate in loads.rates.items():
             self._rates[shard] = self._rates.get(shard, 0.0) + share * rate
@@ -141,25 +141,25 @@
                 self._keys[key] = self._keys.get(key, 0.0) + loads.hosts * count
 
     def decay(self, now_s: float) -> None:
-        """Lower past rates; hosts that send nothing report nothing."""
+        """Decay past rates, also when no reports arrive: idle hosts send none."""
         since_s = now_s if self._since_s is None else self._since_s
-        if self._since_s is not None and now_s < since_s + DECAY_EVERY_S:
+        if self._since_s is not None and now_s < since_s + DECAY_INTERVAL_S:
             return
         self._since_s = now_s
         factor = 0.5 ** ((now_s - since_s) / HALF_LIFE_S)
         self._answers *= factor
         self._busy_s *= factor
-        self._rates = _lowered(self._rates, factor)
-        self._keys = _lowered(self._keys, factor)
+        self._rates = _decayed(self._rates, factor)
+        self._keys = _decayed(self._keys, factor)
         self._watched = {shard: n * factor for shard, n in self._watched.items()}
 
     @property
     def mean_busy_s(self) -> float:
-        """Return how long an answer of the service takes, 0 before the first one."""
+        """Return the mean busy time of an answer, 0 before the first one."""
         return self._busy_s / self._answers if self._answers else 0.0
 
     def watch(self, shards: Iterable[int]) -> None:
-        """Follow the keys of ``shards``, which hosts report from now on."""
+        """Keep key counts only for ``shards``, whose keys hosts report from now on."""
         self._watched = {shard: self._watched.get(shard, 0.0) for shard in shards}
         self._keys = {
             key: rate
@@ -167,11 +167,11 @@
             if shard_of(key, self._shards) in self._watched
         }
 
-    def take_out(self, pins: Mapping[str, int]) -> None:
-        """Count what is known of keys that now have an entry under its number.
+    def split_off_pins(self, pins: Mapping[str, int]) -> None:
+        """Transfer the rates of newly pinned keys from their shards to their entries.
 
-        Left with its shard, the key's past load would count twice for a minute, and
-        the shard would move for a key that has left it.
+        Otherwise a key's past load would count twice for a minute, and the shard
+        could be moved because of a key that is no longer part of it.
         """
         for key in self._keys.keys() & pins.keys():
             shard, number = shard_of(key, self._shards), pins[key]
@@ -181,7 +181,7 @@
             del self._keys[key]
 
     def _rate_of(self, key: str) -> float:
-        # Of the shard's rate, since the key was counted for a shorter time.
+        # A share of the shard's rate, because the key was counted for a shorter time.
         shard = shard_of(key, self._shards)
         watched = self._watched.get(shard, 0.0)
         if watched <= 0:
@@ -190,12 +190,12 @@
         return share * self._rates.get(shard, 0.0)
 
     def key_slots(self) -> dict[str, float]:
-        """Return the slots in use by key, of keys that stand in watched shards."""
+        """Return the slots in use per counted key of the watched shards."""
         mean_busy_s = self.mean_busy_s
         return {key: self._rate_of(key) * mean_busy_s for key in self._keys}
 
     def demand(self, *, slots: int) -> Demand:
-        """Return the slots in use by shard, of a service that has ``slots``."""
+        """Return the slots in use per shard of a service with ``slots`` in total."""
         mean_busy_s = self.mean_busy_s
         measured = {shard: rate * mean_busy_s for shard, rate in self._rates.items()}
         return Demand(
@@ -204,5 +204,5 @@
         )
 
 
-def _lowered(rates: Mapping[Name, float], factor: float) -> dict[Name, float]:
-    return {name: rate * factor for name, rate in rates.items() if rate > LEAST_RATE}
+def _decayed(rates: Mapping[Name, float], factor: float) -> dict[Name, float]:
+    return {name: rate * factor for name, rate in rates.items() if rate > MIN_RATE}
--- a/src/gentianwharf/ownership/_move.py
+++ b/src/gentianwharf/ownership/_move.py
@@ -1,8 +1,8 @@
 """One move of one shard, as a state machine.
 
-Only the store's word outlives the control holder: another one builds the machine
-again from the table's entry and repeats the steps, each of which is idempotent
-under the entry's next token.
+Only the state in the store outlives the control holder. The next holder rebuilds the
+machine from the table's entry and repeats the steps, each of which is idempotent under
+the entry's next token.
 """
 
 from dataclasses import dataclass, field
@@ -15,28 +15,28 @@
 
 
 class MoveInputs(Protocol):
-    """What can happen to a move."""
+    """Inputs of the state machine of a move."""
 
     def holders_cleared(self) -> None:
-        """Go on: every server that might hold the shard released it or lapsed."""
+        """Continue: every server that may hold the shard has released it or lapsed."""
 
     def target_accepted(self) -> None:
-        """Go on: the target took the grant."""
+        """Continue: the target has accepted the grant."""
 
     def confirmed(self) -> None:
-        """End: the store took the target as owner."""
+        """End: the store has committed the target as owner."""
 
     def step(self) -> str:
-        """Return the step that the move waits for."""
+        """Return the current step of the move."""
 
 
 @final
 @dataclass(kw_only=True, slots=True)
 class Move:
-    """The volatile part of a move: what is known of each holder.
+    """The part of a move that is kept in memory: the state of each holder.
 
-    ``longest_deadline_s`` is the end of the longest deadline that may have been sent to
-    the lost owner beyond its senders' rights, as far as witnesses were asked.
+    ``longest_deadline_s`` is the end of the longest deadline beyond its sender's right
+    that may have been sent to the lost owner, as far as witnesses have answered.
     """
 
     service: str
@@ -47,18 +47,18 @@
     started_s: float
     cleared: set[str] = field(default_factory=set)
     announcements: dict[str, Announcement] = field(default_factory=dict)
-    grant_tried_s: float = float("-inf")
+    last_grant_attempt_s: float = float("-inf")
     longest_deadline_s: float = float("inf")
 
     def uncleared(self) -> list[str]:
         """Return the servers that may still hold the shard."""
-        return [one for one in self.entry.holders if one not in self.cleared]
+        return [holder for holder in self.entry.holders if holder not in self.cleared]
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MoveState:
-    """A move under way, as the control holder sees it."""
+    """A move in progress, as the control holder sees it."""
 
     service: str
     shard: int
@@ -85,4 +85,4 @@
 
 
 build_move_machine = _build().build()
-"""From a ``Move`` to its machine, in the step ``clearing``."""
+"""Builds the state machine of a ``Move``, in the step ``clearing``."""
--- a/src/gentianwharf/ownership/_mover.py
+++ b/src/gentianwharf/ownership/_mover.py
@@ -286,11 +286,13 @@
 
     def _grant(self, target: str, moves: list[Move]) -> None:
         now_s = self._context.now_s
-        due = [one for one in moves if now_s >= one.grant_tried_s + GRANT_EVERY_S]
+        due = [
+            one for one in moves if now_s >= one.last_grant_attempt_s + GRANT_EVERY_S
+        ]
         if not due or target in self._granting:
             return
         for move in due:
-            move.grant_tried_s = now_s
+            move.last_grant_attempt_s = now_s
         self._granting.add(target)
         Deferred.fromCoroutine(self._order_grant(target, due))
 
--- a/src/gentianwharf/ownership/_pace.py
+++ b/src/gentianwharf/ownership/_pace.py
@@ -1,43 +1,45 @@
-"""When hosts ask for rights: each a moment after those that it gets them from.
-
-Each host that passes a right on would add up to one round of 100 ms to its age, so
-that the fourth had nothing of the 400 ms left. Here all hosts that ask witnesses do so
-at about the same instant, those of other domains are asked a moment later, and each
-step of a domain's tree a moment after the one before. Only how old a right is when it
-arrives depends on it: a host that keeps another pace asks the witnesses itself.
+"""Phase of hosts' requests for rights: each follows the hosts that it gets them from.
+
+Without alignment, each host that forwards a right would add up to one round of 100 ms
+to its age, and at the fourth host none of its 400 ms would be left. Therefore all hosts
+that ask witnesses do so at about the same time, hosts of other domains are asked
+shortly afterwards, and each level of a domain's tree shortly after the level above.
+Only the age of a right on arrival depends on this: a host with a different phase asks
+the witnesses itself.
 """
 
 from ._timing import RIGHT_ASK_EVERY_S
 
 OTHERS_AFTER_S = 0.05
-"""How long after its own domain's witnesses a host asks other domains' hosts.
+"""Delay between asking the own domain's witnesses and asking other domains' hosts.
 
-These ask their witnesses at the same time, give or take some milliseconds of the
-loop, and need the answers before they can share them. Half a round bears the most.
+Those hosts ask their witnesses at the same time, within a few milliseconds of event
+loop delay, and need the answers before they can share them. Half a round tolerates the
+largest difference.
 """
 
 SHARED_AFTER_S = 0.08
-"""How long after an asker's own question its neighbours in the tree ask it."""
+"""Delay between an asker's own request and the requests of the next tree level."""
 
-STEP_S = 0.02
-"""Time from one step of the tree to the next: an answer's way and the loop's lag."""
+TREE_STEP_S = 0.02
+"""Delay between tree levels: an answer's network latency and event loop lag."""
 
 GAIN = 0.5
-"""Part of a difference of pace that is mended at once; all of it would swing, since
-the other host's own pace is mended meanwhile."""
+"""Fraction of a phase difference that is corrected at once. Correcting all of it would
+oscillate, because the other host corrects its own phase meanwhile."""
 
 ASKERS = 2
-"""Hosts of a domain that ask the witnesses; one may be lost without being felt."""
+"""Hosts of a domain that ask the witnesses; one may be lost without any effect."""
 
 FAN_OUT = 16
-"""Hosts that ask one host for a share, twice that when its neighbour is lost.
+"""Hosts that ask one host for a share; twice as many while its neighbour is lost.
 
-Three steps reach 8,738 hosts a domain.
+Three levels reach 8,738 hosts per domain.
 """
 
 
 def nearer_positions(position: int) -> tuple[int, ...]:
-    """Return the places in the tree whose hosts the one at ``position`` may ask.
+    """Return the tree positions whose hosts the host at ``position`` may ask.
 
     >>> nearer_positions(1), nearer_positions(2), nearer_positions(40)
     ((), (0, 1), (2, 3))
@@ -46,13 +48,13 @@
         return ()
     nearer = (position - ASKERS) // FAN_OUT
     other = nearer + 1 if nearer % 2 == 0 else nearer - 1
-    return tuple(one for one in (nearer, other) if one < position)
+    return tuple(parent for parent in (nearer, other) if parent < position)
 
 
 def steps_from_askers(position: int) -> int:
-    """Return how many hosts lie between this place and the witnesses.
+    """Return the number of tree levels between ``position`` and the askers.
 
-    >>> [steps_from_askers(one) for one in (0, 2, 33, 34, 600)]
+    >>> [steps_from_askers(position) for position in (0, 2, 33, 34, 600)]
     [0, 1, 1, 2, 3]
     """
     steps = 0
@@ -63,18 +65,18 @@
 
 
 def aimed_age_s(steps: int) -> float:
-    """Return how old a right should be when a host ``steps`` down asks for its share.
+    """Return the target age of a right when a host ``steps`` levels down asks for it.
 
     >>> aimed_age_s(0), round(aimed_age_s(2), 3)
     (0.05, 0.1)
     """
     if steps == 0:
         return OTHERS_AFTER_S
-    return SHARED_AFTER_S + (steps - 1) * STEP_S
+    return SHARED_AFTER_S + (steps - 1) * TREE_STEP_S
 
 
 def late_s(age_s: float, aimed_s: float) -> float:
-    """Return by how much a question came too late, negative for too early.
+    """Return how late a request was, in seconds; negative if it was early.
 
     >>> round(late_s(0.07, 0.03), 3), round(late_s(0.12, 0.03), 3)
     (0.04, -0.01)
--- a/src/gentianwharf/ownership/_planner.py
+++ b/src/gentianwharf/ownership/_planner.py
@@ -1,4 +1,4 @@
-"""Which shards have to move, decided from the table and what is known of servers."""
+"""Selection of shards to move, from the table and the servers' states."""
 
 from collections.abc import Callable, Mapping, Sequence
 from collections.abc import Set as AbstractSet
@@ -14,18 +14,18 @@
 
 from ._table import Entry, EntryState
 
-MOST_PLANNED_MOVES = 64
-"""Moves of shards whose owner still serves, under way at a time in a service.
+MAX_PLANNED_MOVES = 64
+"""Maximum number of concurrent moves in a service of shards whose owner still serves.
 
-Each holds its shard's requests for some milliseconds; more at once would hold a
-noticeable share of a service's requests together.
+Each move holds its shard's requests for some milliseconds; more at once would hold a
+noticeable share of the service's requests.
 """
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerStates:
-    """What the control holder knows of the service's servers."""
+    """States of the service's servers, as seen by the control holder."""
 
     candidates: Sequence[Candidate]
     lost: AbstractSet[str]
@@ -33,18 +33,18 @@
 
     def usable(self) -> list[Candidate]:
         """Return the servers that may take shards."""
-        out = self.lost | self.leaving
-        return [one for one in self.candidates if one.id not in out]
+        excluded = self.lost | self.leaving
+        return [server for server in self.candidates if server.id not in excluded]
 
 
 Intents = dict[int, tuple[str, EntryState]]
 
 
 def lost_shards(entries: Mapping[int, Entry], lost: AbstractSet[str]) -> list[int]:
-    """Return the shards that a lost server owns, holds or should take.
+    """Return the shards that a lost server owns or holds or is the target of.
 
-    A move that already waits for its lost holders to lapse, towards a live target, is
-    let alone: a new intent would start the wait again.
+    A move to a live target that already waits for its lost holders to lapse is left
+    unchanged: a new intent would restart the wait.
     """
     return [
         shard
@@ -63,21 +63,21 @@
     *,
     states: ServerStates,
     demand: Demand,
-    is_bound: bool,
+    within_sites: bool,
     is_movable: Callable[[int], bool],
     weights: PlacementWeights,
-    room: int,
+    max_moves: int,
 ) -> Intents:
-    """Return intents that even out the load, none while servers are lost."""
+    """Return intents that balance the load, none while any server is lost."""
     if states.lost:
         return {}
     moves = rebalance(
         owned,
         demand=demand,
         candidates=states.usable(),
-        within_sites=is_bound,
+        within_sites=within_sites,
         weights=weights,
-        max_moves=room,
+        max_moves=max_moves,
         is_movable=is_movable,
     )
     return {move.shard: (move.target, EntryState.RELEASING) for move in moves}
--- a/src/gentianwharf/ownership/_plans.py
+++ b/src/gentianwharf/ownership/_plans.py
@@ -1,4 +1,4 @@
-"""What should move: away from lost and leaving servers, to its site, to less load."""
+"""Planning of moves: off lost and draining servers, to the rules' site, for load."""
 
 from collections.abc import Iterable, Sequence
 from typing import final
@@ -13,7 +13,7 @@
 from ._mover import Mover
 from ._pinner import Pinner
 from ._planner import (
-    MOST_PLANNED_MOVES,
+    MAX_PLANNED_MOVES,
     ServerStates,
     lost_shards,
     plan_rebalance,
@@ -21,21 +21,21 @@
 from ._table import EntryState
 from ._writer import TableWriter
 
-LEAVING_FRESH_S = 2.0
-"""How long a server's own word that it is draining counts; it repeats it."""
+DRAINING_REPORT_TTL_S = 2.0
+"""How long a server's own report that it is draining is valid; servers repeat it."""
 
 REBALANCE_EVERY_S = 10.0
-"""How often the load is looked at: several reports of each host come between."""
+"""Interval of load balancing; several reports of each host arrive in between."""
 
 SCAN_SHARDS = 512
-"""Shards looked at in one tick for a site that the rules changed."""
+"""Shards checked per tick for a site that the rules have changed."""
 
 
 @final
 class ServicePlans:
     """Turns states, requests and loads of one service into intents.
 
-    Only the holder of the service's control runs it.
+    Runs only on the host that holds the service's control.
     """
 
     def __init__(
@@ -56,11 +56,11 @@
         self._mover = mover
         self._writer = writer
         self._pinner = Pinner(context=context, service=service, writer=writer)
-        self._said_leaving_s: dict[str, float] = {}
+        self._draining_reported_s: dict[str, float] = {}
         self._requested: dict[int, str] = {}
-        self._scan_from = 0
-        self._has_sites = False
-        self._is_bound = False
+        self._next_scan_shard = 0
+        self._scan_found_site = False
+        self._any_shard_has_site = False
         self._rebalanced_s = context.now_s
 
     def _states(self) -> ServerStates:
@@ -85,39 +85,40 @@
         return ServerStates(candidates=candidates, lost=lost, leaving=self._leaving())
 
     def request(self, request: MoveRequest) -> None:
-        """Take an operator's request."""
+        """Accept an operator's request; the next run plans it."""
         if request.key is None:
             self._requested[request.shard] = request.server
         else:
             self._pinner.request(request.key, request.server)
 
     def forget_requests(self) -> None:
-        """Forget what operators asked for, the lease being gone.
+        """Discard operators' requests after the lease is lost.
 
-        Who asked sends it to the next holder. Kept, it would be carried out when this
-        host has the lease again, against all that was asked for meanwhile.
+        The host that accepted a request sends it to the next control holder. If it
+        were kept here, it would be executed once this host holds the lease again and
+        would override newer requests.
         """
         self._requested.clear()
         self._pinner.forget_requests()
 
     def said_leaving(self, server: str) -> None:
-        """Note that ``server`` itself says it is draining."""
-        self._said_leaving_s[server] = self._context.now_s
+        """Record that ``server`` itself reports that it is draining."""
+        self._draining_reported_s[server] = self._context.now_s
 
     def _leaving(self) -> set[str]:
         now_s = self._context.now_s
-        said = {
+        reported = {
             server
-            for server, at_s in self._said_leaving_s.items()
-            if now_s - at_s <= LEAVING_FRESH_S
+            for server, at_s in self._draining_reported_s.items()
+            if now_s - at_s <= DRAINING_REPORT_TTL_S
         }
-        return said | self.listed_leaving
+        return reported | self.listed_leaving
 
     def _site_of(self, shard: int) -> str | None:
         return self._pinner.site_of(shard)
 
     def first_targets(self) -> dict[int, str]:
-        """Return the owners of a service that has no table yet."""
+        """Return the initial owners for a service that has no table yet."""
         return place(
             range(self._service.shards),
             demand=UNIFORM_DEMAND,
@@ -127,7 +128,7 @@
         )
 
     def _demand(self) -> Demand:
-        slots = sum(one.slots for one in self._service.servers)
+        slots = sum(server.slots for server in self._service.servers)
         self.loads.decay(self._context.now_s)
         return self.loads.demand(slots=slots)
 
@@ -138,16 +139,18 @@
             for server in self._service.servers
         }
         for shard, move in self._mover.moves.items():
-            # A key's own entry that is taken away has no target.
+            # The move that removes a pinned key's entry has no target.
             if move.entry.target:
                 busy[move.entry.target] += demand.shard_slots(shard)
         return busy
 
-    def _placed(self, shards: Sequence[int], states: ServerStates) -> dict[int, str]:
+    def _choose_targets(
+        self, shards: Sequence[int], states: ServerStates
+    ) -> dict[int, str]:
         """Return a target for each of ``shards``.
 
-        Asked on every tick while a server is lost or leaves, mostly for none: the
-        load is summed up only for some.
+        Called on every tick while a server is lost or draining, mostly without
+        shards; the load is summed only if there are any.
         """
         if not shards:
             return {}
@@ -161,14 +164,14 @@
         )
 
     def run_lost(self) -> ServerStates:
-        """Intend what must move away from lost servers; returns all servers' states."""
+        """Write intents for shards of lost servers; return all servers' states."""
         states = self._states()
         if states.lost:
             self._plan_lost(states)
         return states
 
     def run(self) -> None:
-        """Intend what should move now."""
+        """Write intents for all moves that are due."""
         states = self.run_lost()
         self._plan_leaving(states)
         self._rebalance(states)
@@ -179,12 +182,12 @@
             return
         self._rebalanced_s = context.now_s
         pins = context.tables.pins[self._service.name]
-        self.loads.take_out(pins)
+        self.loads.split_off_pins(pins)
         demand = self._demand()
-        self._pinner.follow_load(demand, self.loads.key_slots(), states)
+        self._pinner.pin_by_load(demand, self.loads.key_slots(), states)
         self.watched = self._pinner.shards_to_watch(demand)
         self.loads.watch(self.watched)
-        # Moves under way change the picture: settle one round before the next.
+        # Moves in progress change the load, so one round ends before the next starts.
         if self._mover.moves:
             return
         owned = {
@@ -195,10 +198,10 @@
             owned,
             states=states,
             demand=demand,
-            is_bound=self._is_bound,
+            within_sites=self._any_shard_has_site,
             is_movable=self._pinner.is_movable,
             weights=context.weights,
-            room=MOST_PLANNED_MOVES,
+            max_moves=MAX_PLANNED_MOVES,
         )
         if intents:
             context.log("rebalance", service=self._service.name, moves=len(intents))
@@ -211,16 +214,18 @@
             for server in states.lost
             for shard, entry in tables.owned_by(self._service.name, server).items()
         }
-        entries |= {shard: one.entry for shard, one in self._mover.moves.items()}
-        targets = self._placed(lost_shards(entries, states.lost), states)
-        intents = {shard: (one, EntryState.LAPSING) for shard, one in targets.items()}
+        entries |= {shard: move.entry for shard, move in self._mover.moves.items()}
+        targets = self._choose_targets(lost_shards(entries, states.lost), states)
+        intents = {
+            shard: (target, EntryState.LAPSING) for shard, target in targets.items()
+        }
         if intents:
             self._context.log("owners-lost", servers=sorted(states.lost))
             self._writer.intend(intents)
 
     def _plan_leaving(self, states: ServerStates) -> None:
-        room = MOST_PLANNED_MOVES - len(self._mover.moves)
-        if room <= 0:
+        free_moves = MAX_PLANNED_MOVES - len(self._mover.moves)
+        if free_moves <= 0:
             return
         self._intend_requested(states)
         self._pinner.plan(states)
@@ -236,8 +241,8 @@
             if (entry := self._context.tables.entry(name, shard)) is not None
             and entry.state is EntryState.OWNED
         }
-        # Each holds requests for a moment: no more at a time than there is room for.
-        targets = self._placed(list(owned)[:room], states)
+        # Each move holds requests for a moment, so the number at a time is limited.
+        targets = self._choose_targets(list(owned)[:free_moves], states)
         intents = {
             shard: (target, EntryState.RELEASING)
             for shard, target in targets.items()
@@ -247,7 +252,7 @@
             self._writer.intend(intents)
 
     def _intend_requested(self, states: ServerStates) -> None:
-        usable = {one.id for one in states.usable()}
+        usable = {server.id for server in states.usable()}
         intents = {}
         for shard, server in self._requested.items():
             entry = self._context.tables.entry(self._service.name, shard)
@@ -264,22 +269,25 @@
             yield from self._context.tables.owned_by(self._service.name, server)
 
     def _shards_off_site(self) -> list[int]:
-        """Return shards, of a part of them at a time, that stand off their site."""
+        """Return shards of the next scan range whose owner is off the rules' site."""
         context = self._context
         name = self._service.name
-        first = self._scan_from
+        first = self._next_scan_shard
         if first == 0:
-            # What the last whole look found: whether the rules bind any shard.
-            self._is_bound, self._has_sites = self._has_sites, False
+            # The completed scan tells whether the rules set a site for any shard.
+            self._any_shard_has_site, self._scan_found_site = (
+                self._scan_found_site,
+                False,
+            )
         last = min(first + SCAN_SHARDS, self._service.shards)
-        self._scan_from = last % self._service.shards
-        off = []
+        self._next_scan_shard = last % self._service.shards
+        misplaced = []
         for shard in range(first, last):
             entry = context.tables.entry(name, shard)
             site = context.site_of(name, shard)
-            self._has_sites |= site is not None
+            self._scan_found_site |= site is not None
             if entry is None or site is None or entry.state is not EntryState.OWNED:
                 continue
             if context.domains[context.servers[entry.owner].domain].site != site:
-                off.append(shard)
-        return off
+                misplaced.append(shard)
+        return misplaced
--- a/src/gentianwharf/ownership/_ranks.py
+++ b/src/gentianwharf/ownership/_ranks.py
@@ -1,4 +1,4 @@
-"""Which hosts are live and which of them do a job, kept while nothing changes."""
+"""Caches of live hosts and of their rendezvous ranking."""
 
 from typing import final
 
@@ -6,17 +6,17 @@
 
 from ._protocols import PeerLink
 
-LIVE_EVERY_S = 0.2
-"""How often it is looked up anew who is live.
+LIVE_REFRESH_INTERVAL_S = 0.2
+"""Maximum age of the cached live hosts.
 
-A host counts as live for 1.5 s after it was last heard, so that a fifth of a second
-more is not felt; looked up at each use it would be most of what a large domain costs.
+A host counts as live for 1.5 s after the last message from it, so another 0.2 s makes
+no difference. A look-up on every use would be most of the cost of a large domain.
 """
 
 
 @final
 class LiveHosts:
-    """Remembers which hosts of each domain are live, for ``LIVE_EVERY_S``."""
+    """Caches the live hosts of each domain for ``LIVE_REFRESH_INTERVAL_S``."""
 
     def __init__(self, *, peers: PeerLink) -> None:
         self._peers = peers
@@ -24,11 +24,11 @@
         self._live: dict[str, tuple[str, ...]] = {}
 
     def of(self, domain: str, now_s: float) -> tuple[str, ...]:
-        """Return the live hosts of ``domain``; the same object while they stay."""
+        """Return the live hosts of ``domain``; the same object until they change."""
         if now_s >= self._until_s.get(domain, float("-inf")):
-            self._until_s[domain] = now_s + LIVE_EVERY_S
+            self._until_s[domain] = now_s + LIVE_REFRESH_INTERVAL_S
             listed = self._peers.hosts_of(domain)
-            live = tuple(one for one in listed if self._peers.is_live(one))
+            live = tuple(host for host in listed if self._peers.is_live(host))
             if live != self._live.get(domain):
                 self._live[domain] = live
         return self._live.get(domain, ())
@@ -36,13 +36,14 @@
 
 @final
 class RankCache:
-    """Remembers the first hosts of rendezvous orders over one set of live hosts.
+    """Caches the first hosts of rendezvous rankings over one set of live hosts.
 
-    Load pattern: each host asks for each server of its domain, ten times a second,
-    whether it is the one to renew its grants. Ranked anew each time, that grows with
-    the square of the domain's hosts. Ranked anew whenever one of thousands of hosts
-    comes or goes, it would hold the loop up for about a second: a host that comes is
-    compared with those kept, and one that goes matters only where it was kept.
+    Load pattern: each host determines ten times a second, for each server of its
+    domain, whether it has to renew the server's grants. Ranking all hosts each time
+    would cost the square of the domain's hosts. Ranking them again whenever one of
+    thousands of hosts joins or leaves would block the event loop for about a second.
+    A host that joins is therefore compared only with the cached hosts, and one that
+    leaves invalidates only the rankings that contain it.
 
     >>> ranks = RankCache()
     >>> live = ("h1", "h2", "h3")
@@ -57,27 +58,27 @@
         self._ranked: dict[tuple[str, int], tuple[str, ...]] = {}
 
     def first(self, name: str, live: tuple[str, ...], *, count: int) -> tuple[str, ...]:
-        """Return the first ``count`` of ``live`` in the order of ``name``."""
+        """Return the first ``count`` of ``live`` in the ranking for ``name``."""
         if live is not self._live:
-            self._change(live)
+            self._update_live(live)
         ranked = self._ranked.get((name, count))
         if ranked is None:
             ranked = tuple(rendezvous_rank(name, live)[:count])
             self._ranked[name, count] = ranked
         return ranked
 
-    def _change(self, live: tuple[str, ...]) -> None:
+    def _update_live(self, live: tuple[str, ...]) -> None:
         earlier, now = set(self._live), set(live)
-        gone, come = earlier - now, now - earlier
+        left, joined = earlier - now, now - earlier
         self._live = live
-        if gone:
+        if left:
             self._ranked = {
-                which: ranked
-                for which, ranked in self._ranked.items()
-                if gone.isdisjoint(ranked)
+                key: ranked
+                for key, ranked in self._ranked.items()
+                if left.isdisjoint(ranked)
             }
-        if come:
-            # Whoever was not among the first before is not now that others came.
+        if joined:
+            # Hosts outside the first ``count`` cannot enter it when others join.
             for (name, count), ranked in self._ranked.items():
-                better = rendezvous_rank(name, (*ranked, *come))[:count]
-                self._ranked[name, count] = tuple(better)
+                reranked = rendezvous_rank(name, (*ranked, *joined))[:count]
+                self._ranked[name, count] = tuple(reranked)
--- a/tests/test_ownership_hot_keys.py
+++ b/tests/test_ownership_hot_keys.py
@@ -4,7 +4,7 @@
 
 from gentianwharf.keys import shard_of
 from gentianwharf.ownership import _hot_keys
-from gentianwharf.ownership._hot_keys import MOST_COUNTED, HotKeys, KeyCounts
+from gentianwharf.ownership._hot_keys import MAX_COUNTED_KEYS, HotKeys, KeyCounts
 from gentianwharf.ownership._loads import HALF_LIFE_S, ShardLoads
 from gentianwharf.ownership._messages import Loads
 from gentianwharf.placement import PlacementWeights
@@ -103,12 +103,12 @@
 
 def test_key_with_its_part_of_the_requests_is_never_missed() -> None:
     counts = KeyCounts()
-    for number in range(MOST_COUNTED * 40):
+    for number in range(MAX_COUNTED_KEYS * 40):
         counts.add(0, f"one-time-{number}")
         if number % 20 == 0:
             counts.add(0, HOT)
     found, _ = counts.take()
-    assert 0 < found[HOT] <= MOST_COUNTED * 2
+    assert 0 < found[HOT] <= MAX_COUNTED_KEYS * 2
     assert max(found, key=lambda key: found[key]) == HOT
 
 
@@ -121,9 +121,9 @@
 def test_key_near_the_limit_neither_comes_nor_goes() -> None:
     hot_keys = HotKeys()
     slots = {HOT: 0.2}
-    assert hot_keys.to_pin(slots, pinned=0, slots_a_server=6) == []
+    assert hot_keys.keys_to_pin(slots, pinned=0, slots_per_server=6) == []
     for now_s in (0.0, _hot_keys.COLD_S, 2 * _hot_keys.COLD_S):
-        assert hot_keys.cooled(slots, slots_a_server=6, now_s=now_s) == []
+        assert hot_keys.keys_to_unpin(slots, slots_per_server=6, now_s=now_s) == []
 
 
 def test_key_that_got_an_entry_no_longer_counts_for_its_shard() -> None:
@@ -140,7 +140,7 @@
     )
     loads.hear(report, 0.0)
     before = loads.demand(slots=36)
-    loads.take_out({HOT: SHARDS})
+    loads.split_off_pins({HOT: SHARDS})
     after = loads.demand(slots=36)
     moved = 0.8 * before.measured_slots[shard]
     assert after.measured_slots[SHARDS] == pytest.approx(moved)
--- a/tests/test_ownership_ranks.py
+++ b/tests/test_ownership_ranks.py
@@ -8,7 +8,7 @@
 
 from gentianwharf.ownership import _ranks
 from gentianwharf.ownership._protocols import PeerLink
-from gentianwharf.ownership._ranks import LIVE_EVERY_S, LiveHosts, RankCache
+from gentianwharf.ownership._ranks import LIVE_REFRESH_INTERVAL_S, LiveHosts, RankCache
 from gentianwharf.placement import rendezvous_rank
 
 HOSTS = tuple(f"host-{number}" for number in range(40))
@@ -73,6 +73,6 @@
     first = live.of("lac", 10.0)
     assert first == ("h1", "h2")
     peers.live = {"h1", "h2", "h3"}
-    assert live.of("lac", 10.0 + LIVE_EVERY_S / 2) is first
-    assert live.of("lac", 10.0 + LIVE_EVERY_S) == ("h1", "h2", "h3")
-    assert live.of("lac", 10.0 + 3 * LIVE_EVERY_S) is live.of("lac", 10.9)
+    assert live.of("lac", 10.0 + LIVE_REFRESH_INTERVAL_S / 2) is first
+    assert live.of("lac", 10.0 + LIVE_REFRESH_INTERVAL_S) == ("h1", "h2", "h3")
+    assert live.of("lac", 10.0 + 3 * LIVE_REFRESH_INTERVAL_S) is live.of("lac", 10.9)
