--- a/src/gentianwharf/ownership/_evidence.py
+++ b/src/gentianwharf/ownership/_evidence.py
@@ -1,8 +1,8 @@
-"""Evidence that a backend server is lost, from several hosts.
+"""Evidence from several hosts that a backend server is lost.
 
-One host that is cut off sees every server silent. Its word alone must not take a
-server's keys away: a majority of the witnesses of the server's domain, each of
-which has tried the server itself, has to say so within a short time.
+A host that is partitioned from the network gets no answer from any server. Its report
+alone must not take a server's keys away: a majority of the witnesses of the server's
+domain, each of which has tried the server itself, must suspect it within a short time.
 """
 
 from collections.abc import Iterable
@@ -12,18 +12,18 @@
 from ._timing import SUSPECT_FRESH_S
 
 UNANSWERED_TO_SUSPECT = 2
-"""Unanswered probes or requests in a row before a host suspects a server."""
+"""Consecutive unanswered probes or requests after which a host suspects a server."""
 
 
 @final
 class OwnEvidence:
-    """What this host itself has seen of each server."""
+    """Observations of each server that this host made itself."""
 
     def __init__(self) -> None:
         self._unanswered: dict[str, int] = {}
 
     def note(self, server: str, *, answered: bool) -> bool:
-        """Note an answer or its lack; returns whether the server is suspect now."""
+        """Record an answer or its absence; return whether the server is now suspect."""
         if answered:
             self._unanswered.pop(server, None)
             return False
@@ -31,32 +31,36 @@
         return self.is_suspect(server)
 
     def is_suspect(self, server: str) -> bool:
-        """Whether the last answers of ``server`` were all missing."""
+        """Whether ``server`` left its last probes or requests unanswered."""
         return self._unanswered.get(server, 0) >= UNANSWERED_TO_SUSPECT
 
 
 @final
 class Suspicions:
-    """Suspicions that have come in at the control holder."""
+    """Suspicions received by the control holder."""
 
     def __init__(self) -> None:
-        self._heard_s: dict[str, dict[str, float]] = {}
+        self._suspected_s: dict[str, dict[str, float]] = {}
 
     def hear(self, host: str, server: str, now_s: float) -> None:
-        """Note that ``host`` suspects ``server``."""
-        self._heard_s.setdefault(server, {})[host] = now_s
+        """Record that ``host`` suspects ``server``."""
+        self._suspected_s.setdefault(server, {})[host] = now_s
 
     def drop(self, server: str) -> None:
-        """Forget what was said of ``server``, for it has answered."""
-        self._heard_s.pop(server, None)
+        """Discard all suspicions of ``server``, which has answered."""
+        self._suspected_s.pop(server, None)
 
     def lost(self, server: str, witnesses: WitnessList | None, now_s: float) -> bool:
-        """Whether a majority of ``witnesses`` suspects ``server`` at the moment."""
-        heard = self._heard_s.get(server)
+        """Whether a majority of ``witnesses`` currently suspects ``server``."""
+        suspected = self._suspected_s.get(server)
         return bool(
-            heard and witnesses and witnesses.is_majority(self._fresh(heard, now_s))
+            suspected
+            and witnesses
+            and witnesses.is_majority(self._fresh(suspected, now_s))
         )
 
     @staticmethod
-    def _fresh(heard: dict[str, float], now_s: float) -> Iterable[str]:
-        return [host for host, at in heard.items() if now_s - at <= SUSPECT_FRESH_S]
+    def _fresh(suspected: dict[str, float], now_s: float) -> Iterable[str]:
+        return [
+            host for host, at_s in suspected.items() if now_s - at_s <= SUSPECT_FRESH_S
+        ]
--- a/src/gentianwharf/ownership/_fanout.py
+++ b/src/gentianwharf/ownership/_fanout.py
@@ -1,11 +1,11 @@
-"""Passing news on to every host: directly in small domains, down a tree in large ones.
-
-The control holder has news for all hosts: that it lives, several times a second, and
-each table that the store has taken. At the target size that would be 60,000 messages
-from one loop. In a large domain it tells those that are nearest to the witnesses, and
-each host passes on what is new to it to those that come after it in the same order in
-which rights are shared. What is lost on the way is mended as before: a question for a
-right under another checksum brings the newer tables, within a round.
+"""Distribution of updates to all hosts: directly, or down a tree in large domains.
+
+The control holder sends updates to all hosts: several times a second that it is alive,
+and each table that the store has committed. At the target size that would be 60,000
+messages from one event loop. In a large domain it sends only to the witnesses, two of
+which are the roots of a tree, the same one by which rights are shared. Each host
+forwards what is new to it to its children. Lost updates are repaired within a round: a
+request for a right under another checksum brings the newer tables.
 """
 
 from collections.abc import Iterable
@@ -17,40 +17,41 @@
 from ._pace import ASKERS, FAN_OUT
 
 DIRECT_HOSTS = ASKERS + FAN_OUT
-"""Hosts of a domain up to which all are told directly: a tree would have one step."""
+"""Largest domain whose hosts all get updates directly; its tree has one level."""
 
-ALIVE_STEPS = 5
-"""Of so many signs of life one goes down the tree, one a second: only the hosts that
-may take the control need to miss it soon, and they are told directly."""
+ALIVE_FORWARD_INTERVAL = 5
+"""One in this many alive messages is forwarded down the tree, about one a second. Only
+hosts that may take the control must notice its loss soon; they get each one directly.
+"""
 
 
 @final
 class Fanout:
-    """Whom this host tells, and what it passes on."""
+    """Selects the receivers of this host's updates and forwards those of others."""
 
     def __init__(self, *, context: Context) -> None:
         self._context = context
         self._place: TreePlace | None = None
         self._children: tuple[str, ...] = ()
-        self._passed_on: dict[str, tuple[int, int]] = {}
+        self._forwarded: dict[str, tuple[int, int]] = {}
 
     def first_hosts(self, domain: str, also: Iterable[str] = ()) -> list[str]:
-        """Return the hosts of ``domain`` that whoever has news tells.
+        """Return the hosts of ``domain`` to which the origin of an update sends it.
 
-        ``also`` are hosts of any domain that are told directly in any case.
+        ``also`` are hosts of any domain that always get the update directly.
         """
         context = self._context
         hosts = context.peers.hosts_of(domain)
         witnesses = context.tables.witnesses(domain)
         if len(hosts) > DIRECT_HOSTS and witnesses is not None:
-            # The tree begins at two of the witnesses; who of them lives is known there.
+            # The tree starts at two of the witnesses; they determine which are live.
             known = set(hosts)
             wanted = dict.fromkeys([*witnesses.all(), *also])
-            hosts = [one for one in wanted if one in known]
-        return [one for one in hosts if one != context.host.id]
+            hosts = [host for host in wanted if host in known]
+        return [host for host in hosts if host != context.host.id]
 
     def children(self) -> tuple[str, ...]:
-        """Return the hosts of the own domain to which this one passes news on."""
+        """Return the hosts of this host's domain to which it forwards updates."""
         place = place_in_tree(self._context)
         if place != self._place:
             self._place = place
@@ -66,7 +67,7 @@
         return tuple(order[first : first + FAN_OUT])
 
     def tell(self, item: Item) -> None:
-        """Tell every domain of a value that the store has taken, and pass it on."""
+        """Send a value that the store has committed to every domain, and forward it."""
         message = Items(items=[item])
         for domain in self._context.domains:
             for host in self.first_hosts(domain):
@@ -74,21 +75,21 @@
         self.pass_on_items([item])
 
     def pass_on_items(self, items: list[Item]) -> None:
-        """Pass on values that were new to this host."""
+        """Forward values that were new to this host."""
         for host in self.children() if items else ():
             self._context.send_items(host, items)
 
     def pass_on_alive(self, alive: ControlAlive) -> None:
-        """Pass on a control holder's sign of life, once.
+        """Forward a control holder's alive message once.
 
-        Hosts that differ on who is live may each take the other for a child: the
-        number ends that.
+        Hosts that disagree on who is live may each regard the other as a child; the
+        message number prevents a loop.
         """
-        news = (alive.term, alive.number)
-        if alive.number % ALIVE_STEPS or news <= self._passed_on.get(
+        version = (alive.term, alive.number)
+        if alive.number % ALIVE_FORWARD_INTERVAL or version <= self._forwarded.get(
             alive.service, (0, -1)
         ):
             return
-        self._passed_on[alive.service] = news
+        self._forwarded[alive.service] = version
         for host in self.children():
             self._context.send(host, alive)
--- a/src/gentianwharf/ownership/_mover.py
+++ b/src/gentianwharf/ownership/_mover.py
@@ -1,8 +1,8 @@
-"""Carrying out the moves of one service on the host that holds its control.
+"""Execution of the moves of one service on the host that holds its control.
 
-What to do next follows from the table alone, so another host can go on at any
-point: an entry that moves is cleared of its holders, its target is granted, and
-the store is told to confirm.
+The next step of a move follows from the table alone, so another host can continue at
+any point: the entry's holders are cleared, its target gets a grant, and the new owner
+is written to the store.
 """
 
 from collections import defaultdict
@@ -32,20 +32,20 @@
 )
 from ._writer import TableWriter
 
-MOST_RELEASES_PER_SERVER = 16
-"""Releases that wait for one server at a time: each answers when its shard has
-drained, so that one long request does not keep other shards unserved."""
+MAX_RELEASES_PER_SERVER = 16
+"""Maximum number of concurrent releases per server. A release is answered when its
+shard has drained, so that one long request does not keep other shards unserved."""
 
 RELEASE_GRACE_S = 1.0
-"""How much longer than the longest deadline a release may take to be answered."""
+"""Time beyond the longest deadline for which a release's answer is awaited."""
 
-GRANT_EVERY_S = 0.1
-"""Pause before a grant that was not taken is tried again."""
+GRANT_RETRY_INTERVAL_S = 0.1
+"""Minimum time between two attempts of a grant."""
 
 
 @final
 class Mover:
-    """Moves of one service; ``tick`` and every answer carry them on."""
+    """Moves of one service; ``tick`` and each answer from a server advance them."""
 
     def __init__(
         self,
@@ -74,11 +74,11 @@
 
     @property
     def moves(self) -> Mapping[int, Move]:
-        """Return the moves under way by shard."""
+        """Return the moves in progress by shard."""
         return self._moves
 
     def tick(self) -> None:
-        """Carry every move on as far as it goes."""
+        """Advance every move as far as possible."""
         if not self._lease.is_held:
             return
         self._sync()
@@ -93,10 +93,10 @@
         self._confirm()
 
     def prepare(self) -> None:
-        """Wait for what is sent to lost owners to end, without any order to servers.
+        """Start the waits for lost owners to lapse, without any order to servers.
 
-        Needs no lease: it only asks witnesses, so that the holder to come finds the
-        waits under way.
+        Needs no lease, because it only asks witnesses. If this host becomes the
+        control holder, the waits are already in progress.
         """
         self._sync()
         for move in list(self._moves.values()):
@@ -105,12 +105,12 @@
         self._lapses.ask()
 
     def tick_soon(self) -> None:
-        """Carry the moves on once in the loop's next turn, however often it is asked.
+        """Schedule one tick for the next event loop iteration; repeated calls coalesce.
 
-        Hundreds of moves end in one turn when a rule moves many shards. A tick for
-        each, called from within the one before, took the loop's whole time and ended
-        in a recursion error; the grants' answers then came too late, and every move
-        began again.
+        Hundreds of moves end in one iteration when a rule moves many shards. A tick
+        for each, nested in the previous one, blocked the event loop and ended in a
+        recursion error; answers to grants then came too late, and every move started
+        over.
         """
         if self._is_tick_due:
             return
@@ -122,7 +122,7 @@
         self.tick()
 
     def states(self) -> list[MoveState]:
-        """Return the moves as the admin port shows them."""
+        """Return the moves in the form that the admin port shows."""
         now_s = self._context.now_s
         return [
             MoveState(
@@ -139,7 +139,7 @@
         ]
 
     def clear(self) -> None:
-        """Forget every move, the lease being gone; the table keeps them."""
+        """Discard all moves after the lease is lost; the table still contains them."""
         self._moves.clear()
         self._machines.clear()
         self._synced.clear()
@@ -155,7 +155,7 @@
                 for shard, entry in chunk.entries.items()
                 if entry.state is not EntryState.OWNED
             }
-            self._drop_ended(number, set(moving))
+            self._discard_ended(number, set(moving))
             for shard, entry in moving.items():
                 known = self._moves.get(shard)
                 if known is None or known.entry != entry:
@@ -170,7 +170,7 @@
                         )
                     )
 
-    def _drop_ended(self, number: int, moving: set[int]) -> None:
+    def _discard_ended(self, number: int, moving: set[int]) -> None:
         for shard, move in list(self._moves.items()):
             if move.chunk == number and shard not in moving:
                 del self._machines[shard]
@@ -201,9 +201,10 @@
                 machine.target_accepted()
 
     def _shard_is_renewed(self, move: Move) -> bool:
-        """Whether the shard of a key that gets its own entry has its new token.
+        """Whether the shard of a newly pinned key already has its new token.
 
-        Until then its owner would run the key's requests under the old one.
+        Until then the shard's owner would accept the key's requests under the old
+        token.
         """
         if move.entry.owner or move.shard < self._service.shards:
             return True
@@ -214,11 +215,11 @@
         return entry is not None and entry.token >= move.entry.token
 
     def _is_declared_lost(self, move: Move, holder: str) -> bool:
-        """Whether an operator says that the holder's domain is gone for good.
+        """Whether an operator declared the holder's domain permanently lost.
 
-        Nobody there can be asked. The wait is kept, so that what its hosts sent
-        just before they were lost is past its deadline; that they are lost is the
-        operator's word alone.
+        No host there can be asked. The wait still applies, so that the deadlines of
+        requests that the domain's hosts sent just before the loss have passed. The
+        operator's declaration is the only evidence of the loss.
         """
         domain = self._context.servers[holder].domain
         if move.entry.state is not EntryState.LAPSING:
@@ -252,8 +253,8 @@
 
     def _release(self, move: Move, holder: str) -> None:
         order = (holder, move.shard, move.entry.next_token)
-        waiting = sum(1 for one in self._releasing if one[0] == holder)
-        if order in self._releasing or waiting >= MOST_RELEASES_PER_SERVER:
+        waiting = sum(1 for pending in self._releasing if pending[0] == holder)
+        if order in self._releasing or waiting >= MAX_RELEASES_PER_SERVER:
             return
         self._releasing.add(order)
         Deferred.fromCoroutine(self._order_release(move, holder, order))
@@ -287,7 +288,9 @@
     def _grant(self, target: str, moves: list[Move]) -> None:
         now_s = self._context.now_s
         due = [
-            one for one in moves if now_s >= one.last_grant_attempt_s + GRANT_EVERY_S
+            move
+            for move in moves
+            if now_s >= move.last_grant_attempt_s + GRANT_RETRY_INTERVAL_S
         ]
         if not due or target in self._granting:
             return
@@ -325,8 +328,8 @@
             stamp_s = report.stamp_s
         now_s = context.now_s
         validity_s = context.rights.until_s(server.domain) - now_s
-        # The lease is looked at after every wait: a holder that was paused here
-        # must not send an order that its successor knows nothing of.
+        # The lease is checked after every wait: a holder that was paused here must
+        # not send an order that its successor is not aware of.
         if validity_s <= 0 or not self._lease.is_held:
             return None
         grant = Grant(
--- a/src/gentianwharf/ownership/_requests.py
+++ b/src/gentianwharf/ownership/_requests.py
@@ -1,10 +1,10 @@
-"""Operators' requests to move a shard or a key, until the store has taken them.
+"""Operators' requests to move a shard or a key, until the store has committed them.
 
-A request is a message to the control holder, which keeps it in its memory alone. When
-that host is lost, so is the request; an operator who was told that it was accepted
-would wait for a move that never comes. So a request counts as accepted only once the
-table, of which a host knows no more than the store has taken, names its target; until
-then it is sent again, to whoever holds the control by then.
+A request is a message to the control holder, which keeps it only in memory. If that
+host is lost, so is the request, and an operator who received "accepted" would wait for
+a move that never happens. Therefore a request counts as accepted only once its target
+is in the table, which at every host contains only what the store has committed. Until
+then the request is sent again, to the control holder at that time.
 """
 
 from collections.abc import Callable
@@ -20,21 +20,21 @@
 from ._messages import MoveRequest
 from ._table import Entry, EntryState
 
-CONFIRM_WITHIN_S = 5.0
-"""How long a request is followed. The control passes on within a second, and a shard
-that moves already takes as long as its longest request."""
+CONFIRM_TIMEOUT_S = 5.0
+"""How long a request is tracked. A new control holder takes over within a second, and a
+move already in progress takes as long as the shard's longest request."""
 
-SEND_AGAIN_S = 0.5
-"""After which a request is sent again: twenty times what a planned move takes."""
+RESEND_INTERVAL_S = 0.5
+"""Time after which a request is resent: twenty times the time of a planned move."""
 
 
 class RequestOutcome(StrEnum):
-    """What is known of an operator's request."""
+    """Outcome of an operator's request."""
 
     CONFIRMED = "confirmed"
-    """The store has the move, and any host will carry it on."""
+    """The store has the move, and any control holder will finish it."""
     UNKNOWN = "unknown"
-    """It may still be carried out; asking again does no harm."""
+    """The request may still be executed; repeating it is safe."""
 
 
 @final
@@ -48,7 +48,7 @@
 
 @final
 class OperatorRequests:
-    """The requests that came in at this host."""
+    """The operators' requests that arrived at this host."""
 
     def __init__(
         self, *, context: Context, holder_of: Callable[[str], str | None]
@@ -58,16 +58,16 @@
         self._pending: list[_Pending] = []
 
     def ask(self, request: MoveRequest) -> Deferred[RequestOutcome]:
-        """Send a request and follow it; it is sent whether or not one awaits.
+        """Send a request and track it; it is sent even if the result is not awaited.
 
-        Raises ``InputError`` for a service or server that there is not, and
+        Raises ``InputError`` for a service or server that does not exist, and
         ``RefusedError`` while no control holder is known.
         """
         self._check(request)
         now_s = self._context.now_s
         pending = _Pending(
             request=request,
-            until_s=now_s + CONFIRM_WITHIN_S,
+            until_s=now_s + CONFIRM_TIMEOUT_S,
             sent_s=now_s,
             done=Deferred(),
         )
@@ -101,38 +101,38 @@
             self._context.send(holder, pending.request)
 
     def tick(self) -> None:
-        """End what the store has taken or what takes too long; send the rest again."""
+        """Complete requests that are stored or timed out; resend the others if due."""
         now_s = self._context.now_s
         pending, self._pending = self._pending, []
-        for one in pending:
-            if self._stands(one.request):
-                one.done.callback(RequestOutcome.CONFIRMED)
-            elif now_s >= one.until_s:
-                one.done.callback(RequestOutcome.UNKNOWN)
+        for item in pending:
+            if self._is_stored(item.request):
+                item.done.callback(RequestOutcome.CONFIRMED)
+            elif now_s >= item.until_s:
+                item.done.callback(RequestOutcome.UNKNOWN)
             else:
-                self._pending.append(one)
-                if now_s >= one.sent_s + SEND_AGAIN_S:
-                    self._send(one)
+                self._pending.append(item)
+                if now_s >= item.sent_s + RESEND_INTERVAL_S:
+                    self._send(item)
 
-    def _stands(self, request: MoveRequest) -> bool:
+    def _is_stored(self, request: MoveRequest) -> bool:
         tables = self._context.tables
         if request.key is None:
             entry = tables.entry(request.service, request.shard)
-            return entry is not None and _goes_to(entry, request.server)
+            return entry is not None and _is_headed_to(entry, request.server)
         number = tables.pins[request.service].get(request.key)
         entry = None if number is None else tables.entry(request.service, number)
         if entry is None:
             return not request.server
-        return _goes_to(entry, request.server)
+        return _is_headed_to(entry, request.server)
 
     def stop(self) -> None:
-        """Give every request up, for this host ends."""
+        """Complete every request as unknown, because this host stops."""
         pending, self._pending = self._pending, []
-        for one in pending:
-            one.done.callback(RequestOutcome.UNKNOWN)
+        for item in pending:
+            item.done.callback(RequestOutcome.UNKNOWN)
 
 
-def _goes_to(entry: Entry, server: str) -> bool:
+def _is_headed_to(entry: Entry, server: str) -> bool:
     if entry.state is EntryState.OWNED:
         return entry.owner == server
     return entry.target == server
--- a/tests/builders_ownership.py
+++ b/tests/builders_ownership.py
@@ -1,8 +1,8 @@
-"""A small world for tests of ownership: hosts, servers and a store on one clock.
+"""Simulation for tests of ownership: hosts, servers and a store on one clock.
 
-Everything runs on one virtual clock. Each host has a clock of its own that may
-run fast or slow and stands still for the host while it is paused. Messages, orders
-and store calls take time and can be cut, delayed, doubled, or lose their answer.
+Everything runs on one virtual clock. Each host has a clock derived from it that may run
+fast or slow and stops while the host is paused. Messages, orders and store calls take
+time and can be blocked, delayed, duplicated, or lose their answer.
 """
 
 from collections import defaultdict
@@ -39,14 +39,14 @@
 
 @final
 class Peers:
-    """One host's way to the others; messages pass through their encoding."""
+    """Peer link of one host; messages are encoded and decoded."""
 
     def __init__(self, world: "World", host: str) -> None:
         self._world = world
         self._host = host
 
     def send(self, host: str, message: Message) -> None:
-        """Send as the network of this world lets it."""
+        """Send a message with the delays and faults of the simulated network."""
         data = encode_message(message)
         self._world.sent[type(message).__name__] += 1
         for delay_s in self._world.delays(faulty=True):
@@ -60,11 +60,11 @@
         found.clock.callLater(0, found.receive, self._host, message)
 
     def hosts_of(self, domain: str) -> Sequence[str]:
-        """Return the listed hosts."""
-        return [one.id for one in self._world.host_entities if one.domain == domain]
+        """Return the listed hosts of ``domain``."""
+        return [host.id for host in self._world.host_entities if host.domain == domain]
 
     def is_live(self, host: str) -> bool:
-        """Whether the host runs and is in reach."""
+        """Whether the host runs and can be reached."""
         found = self._world.hosts.get(host)
         return found is not None and not self._world.is_cut(self._host, host)
 
@@ -148,61 +148,66 @@
             Domain(name="ariana", site="nouveau"),
         ]
         self.host_entities = [
-            Host(id=f"{one.name}-{n}", domain=one.name, peer_address="127.0.0.1:1")
-            for one in self.domains
+            Host(
+                id=f"{domain.name}-{n}",
+                domain=domain.name,
+                peer_address="127.0.0.1:1",
+            )
+            for domain in self.domains
             for n in range(1, self.hosts_a_domain + 1)
         ]
         entities = [
             BackendServer(
-                id=f"{SERVICE}-{one.name}-{n}",
+                id=f"{SERVICE}-{domain.name}-{n}",
                 service=SERVICE,
-                domain=one.name,
+                domain=domain.name,
                 address="127.0.0.1:1",
                 slots=6,
                 connections=130,
                 knows_validity=self.knows_validity,
                 gives_stamp=self.gives_stamp,
             )
-            for one in self.domains
+            for domain in self.domains
             for n in range(1, self.servers_a_domain + 1)
         ]
         self.service = Service(
             name=SERVICE, keyed=True, shards=self.shards, servers=tuple(entities)
         )
         self.servers = {
-            one.id: FakeServer(self, one, self.rng.uniform(0, 1000)) for one in entities
+            server.id: FakeServer(self, server, self.rng.uniform(0, 1000))
+            for server in entities
         }
-        self._domain_of = {one.id: one.domain for one in self.host_entities}
-        self._domain_of |= {one.id: one.domain for one in entities}
+        self._domain_of = {host.id: host.domain for host in self.host_entities}
+        self._domain_of |= {server.id: server.domain for server in entities}
         self.hosts: dict[str, FakeHost] = {}
         for entity in self.host_entities:
             self.start_host(entity.id)
 
     def start_host(self, host: str) -> FakeHost:
-        """Start or restart a host, with nothing kept."""
-        entity = next(one for one in self.host_entities if one.id == host)
+        """Start or restart a host, without any earlier state."""
+        entity = next(known for known in self.host_entities if known.id == host)
         self.stop_host(host)
         self.hosts[host] = FakeHost(self, entity, Random(self.rng.getrandbits(64)))
         return self.hosts[host]
 
     def replace_host(self, gone: str, new: str) -> None:
-        """Replace a host by one with another name, in the host list too."""
+        """Replace a host by another one with a new name, also in the host list."""
         self.stop_host(gone)
-        index = next(i for i, one in enumerate(self.host_entities) if one.id == gone)
+        index = next(i for i, host in enumerate(self.host_entities) if host.id == gone)
         entity = replace(self.host_entities[index], id=new)
         self.host_entities[index] = entity
         self._domain_of[new] = entity.domain
         self.start_host(new)
 
     def stop_host(self, host: str) -> None:
-        """End a host at once."""
+        """Stop a host at once."""
         found = self.hosts.pop(host, None)
         if found is not None:
             found.stopped = True
             found.clock.paused = found.clock.stopped = True
 
     def log(self, event: str, **fields: object) -> None:
-        """Keep what the systems say."""
+        """Record a log event of an ownership system."""
         self.logged.append((self.clock.seconds(), event, fields))
 
     def domain_of(self, place: str) -> str:
@@ -210,11 +215,11 @@
         return self._domain_of.get(place, place)
 
     def cut(self, one: str, other: str) -> None:
-        """Cut two places off from each other: hosts, domains or the store."""
+        """Block traffic between two of the hosts, domains and the store."""
         self.cuts.add(frozenset((one, other)))
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether two places are cut off from each other."""
+        """Whether traffic between two places is blocked."""
         ends = ({one, self.domain_of(one)}, {other, self.domain_of(other)})
         return any(
             frozenset((first, second)) in self.cuts
@@ -223,17 +228,17 @@
         )
 
     def cut_off(self, place: str) -> None:
-        """Cut a host or a domain off from everything outside of it."""
-        domains = {one.name for one in self.domains}
+        """Block all traffic between a host or a domain and the rest."""
+        domains = {domain.name for domain in self.domains}
         others = [*domains, STORE]
         if place not in domains:
-            others += [one.id for one in self.host_entities]
+            others += [host.id for host in self.host_entities]
         for other in others:
             if other != place:
                 self.cut(place, other)
 
     def delays(self, *, faulty: bool) -> list[float]:
-        """Return when copies of a message arrive: mostly one, at once."""
+        """Return the delays of the copies of a message, normally one."""
         copies = 2 if faulty and self.rng.random() < self.double_share else 1
         delays = []
         for _ in range(copies):
@@ -243,13 +248,13 @@
         return delays
 
     def advance(self, duration_s: float, step_s: float = 0.005) -> None:
-        """Let time pass."""
+        """Advance the virtual clock."""
         end_s = self.clock.seconds() + duration_s
         while self.clock.seconds() < end_s:
             self.clock.advance(min(step_s, end_s - self.clock.seconds()))
 
     def reply(self, host: str, act: Callable[[OwnershipSystem], None]) -> None:
-        """Tell a host something after a while."""
+        """Call ``act`` on a host's system after the network delay."""
         found = self.hosts.get(host)
         if found is not None:
             found.clock.callLater(ONE_WAY_S, lambda: act(found.system))
@@ -262,9 +267,9 @@
         *,
         wanted_s: float | None = None,
     ) -> bool:
-        """Send a request as ``host`` would now; returns whether it was sent.
+        """Send a request as ``host`` would now; return whether it was sent.
 
-        With ``wanted_s`` it is held until a deadline so far away may be sent.
+        With ``wanted_s`` it is held until a deadline that far away may be sent.
         """
         found = self.hosts.get(host)
         if found is None or found.clock.paused:
@@ -292,7 +297,7 @@
         return True
 
     def note_run(self, run: Run) -> None:
-        """Record a run; a run under an older token than one before is a fault."""
+        """Record a run; fail if an earlier run had a newer token."""
         newest = self._newest.get(run.shard)
         if newest is not None and run.token < newest.token:
             raise AssertionError(f"two owners ran: {newest} and then {run}")
@@ -302,8 +307,8 @@
     def owners(self, shard: int, key: str | None = None) -> set[str]:
         """Return the servers that would run a request for ``shard`` or ``key`` now.
 
-        Requests are those that any host would send now, and those that are on
-        their way or in a server's buffers before their deadline.
+        The requests are those that any host would send now, and those that are in
+        transit or in a server's buffers before their deadline.
         """
         now_s = self.clock.seconds()
         waiting = {
@@ -343,7 +348,7 @@
         }
 
     def traffic(self, duration_s: float, *, step_s: float = 0.01) -> None:
-        """Let hosts send at random and check for one owner at every step."""
+        """Send requests from all hosts at random; check for one owner at each step."""
         end_s = self.clock.seconds() + duration_s
         while self.clock.seconds() < end_s:
             for host in list(self.hosts):
@@ -364,7 +369,7 @@
                 raise AssertionError(f"two owners of {shard} at {now_s}: {owners}")
 
     def key_traffic(self, key: str, duration_s: float) -> None:
-        """Let hosts send for one key and check for one owner of it."""
+        """Send requests for one key from all hosts; check that it has one owner."""
         shard = shard_of(key, self.shards)
         end_s = self.clock.seconds() + duration_s
         while self.clock.seconds() < end_s:
@@ -377,7 +382,7 @@
 
     def has_logged(self, event: str) -> bool:
         """Whether any host logged ``event``."""
-        return any(one[1] == event for one in self.logged)
+        return any(record[1] == event for record in self.logged)
 
     def owner(self, shard: int) -> str:
         """Return the server that the store names as owner of ``shard``."""
@@ -385,7 +390,7 @@
         return host.system.owner(SERVICE, shard).owner
 
     def settle(self, limit_s: float = 10.0) -> None:
-        """Let time pass until every live host serves every shard."""
+        """Advance the clock until every live host serves every shard."""
         end_s = self.clock.seconds() + limit_s
         everything = set(range(self.shards))
         while any(self.served(host) != everything for host in self.hosts):
--- a/tests/test_ownership_fanout.py
+++ b/tests/test_ownership_fanout.py
@@ -1,4 +1,4 @@
-"""News in large domains go down a tree, and every host has them."""
+"""In large domains updates are forwarded down a tree and reach every host."""
 
 from collections import Counter
 
@@ -24,36 +24,36 @@
 
 
 def test_every_host_of_a_domain_hears_from_one_other(world: World) -> None:
-    """Hosts that nobody tells would send to a former owner until the next digest."""
-    hosts = [one for one in world.hosts if one.startswith("lac-")]
-    told = Counter(
-        child for one in hosts for child in fanout(world.hosts[one].system).children()
+    """A host without updates would send to a former owner until the next digest."""
+    hosts = [host for host in world.hosts if host.startswith("lac-")]
+    received = Counter(
+        child for host in hosts for child in fanout(world.hosts[host].system).children()
     )
     first = fanout(world.hosts["ariana-1"].system).first_hosts("lac")
-    assert max(told.values()) == 1
-    assert set(told) | set(first) == set(hosts)
+    assert max(received.values()) == 1
+    assert set(received) | set(first) == set(hosts)
     assert len(first) < DIRECT_HOSTS / 2
 
 
 def test_hosts_of_a_large_domain_know_the_control_holder(world: World) -> None:
-    holders = {one.system.state().holders[SERVICE] for one in world.hosts.values()}
+    holders = {host.system.state().holders[SERVICE] for host in world.hosts.values()}
     assert len(holders) == 1
     assert None not in holders
 
 
 def test_table_reaches_all_hosts_of_large_domains_at_once(world: World) -> None:
-    """A shard moves. Hosts without the new table go on sending to the former owner.
+    """After a move, hosts without the new table still send to the former owner.
 
-    Passed on from host to host it takes milliseconds, below the time for which a
-    refused request is held.
+    The table must reach all hosts in less than the time for which a refused request
+    is held.
     """
     system = world.hosts["lac-1"].system
-    other = next(one for one in world.servers if one != world.owner(0))
+    other = next(server for server in world.servers if server != world.owner(0))
     system.move(SERVICE, 0, other)
     moved_s = None
     for step in range(100):
         world.advance(0.005)
-        owners = {one.system.owner(SERVICE, 0).owner for one in world.hosts.values()}
+        owners = {host.system.owner(SERVICE, 0).owner for host in world.hosts.values()}
         if owners == {other}:
             moved_s = step * 0.005
             break
--- a/tests/test_ownership_hot_keys.py
+++ b/tests/test_ownership_hot_keys.py
@@ -1,4 +1,4 @@
-"""Hot keys get an entry of their own by themselves, and lose it when they cool."""
+"""Hot keys are pinned automatically and unpinned when they are cold again."""
 
 import pytest
 
@@ -13,13 +13,13 @@
 HOT = "faculte-des-sciences"
 SHARDS = 12
 COLD_S = 20.0
-"""Shorter than in service, since these tests run every tick."""
+"""Shorter than in production, since these tests simulate every tick."""
 
 
 def same_shard(count: int) -> list[str]:
-    """Return other keys of the hot one's shard."""
+    """Return other keys of the hot key's shard."""
     names = (f"faculte-{number}" for number in range(10_000))
-    found = (one for one in names if shard_of(one, SHARDS) == shard_of(HOT, SHARDS))
+    found = (name for name in names if shard_of(name, SHARDS) == shard_of(HOT, SHARDS))
     return [next(found) for _ in range(count)]
 
 
@@ -65,9 +65,10 @@
 def test_hot_key_leaves_the_other_keys_of_its_shard_where_they_are(
     world: World,
 ) -> None:
-    """One faculty fills half of a server, and the server fills up besides.
+    """One key uses half of a server's slots while the server gets other load too.
 
-    Its whole shard would change owner: thousands of other keys for the sake of one.
+    Without an entry for the key its whole shard would change owner, with thousands of
+    other keys.
     """
     others = same_shard(3)
     before = owner(world, HOT)
@@ -87,9 +88,10 @@
 
 
 def test_new_control_holder_keeps_the_hot_keys_entries() -> None:
-    """The control holder is lost, and the next one knows nothing of the load yet.
+    """The control holder is lost, and its successor has no load reports yet.
 
-    Ended at once, every hot key would go back to its shard and come again.
+    If it unpinned keys at once, every hot key would return to its shard and be pinned
+    again.
     """
     world = build(hosts_a_domain=2)
     ask(world, HOT, a_second=150, seconds=21.0)
--- a/tests/test_ownership_loads.py
+++ b/tests/test_ownership_loads.py
@@ -1,4 +1,4 @@
-"""What hosts report of the load, and what the control holder makes of it."""
+"""Load reports of hosts and their aggregation by the control holder."""
 
 from random import Random
 
@@ -19,13 +19,13 @@
 
 
 def test_sample_of_a_large_fleet_tells_the_load_of_all() -> None:
-    """At 12,000 nodes the control holder drowned in reports, one from each daemon."""
+    """At 12,000 nodes, reports from every daemon overloaded the control holder."""
     rng = Random(7)
     hosts = 20 * MOST_REPORTERS
     reports = [sampled(REPORT, hosts=hosts, rng=rng) for _ in range(hosts)]
-    heard = [one for one in reports if one is not None]
-    assert len(heard) == pytest.approx(MOST_REPORTERS, rel=0.2)
-    assert sum(one.hosts for one in heard) == pytest.approx(hosts, rel=0.2)
+    sent = [report for report in reports if report is not None]
+    assert len(sent) == pytest.approx(MOST_REPORTERS, rel=0.2)
+    assert sum(report.hosts for report in sent) == pytest.approx(hosts, rel=0.2)
 
 
 def test_report_that_stands_for_others_counts_as_often() -> None:
@@ -40,9 +40,9 @@
 
 
 def test_load_is_forgotten_though_nobody_reports_any_more() -> None:
-    """All callers leave at once. Their hosts send nothing and so report nothing.
+    """All callers stop at once, so their hosts send nothing and report nothing.
 
-    Rates fell only when a report came: the service stayed busy for ever.
+    When rates decayed only on reports, the service appeared busy forever.
     """
     loads = ShardLoads(shards=SHARDS)
     loads.hear(REPORT, 0.0)
--- a/tests/test_ownership_pins.py
+++ b/tests/test_ownership_pins.py
@@ -1,4 +1,4 @@
-"""Single keys with an entry of their own."""
+"""Pinned keys: single keys with an entry of their own."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 def pin_and_unpin(world: World) -> None:
     shard = shard_of(KEY, world.shards)
     first = world.owner(shard)
-    new = next(one for one in world.servers if one != first)
+    new = next(server for server in world.servers if server != first)
     world.hosts["lac-1"].system.pin(SERVICE, KEY, new)
     world.key_traffic(KEY, 1.0)
     assert owner_of_key(world) == new
@@ -50,16 +50,16 @@
 def test_pin_waits_for_the_shard_to_get_a_new_token(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A server freezes with a key's request in its buffers, and the key is pinned.
+    """A server freezes with a key's request in its buffers, then the key is pinned.
 
-    The request is still good there under the shard's token; were the key's own entry
-    granted at once, two servers would run the key.
+    The server still accepts the request under the shard's token. If the key's own entry
+    were granted at once, two servers would run the key.
     """
     if not guarded:
         monkeypatch.setattr(Mover, "_shard_is_renewed", lambda mover, move: True)
     world = build()
     frozen = world.servers[world.owner(shard_of(KEY, world.shards))]
-    new = next(one for one in world.servers if one != frozen.entity.id)
+    new = next(server for server in world.servers if server != frozen.entity.id)
     frozen.frozen = True
     world.hosts["lac-1"].system.pin(SERVICE, KEY, new)
     if guarded:
@@ -72,10 +72,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_rule_for_a_key_moves_it_alone_and_its_end_brings_it_back(seed: int) -> None:
-    """Operators send one faculty to the new site ahead of its shard, and undo it.
+    """A rule moves one key to the new site, separately from its shard, and is removed.
 
-    Which comes first at the end, taking the entry away or moving it to the shard's
-    site, depends on the seed; after the move it must still be taken away.
+    The seed determines whether the entry is then first removed or first moved to the
+    shard's site. After such a move it must still be removed.
     """
     world = build(seed=seed)
     shard = shard_of(KEY, world.shards)
@@ -93,7 +93,7 @@
 def test_lost_owner_of_a_pinned_key_is_replaced() -> None:
     world = build()
     shard = shard_of(KEY, world.shards)
-    new = next(one for one in world.servers if one != world.owner(shard))
+    new = next(server for server in world.servers if server != world.owner(shard))
     world.hosts["lac-1"].system.pin(SERVICE, KEY, new)
     world.key_traffic(KEY, 0.5)
     world.servers[new].lost = True
--- a/tests/test_ownership_ranks.py
+++ b/tests/test_ownership_ranks.py
@@ -1,4 +1,4 @@
-"""Live hosts and their rendezvous orders, kept while nothing changes."""
+"""Caches of live hosts and of their rendezvous ranking."""
 
 from collections.abc import Iterable, Sequence
 from random import Random
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("count", [1, 2, 100])
 def test_orders_that_are_kept_up_are_those_ranked_anew(count: int) -> None:
-    """Hosts come and go; two hosts that disagree on an order both renew, or neither."""
+    """With different rankings after changes, two hosts would both renew, or neither."""
     rng, ranks = Random(count), RankCache()
     for _ in range(60):
         live = tuple(sorted(rng.sample(HOSTS, rng.randrange(len(HOSTS) + 1))))
@@ -29,9 +29,9 @@
 def test_one_host_more_or_less_is_not_ranked_against_all(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A host of thousands restarts, and the loop of every other one stands still.
+    """When one of thousands of hosts restarted, the event loops of all others blocked.
 
-    Each ranked all hosts anew for each server of the domain.
+    Each host had to rank all hosts again for each server of the domain.
     """
     scored = 0
 
@@ -46,8 +46,8 @@
         ranks.first(job, HOSTS, count=2)
     monkeypatch.setattr(_ranks, "rendezvous_rank", counting_rank)
     last = ranks.first(JOBS[0], HOSTS, count=2)
-    unkept = next(one for one in HOSTS if one not in last)
-    without = tuple(one for one in HOSTS if one != unkept)
+    uncached = next(host for host in HOSTS if host not in last)
+    without = tuple(host for host in HOSTS if host != uncached)
     for live in (without, HOSTS):
         for job in JOBS[:1]:
             ranks.first(job, live, count=2)
@@ -55,7 +55,7 @@
 
 
 class Peers:
-    """Two live hosts of three."""
+    """Peer link with three hosts, of which two are live at first."""
 
     def __init__(self) -> None:
         self.live = {"h1", "h2"}
--- a/tests/test_ownership_requests.py
+++ b/tests/test_ownership_requests.py
@@ -1,4 +1,4 @@
-"""Operators' moves and pins: accepted once the store has them, and not before."""
+"""Operators' moves and pins are accepted once the store has committed them."""
 
 from collections.abc import Callable
 
@@ -24,12 +24,12 @@
 
 def holder(world: World) -> str:
     return next(
-        one for one, host in world.hosts.items() if host.system.state().controls
+        name for name, host in world.hosts.items() if host.system.state().controls
     )
 
 
 def operator_host(world: World) -> str:
-    return next(one for one in world.hosts if one != holder(world))
+    return next(name for name in world.hosts if name != holder(world))
 
 
 def note(outcome: Deferred[RequestOutcome]) -> Outcomes:
@@ -57,7 +57,7 @@
 
 def other_server(world: World) -> str:
     owners = {moved_to(world), pinned_to(world)}
-    return next(one for one in world.servers if one not in owners)
+    return next(server for server in world.servers if server not in owners)
 
 
 CASES = [
@@ -73,12 +73,12 @@
 def test_request_outlives_the_control_holder(
     ask: Ask, found: Found, sent_again: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An operator moves a key, and the control holder dies before it can begin.
+    """An operator moves a key, and the control holder is lost before it begins.
 
-    The operator was told "accepted", and the key stayed where it was for good.
+    The operator received "accepted", but the key was never moved.
     """
     if not sent_again:
-        monkeypatch.setattr(_requests, "SEND_AGAIN_S", float("inf"))
+        monkeypatch.setattr(_requests, "RESEND_INTERVAL_S", float("inf"))
     world = build()
     new = other_server(world)
     host, lost = operator_host(world), holder(world)
@@ -95,7 +95,7 @@
 def test_confirmed_request_is_carried_on_when_every_host_is_lost(
     ask: Ask, found: Found
 ) -> None:
-    """What was confirmed must be in the store, for all memory may go a moment later."""
+    """A confirmed request must be in the store, since all hosts may be lost next."""
     world = build()
     new = other_server(world)
     outcomes = ask(world, operator_host(world), new)
@@ -128,10 +128,10 @@
 
 
 def test_request_is_forgotten_with_the_lease() -> None:
-    """A host has a request and loses its lease before it planned it.
+    """A host loses its lease before it has planned a request.
 
-    Kept, the request was carried out when the host had the lease again, however much
-    later, and against what operators had asked for meanwhile.
+    The request used to be kept and executed once the host held the lease again, at any
+    later time and overriding newer requests.
     """
     world = build()
     control = world.hosts[holder(world)].system._controls[SERVICE]
