--- a/tests/test_ownership_hot_keys.py
+++ b/tests/test_ownership_hot_keys.py
@@ -1,10 +1,10 @@
-"""Hot keys get an entry of their own by themselves, and lose it when they cool."""
+"""Hot keys are pinned automatically and unpinned when they are cold again."""
 
 import pytest
 
 from gentianwharf.keys import shard_of
 from gentianwharf.ownership import _hot_keys
-from gentianwharf.ownership._hot_keys import MOST_COUNTED, HotKeys, KeyCounts
+from gentianwharf.ownership._hot_keys import MAX_COUNTED_KEYS, HotKeys, KeyCounts
 from gentianwharf.ownership._loads import HALF_LIFE_S, ShardLoads
 from gentianwharf.ownership._messages import Loads
 from gentianwharf.placement import PlacementWeights
@@ -13,13 +13,13 @@
 HOT = "faculte-des-sciences"
 SHARDS = 12
 COLD_S = 20.0
-"""Shorter than in service, since these tests run every tick."""
+"""Shorter than in production, since these tests simulate every tick."""
 
 
 def same_shard(count: int) -> list[str]:
-    """Return other keys of the hot one's shard."""
+    """Return other keys of the hot key's shard."""
     names = (f"faculte-{number}" for number in range(10_000))
-    found = (one for one in names if shard_of(one, SHARDS) == shard_of(HOT, SHARDS))
+    found = (name for name in names if shard_of(name, SHARDS) == shard_of(HOT, SHARDS))
     return [next(found) for _ in range(count)]
 
 
@@ -65,9 +65,10 @@
 def test_hot_key_leaves_the_other_keys_of_its_shard_where_they_are(
     world: World,
 ) -> None:
-    """One faculty fills half of a server, and the server fills up besides.
+    """One key uses half of a server's slots while the server gets other load too.
 
-    Its whole shard would change owner: thousands of other keys for the sake of one.
+    Without an entry for the key its whole shard would change owner, with thousands of
+    other keys.
     """
     others = same_shard(3)
     before = owner(world, HOT)
@@ -87,9 +88,10 @@
 
 
 def test_new_control_holder_keeps_the_hot_keys_entries() -> None:
-    """The control holder is lost, and the next one knows nothing of the load yet.
+    """The control holder is lost, and its successor has no load reports yet.
 
-    Ended at once, every hot key would go back to its shard and come again.
+    If it unpinned keys at once, every hot key would return to its shard and be pinned
+    again.
     """
     world = build(hosts_a_domain=2)
     ask(world, HOT, a_second=150, seconds=21.0)
@@ -103,12 +105,12 @@
 
 def test_key_with_its_part_of_the_requests_is_never_missed() -> None:
     counts = KeyCounts()
-    for number in range(MOST_COUNTED * 40):
+    for number in range(MAX_COUNTED_KEYS * 40):
         counts.add(0, f"one-time-{number}")
         if number % 20 == 0:
             counts.add(0, HOT)
     found, _ = counts.take()
-    assert 0 < found[HOT] <= MOST_COUNTED * 2
+    assert 0 < found[HOT] <= MAX_COUNTED_KEYS * 2
     assert max(found, key=lambda key: found[key]) == HOT
 
 
@@ -121,9 +123,9 @@
 def test_key_near_the_limit_neither_comes_nor_goes() -> None:
     hot_keys = HotKeys()
     slots = {HOT: 0.2}
-    assert hot_keys.to_pin(slots, pinned=0, slots_a_server=6) == []
+    assert hot_keys.keys_to_pin(slots, pinned=0, slots_per_server=6) == []
     for now_s in (0.0, _hot_keys.COLD_S, 2 * _hot_keys.COLD_S):
-        assert hot_keys.cooled(slots, slots_a_server=6, now_s=now_s) == []
+        assert hot_keys.keys_to_unpin(slots, slots_per_server=6, now_s=now_s) == []
 
 
 def test_key_that_got_an_entry_no_longer_counts_for_its_shard() -> None:
@@ -140,7 +142,7 @@
     )
     loads.hear(report, 0.0)
     before = loads.demand(slots=36)
-    loads.take_out({HOT: SHARDS})
+    loads.split_off_pins({HOT: SHARDS})
     after = loads.demand(slots=36)
     moved = 0.8 * before.measured_slots[shard]
     assert after.measured_slots[SHARDS] == pytest.approx(moved)
