--- a/src/gentianwharf/spread/_state.py
+++ b/src/gentianwharf/spread/_state.py
@@ -1,4 +1,4 @@
-"""What an operator sees of a host's spread."""
+"""State of the replication on a host, for operators."""
 
 from dataclasses import dataclass
 from typing import final
@@ -7,31 +7,31 @@
 @final
 @dataclass(kw_only=True, slots=True)
 class SpreadCounts:
-    """What a host did, as counts since its start.
+    """Counts since the start of a host.
 
-    ``deltas_lacking`` counts deltas whose base this host did not hold, ``failed``
-    values that raised an error when this host used them.
+    ``delta_failures`` counts deltas whose base this host did not hold or whose result
+    had another checksum, ``failed`` values for which ``on_value`` raised an exception.
     """
 
-    taken: int = 0
-    dropped_older: int = 0
+    accepted: int = 0
+    stale_dropped: int = 0
     malformed: int = 0
     sent_messages: int = 0
     sent_bytes: int = 0
     send_dropped: int = 0
-    passed_on: int = 0
+    forwarded: int = 0
     pulled: int = 0
-    deltas_lacking: int = 0
+    delta_failures: int = 0
     failed: int = 0
 
 
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SpreadState:
-    """What an operator sees of a host's spread.
+    """State of the replication on a host.
 
     ``ready`` is False until the values are known to be current enough to act on;
-    ``store_age_s`` is None while the store has not been heard of.
+    ``store_age_s`` is None until the first known contact with the store.
     """
 
     ready: bool
--- a/tests/test_spread_versions.py
+++ b/tests/test_spread_versions.py
@@ -1,4 +1,4 @@
-"""Versions, places and messages of spread, each by itself."""
+"""Unit tests of the versions, overlay and messages of the replication."""
 
 from collections import Counter
 
@@ -7,18 +7,18 @@
 from gentianwharf.errors import PeerMismatchError
 from gentianwharf.infra import VersionedValue
 from gentianwharf.spread._messages import (
-    MOST_KEYS,
-    MOST_MESSAGE_BYTES,
-    Ask,
+    MAX_KEYS,
+    MAX_MESSAGE_BYTES,
     Digest,
     Have,
     Pull,
     Push,
     Vector,
+    VectorRequest,
     decode,
     encode,
 )
-from gentianwharf.spread._places import FAN_OUT, PARTNERS, WATCHERS, Places, children
+from gentianwharf.spread._overlay import FAN_OUT, PARTNERS, WATCHERS, Overlay, children
 from gentianwharf.spread._versions import VersionTable
 
 from .builders_spread import make_hosts
@@ -27,7 +27,7 @@
 def _table(*versions: tuple[str, int]) -> VersionTable:
     table = VersionTable()
     for key, revision in versions:
-        table.offer(VersionedValue(key=key, value=b"", revision=revision))
+        table.update(VersionedValue(key=key, value=b"", revision=revision))
     return table
 
 
@@ -39,7 +39,7 @@
 def test_only_a_higher_revision_is_taken(revision: int, taken: bool) -> None:
     table = _table(("a", 5))
     offered = VersionedValue(key="a", value=b"x", revision=revision)
-    assert table.offer(offered) is taken
+    assert table.update(offered) is taken
     assert table.revision("a") == max(5, revision)
 
 
@@ -49,14 +49,14 @@
     )
     table = _table(("a", 1), ("b", 2))
     before = table.checksum()
-    table.offer(VersionedValue(key="a", value=b"", revision=3))
+    table.update(VersionedValue(key="a", value=b"", revision=3))
     assert table.checksum() != before
 
 
 def test_differences_are_found_both_ways() -> None:
     table = _table(("a", 5), ("b", 2), ("c", 3))
     theirs = [("a", 4), ("b", 6), ("d", 1)]
-    assert table.lacking(theirs) == [("b", 6), ("d", 1)]
+    assert table.missing(theirs) == [("b", 6), ("d", 1)]
     assert table.newer_than(theirs) == [("a", 5), ("c", 3)]
 
 
@@ -78,9 +78,9 @@
 
 
 def test_no_host_is_in_the_middle_of_every_revisions_tree() -> None:
-    """Operators change rules all day; one host sends eight times the bytes of each.
+    """With frequent changes, some hosts sent eight times the bytes of each.
 
-    The first watcher's tree had the same inner hosts for every change.
+    The tree of the first watcher had the same inner nodes for every change.
     """
     members = [f"lac-{number}" for number in range(100)]
     passed_on = Counter(
@@ -93,52 +93,54 @@
     assert max(passed_on.values()) < 4 * mean
 
 
-def _places(hosts_per_domain: int) -> dict[str, Places]:
+def _overlays(hosts_per_domain: int) -> dict[str, Overlay]:
     hosts = make_hosts(hosts_per_domain)
-    places = {host.id: Places(host=host) for host in hosts}
-    for one in places.values():
+    overlays = {host.id: Overlay(host=host) for host in hosts}
+    for one in overlays.values():
         one.set_hosts(hosts)
-    return places
+    return overlays
 
 
 @pytest.mark.parametrize("per_domain", [1, 4, 12, 100])
 def test_each_domain_has_few_watchers_and_all_agree_on_them(per_domain: int) -> None:
-    places = _places(per_domain)
-    watchers = sorted(name for name, one in places.items() if one.watch_rank < WATCHERS)
+    overlays = _overlays(per_domain)
+    watchers = sorted(
+        name for name, one in overlays.items() if one.watch_rank < WATCHERS
+    )
     assert len(watchers) == 3 * min(WATCHERS, per_domain)
-    for name, one in places.items():
+    for name, one in overlays.items():
         elsewhere = [w for w in watchers if w.split("-")[0] != name.split("-")[0]]
-        assert sorted(one.heads) == elsewhere
+        assert sorted(one.remote_watchers) == elsewhere
 
 
 def test_host_that_leaves_changes_few_places() -> None:
     hosts = make_hosts(100, ["lac"])
-    full = Places(host=hosts[0])
+    full = Overlay(host=hosts[0])
     full.set_hosts(hosts)
     gone = full.partners[0]
-    smaller = Places(host=hosts[0])
+    smaller = Overlay(host=hosts[0])
     smaller.set_hosts([host for host in hosts if host.id != gone])
     assert set(full.partners) - set(smaller.partners) == {gone}
 
 
 @pytest.mark.parametrize("size", [12, 100, 500])
 def test_partners_connect_the_domain(size: int) -> None:
-    """Digests mend a lost message only where some path of partners leads."""
+    """Digests recover a lost message only along a path of partners."""
     hosts = make_hosts(size, ["lac"])
     links: dict[str, set[str]] = {host.id: set() for host in hosts}
     for host in hosts:
-        places = Places(host=host)
-        places.set_hosts(hosts)
-        assert len(places.partners) == PARTNERS
-        for partner in places.partners:
+        overlay = Overlay(host=host)
+        overlay.set_hosts(hosts)
+        assert len(overlay.partners) == PARTNERS
+        for partner in overlay.partners:
             links[host.id].add(partner)
             links[partner].add(host.id)
     reached = {hosts[0].id}
-    ways = [hosts[0].id]
-    for one in ways:
+    queue = [hosts[0].id]
+    for one in queue:
         new = links[one] - reached
         reached |= new
-        ways += new
+        queue += new
     assert len(reached) == size
 
 
@@ -148,7 +150,7 @@
         Push(key="rules", packed=b"\x00\xff", revision=7, root="lac-1"),
         Have(versions=[("rules", 7)]),
         Digest(checksum=2**64 - 1, store_age_ms=-1, ready=False),
-        Ask(),
+        VectorRequest(),
         Vector(versions=[("rules", 7), ("table", 3)], store_age_ms=12, ready=True),
         Pull(keys=["rules"]),
     ],
@@ -162,11 +164,13 @@
     ("data", "expected"),
     [
         pytest.param(b"", "got 0", id="empty"),
-        pytest.param(b"\x01" * (MOST_MESSAGE_BYTES + 1), "bytes", id="too-large"),
-        pytest.param(b"\x02" + encode(Ask())[1:], "format 1", id="other-format"),
+        pytest.param(b"\x01" * (MAX_MESSAGE_BYTES + 1), "bytes", id="too-large"),
+        pytest.param(
+            b"\x02" + encode(VectorRequest())[1:], "format 1", id="other-format"
+        ),
         pytest.param(b"\x01\xff", "expected a message", id="not-msgpack"),
         pytest.param(
-            encode(Have(versions=[("k", 1)] * (MOST_KEYS + 1))), "4096", id="too-many"
+            encode(Have(versions=[("k", 1)] * (MAX_KEYS + 1))), "4096", id="too-many"
         ),
     ],
 )
