--- a/tests/test_ownership_asking.py
+++ b/tests/test_ownership_asking.py
@@ -149,7 +149,7 @@
     world.cut("lac", "ariana")
     world.advance(2.0)
     lost = rate(world, "RightAsk")
-    slow = 10 * 5 / _asking.DIRECT_SLOWLY_EVERY_S
+    slow = 10 * 5 / _asking.DIRECT_BACKOFF_INTERVAL_S
     quick = ASKERS * 5 * ROUNDS_A_S
     assert lost - usual <= 2 * (slow + quick) * 1.1
     world.cuts.clear()
