--- a/src/gentianwharf/ownership/_reader.py
+++ b/src/gentianwharf/ownership/_reader.py
@@ -1,4 +1,4 @@
-"""Reading and watching the store's tables and witness lists."""
+"""Reads and watches the store's tables and witness lists."""
 
 from collections.abc import Iterable
 from typing import final
@@ -16,56 +16,56 @@
 from ._timing import STORE_TIMEOUT_S, WATCH_S
 
 WATCHERS = 2
-"""Hosts of a domain that keep a watch open; they pass on what it brings."""
+"""Hosts of a domain that keep a watch open; they forward the values it returns."""
 
-READ_AGAIN_S = 0.5
-"""Pause after a read or a watch that failed, so as not to press a sick store."""
+RETRY_DELAY_S = 0.5
+"""Pause after a failed read or watch, so as not to overload a failing store."""
 
-READ_ALL_EVERY_S = 10.0
-"""How often the watchers read the witness lists, which have no watch."""
+READ_INTERVAL_S = 10.0
+"""Interval at which the watchers read the witness lists, which are not watched."""
 
 
 @final
 class Reader:
-    """Reads all at the start; afterwards a few hosts of each domain watch."""
+    """Reads all values at the start, and then watches on a few hosts of each domain."""
 
     def __init__(self, *, context: Context, fanout: Fanout) -> None:
         self._context = context
         self._fanout = fanout
-        self._reading = False
-        self._watching = False
+        self._is_reading = False
+        self._is_watching = False
         self._read_s = float("-inf")
         self._watch_due_s = float("-inf")
         self._was_listed = False
         self.has_read = False
 
     def tick(self) -> None:
-        """Start what is due."""
+        """Start a read or a watch that is due."""
         now_s = self._context.now_s
         is_watcher = self._context.is_among("watch", WATCHERS)
         witness = self._context.witness
         lacks_memory = witness.is_listed and not witness.has_memory
         if witness.is_listed and not self._was_listed:
-            # Until it has read, it confirms nothing: were the store to go now and
-            # another witness with it, the domain would lose its rights.
+            # A new witness confirms nothing until it has read the store. If the store
+            # and another witness failed before that, the domain would lose its rights.
             self._read_s = float("-inf")
         self._was_listed = witness.is_listed
         needs_read = not self.has_read or lacks_memory
-        pause_s = READ_AGAIN_S if needs_read else READ_ALL_EVERY_S
+        pause_s = RETRY_DELAY_S if needs_read else READ_INTERVAL_S
         is_due = now_s >= self._read_s + pause_s and (needs_read or is_watcher)
-        if is_due and not self._reading:
-            self._reading = True
+        if is_due and not self._is_reading:
+            self._is_reading = True
             self._read_s = now_s
             Deferred.fromCoroutine(self._read(with_tables=needs_read))
         watch_due = is_watcher and self.has_read and now_s >= self._watch_due_s
-        if watch_due and not self._watching:
-            self._watching = True
+        if watch_due and not self._is_watching:
+            self._is_watching = True
             Deferred.fromCoroutine(self._watch())
 
     async def _read(self, *, with_tables: bool) -> None:
         context = self._context
-        # Only a read that began when this host was known to be a witness gives it
-        # its memory; see ``Witness``.
+        # Only a read that began while this host was listed as a witness gives it a
+        # memory; see ``Witness``.
         was_listed = context.witness.is_listed
         try:
             tables = await self._get(TABLE) if with_tables else []
@@ -74,7 +74,7 @@
             context.log("store-read-failed", error=str(error))
             return
         finally:
-            self._reading = False
+            self._is_reading = False
         self.install([*tables, *lists])
         context.witness.note_list(context.tables.witnesses(context.host.domain))
         self.has_read = True
@@ -100,7 +100,7 @@
         versions = context.tables.versions
         known = [versions[key] for key in versions if key.startswith(TABLE)]
         try:
-            # A watch may go silent for good; the limit lets it be opened anew.
+            # A watch may never be answered; the timeout makes it open again.
             found = await answer_within(
                 context.clock,
                 WATCH_S + STORE_TIMEOUT_S,
@@ -112,18 +112,18 @@
             )
         except GentianwharfError as error:
             context.log("watch-failed", error=str(error))
-            self._watch_due_s = context.now_s + READ_AGAIN_S
+            self._watch_due_s = context.now_s + RETRY_DELAY_S
         else:
             self.install(found)
         finally:
-            self._watching = False
+            self._is_watching = False
 
     def install(self, found: Iterable[VersionedValue]) -> None:
-        """Take values read from the store and pass on what is new."""
+        """Apply values read from the store and forward the new ones."""
         context = self._context
         new = []
-        for one in found:
-            item = Item(context.relative(one.key), one.revision, one.value)
+        for value in found:
+            item = Item(context.relative(value.key), value.revision, value.value)
             if context.take(item):
                 new.append(item)
         if new and self.has_read:
--- a/src/gentianwharf/ownership/_renewal.py
+++ b/src/gentianwharf/ownership/_renewal.py
@@ -1,4 +1,4 @@
-"""Probing the servers of this host's own domain and renewing their grants."""
+"""Probes the servers of this host's own domain and renews their grants."""
 
 from collections.abc import Callable, Sequence
 from typing import final
@@ -17,16 +17,16 @@
 from ._timing import ORDER_LIFE_S, RENEW_EVERY_S
 
 RENEWERS = 2
-"""Hosts that renew each server's grants, so that losing one is not felt."""
+"""Hosts that renew each server's grants, so that the loss of one has no effect."""
 
 
 @final
 class Renewal:
-    """Keeps the servers' grants alive for as long as this host's right is.
+    """Renews the servers' grants for as long as this host's right is valid.
 
-    Needs no store: it goes on from what the tables say. ``told_of`` names the hosts
-    that are told of a service's servers that do not answer: its control holder, and
-    those that would follow it.
+    Renewal works from the tables and does not need the store. ``told_of`` returns the
+    hosts that are notified about unresponsive servers of a service: its control holder
+    and the hosts that would take over control.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._context = context
         self._evidence = evidence
         self._told_of = told_of
-        self._of_domain = [
+        self._domain_servers = [
             server
             for server in context.servers.values()
             if server.domain == context.host.domain
@@ -48,23 +48,28 @@
         self._own: list[BackendServer] = []
         self._live: tuple[str, ...] = ()
         self._due_s: dict[str, float] = {}
-        self._busy: set[str] = set()
-        self._missing_s: dict[str, float] = {}
+        self._in_progress: set[str] = set()
+        self._missing_since_s: dict[str, float] = {}
 
     def tick(self) -> None:
-        """Probe and renew what is due."""
+        """Probe the servers that are due and renew their grants."""
         context = self._context
         live = context.own_live_hosts()
         if live != self._live:
-            # At each tick it would be a look at every server of the domain, of which
-            # there are about as many as hosts.
+            # Done only on a change: the domain has about as many servers as hosts, too
+            # many to check at each tick.
             self._live = live
             self._own = [
-                one for one in self._of_domain if context.is_among(one.id, RENEWERS)
+                server
+                for server in self._domain_servers
+                if context.is_among(server.id, RENEWERS)
             ]
         now_s = context.now_s
         for server in self._own:
-            if now_s < self._due_s.get(server.id, 0.0) or server.id in self._busy:
+            if (
+                now_s < self._due_s.get(server.id, 0.0)
+                or server.id in self._in_progress
+            ):
                 continue
             self._due_s[server.id] = now_s + RENEW_EVERY_S
             self.probe(server)
@@ -74,13 +79,13 @@
     ) -> None:
         """Probe ``server`` at once and renew its grants if it answers.
 
-        ``is_second`` says that another host's probe went unanswered before: then a
-        single one without an answer is enough to suspect the server. ``asker`` is told
-        of it too.
+        ``is_second`` means that a probe by another host went unanswered before, so that
+        a single failure is enough to suspect the server. The host ``asker`` is notified
+        of the suspicion too.
         """
-        if server.id in self._busy:
+        if server.id in self._in_progress:
             return
-        self._busy.add(server.id)
+        self._in_progress.add(server.id)
         Deferred.fromCoroutine(self._probe(server, asker, is_second))
 
     async def _probe(self, server: BackendServer, asker: str, is_second: bool) -> None:
@@ -96,47 +101,47 @@
             )
             self._evidence.note(server.id, answered=True)
             if report.draining:
-                self._tell(server, Leaving(server=server.id))
-            await self._renew(server, report, heard_s=context.now_s)
+                self._notify(server, Leaving(server=server.id))
+            await self._renew(server, report, answered_s=context.now_s)
         except GentianwharfError as error:
             if context.lag.was_paused(
                 begun_s=begun_s, timeout_s=timeout_s, now_s=context.now_s
             ):
-                # The answer may wait in the socket: this host has no evidence.
+                # The answer may be unread in the socket, so the timeout is no evidence.
                 return
             context.log("probe-failed", server=server.id, error=str(error))
             is_suspect = self._evidence.note(server.id, answered=False)
             if is_suspect or is_second:
-                self._tell(server, Suspect(server=server.id), also=asker)
+                self._notify(server, Suspect(server=server.id), also=asker)
             if not is_second:
-                self._ask_others(server)
+                self._request_probes(server)
             if not is_suspect:
-                # Not at the next renewal: the keys are unserved while evidence is
-                # gathered.
+                # Probe again without waiting for the next renewal, because the keys
+                # are unserved until there is enough evidence.
                 context.clock.callLater(0, self.probe, server)
         finally:
-            self._busy.discard(server.id)
+            self._in_progress.discard(server.id)
 
-    def _tell(self, server: BackendServer, message: Message, also: str = "") -> None:
-        told = dict.fromkeys([*self._told_of(server.service), also])
-        for host in told:
+    def _notify(self, server: BackendServer, message: Message, also: str = "") -> None:
+        recipients = dict.fromkeys([*self._told_of(server.service), also])
+        for host in recipients:
             if host:
                 self._context.send(host, message)
 
-    def _ask_others(self, server: BackendServer) -> None:
-        told = self._told_of(server.service)
+    def _request_probes(self, server: BackendServer) -> None:
+        recipients = self._told_of(server.service)
         witnesses = self._context.tables.witnesses(server.domain)
-        for host in witnesses.all() if witnesses and told else ():
+        for host in witnesses.all() if witnesses and recipients else ():
             if host != self._context.host.id:
-                self._context.send(host, Probe(server=server.id, control=told[0]))
+                self._context.send(host, Probe(server=server.id, control=recipients[0]))
 
     async def _renew(
-        self, server: BackendServer, report: ServerReport, *, heard_s: float
+        self, server: BackendServer, report: ServerReport, *, answered_s: float
     ) -> None:
         context = self._context
-        tokens = self._tokens_to_renew(server, report, heard_s)
+        tokens = self._tokens_to_renew(server, report, answered_s)
         until_s = context.rights.until_s(server.domain)
-        if not tokens or heard_s >= until_s:
+        if not tokens or answered_s >= until_s:
             return
         missing = any(shard not in report.held for shard in tokens)
         if not (server.knows_validity or missing):
@@ -146,9 +151,9 @@
             giver=context.host.id,
             term=0,
             tokens=tokens,
-            # From a stamp read before ``heard_s``, so the grant ends before the
-            # right that it rests on, however late it arrives.
-            validity_s=until_s - heard_s,
+            # Counted from a server timestamp read before ``answered_s``, so the grant
+            # ends before the right that it depends on, however late it arrives.
+            validity_s=until_s - answered_s,
             server_stamp_s=report.stamp_s if server.gives_stamp else None,
             void_after_stamp_s=(
                 report.stamp_s + ORDER_LIFE_S if server.gives_stamp else None
@@ -163,7 +168,7 @@
         )
 
     def _tokens_to_renew(
-        self, server: BackendServer, report: ServerReport, heard_s: float
+        self, server: BackendServer, report: ServerReport, answered_s: float
     ) -> dict[int, int]:
         owned = {
             shard: entry
@@ -183,13 +188,13 @@
             if shard not in report.held and entry.state is EntryState.OWNED
         }
         if not lacking:
-            self._missing_s.pop(server.id, None)
+            self._missing_since_s.pop(server.id, None)
             return held
-        # A server that started cold has forgotten its shards, and also that it
-        # released some. This host's table may be the older one: only a right asked
-        # for after the loss was seen shows that no release was announced before.
-        since_s = self._missing_s.setdefault(server.id, heard_s)
+        # A restarted server has lost its shards, and also the record of those that it
+        # released. This host's table may be out of date: only a right requested after
+        # the loss was seen shows that no release was announced before.
+        since_s = self._missing_since_s.setdefault(server.id, answered_s)
         if self._context.rights.asked_s(server.domain) < since_s:
             return held
-        del self._missing_s[server.id]
+        del self._missing_since_s[server.id]
         return held | lacking
--- a/src/gentianwharf/ownership/_rights.py
+++ b/src/gentianwharf/ownership/_rights.py
@@ -1,10 +1,10 @@
-"""Rights to send: asked for by every host, given by majorities of witnesses.
+"""Rights to send: requested by every host, granted by majorities of witnesses.
 
-A witness that confirms "I know nothing newer than your versions" decides nothing
-and keeps nothing. The majorities of those who confirm and of those who acknowledge
-a newer version share a witness, and that one answered before it acknowledged; so
-every right under the older version was asked for before the acknowledgement and
-ends ``RIGHT_USE_S`` after it at the latest.
+A witness that confirms that it holds nothing newer than the versions in a request
+makes no decision and stores no state. Any majority that confirms a version and any
+majority that acknowledges a newer one have a witness in common, and that witness
+confirmed before it acknowledged. Every right under the older version was therefore
+requested before the acknowledgement and ends at most ``RIGHT_USE_S`` after it.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -15,15 +15,17 @@
 from ._tables import Tables, WitnessList, checksum_of, witnessed_in
 from ._timing import RIGHT_USE_S, RIGHT_WAIT_S
 
-MOST_ROUNDS = 8
-"""Open rounds of a domain; a later answer could hardly give any right."""
+MAX_ROUNDS = 8
+"""Maximum number of open rounds per domain. An answer to an older round could hardly
+extend a right."""
 
+MAX_SHARE_ROUNDS = 64
+"""Maximum number of open share rounds. A request that meets different versions opens
+one more."""
 
-MOST_SHARES = 64
-"""Open questions for shares: each that met other versions opens one more."""
-
-SHORTENED_BY_S = 0.02
-"""What a right may lose by being counted with others; rounds are 100 ms apart."""
+MAX_SHORTENING_S = 0.02
+"""Maximum time that a right may lose when it is sent as part of a common value.
+Rounds are 100 ms apart."""
 
 
 @final
@@ -42,38 +44,43 @@
 
 
 def shorten(answer: ShareAnswer, domains: Iterable[str], *, exact: str) -> ShareAnswer:
-    """Return ``answer`` with one figure for most of the question's ``domains``.
+    """Return ``answer`` with one common value for most of the request's ``domains``.
 
-    Each by name would be most of what is sent for rights: 450 bytes for 24 domains,
-    to each of sixteen hosts ten times a second. The figure is the least of those that
-    are nearly the greatest; all others, and those without a right, keep their names. So
-    does ``exact``, by whose age the asking host keeps pace.
+    Listing each domain would make up most of the traffic for rights: 450 bytes for 24
+    domains, to each of sixteen hosts ten times a second. The common value is the
+    smallest of those within ``MAX_SHORTENING_S`` of the greatest. Domains below it, and
+    those without a right, are listed by name. So is ``exact``, since the requesting
+    host synchronizes its timer with the age of that right.
     """
     left_s = {
         domain: answer.good_s.get(domain, 0.0) for domain in domains if domain != exact
     }
-    nearly_s = max(left_s.values(), default=0.0) - SHORTENED_BY_S
-    alike_s = [one for one in left_s.values() if one >= nearly_s and one > 0]
-    if not alike_s:
+    threshold_s = max(left_s.values(), default=0.0) - MAX_SHORTENING_S
+    similar_s = [
+        value_s for value_s in left_s.values() if value_s >= threshold_s and value_s > 0
+    ]
+    if not similar_s:
         return answer
-    others_s = min(alike_s)
-    named = {domain: one for domain, one in left_s.items() if one < others_s}
+    others_s = min(similar_s)
+    named = {
+        domain: value_s for domain, value_s in left_s.items() if value_s < others_s
+    }
     named[exact] = answer.good_s.get(exact, 0.0)
     return ShareAnswer(round=answer.round, good_s=named, others_s=others_s)
 
 
 @final
 class Rights:
-    """The rights of one host, one a domain of backend servers.
+    """The rights of one host, one per domain of backend servers.
 
-    A right for some versions serves newer ones too: whoever knows nothing newer
-    than the older version knows nothing newer than the newer one. ``first_round``
-    is drawn anew at each start.
+    A right for some versions is valid for newer ones too: a witness that holds nothing
+    newer than the older version holds nothing newer than the newer one. ``first_round``
+    is drawn at random at each start.
     """
 
     def __init__(self, *, first_round: int = 0) -> None:
-        # An answer to this host's earlier life, late on its way, must not pass for
-        # one to a question of this life, which would count it from too late.
+        # A late answer to a request from before a restart must not be taken for the
+        # answer to a newer request: the right would count from too late a time.
         self._last_round = first_round
         self._until_s: dict[str, float] = {}
         self._asked_s: dict[str, float] = {}
@@ -89,7 +96,7 @@
         versions: Mapping[str, int],
         now_s: float,
     ) -> RightAsk:
-        """Open a round and return the question for each of the witnesses."""
+        """Open a round and return the request for each of the witnesses."""
         number = self._open_round(domain=domain, witnesses=witnesses, now_s=now_s)
         return RightAsk(
             domain=domain,
@@ -101,38 +108,38 @@
     def ask_briefly(
         self, *, domain: str, witnesses: WitnessList, checksum: int, now_s: float
     ) -> RightAsk:
-        """Open a round and return the question by the versions' checksum alone."""
+        """Open a round and return a request that holds only the versions' checksum."""
         number = self._open_round(domain=domain, witnesses=witnesses, now_s=now_s)
         return RightAsk(domain=domain, round=number, checksum=checksum)
 
     def _open_round(self, *, domain: str, witnesses: WitnessList, now_s: float) -> int:
-        """Note that the witnesses of ``domain`` are asked now."""
+        """Record that the witnesses of ``domain`` are asked now."""
         self._last_round += 1
-        # The stamp is taken before the question leaves: a host that is paused
-        # between asking and hearing must find its right already used up.
+        # The time is taken before the request is sent: a host that is paused between
+        # the request and the answer must find its right already expired.
         opened = _Round(asked_s=now_s, witnesses=witnesses)
         rounds = self._rounds.setdefault(domain, {})
         rounds[self._last_round] = opened
-        if len(rounds) > MOST_ROUNDS:
+        if len(rounds) > MAX_ROUNDS:
             del rounds[next(iter(rounds))]
         return self._last_round
 
     def ask_fully(
         self, wanted: VersionsWanted, tables: Tables
     ) -> RightAsk | ShareAsk | None:
-        """Return the question of an open round with all versions, None without one.
+        """Return the request of an open round with all versions, None without one.
 
-        A round's answers may be for different versions of this host. Its tables only
-        grow, so all of these are as old as the newest or older, and the right counts
-        from before the first question.
+        The answers of one round may be for different versions of this host's tables.
+        Versions only increase, so none of them is newer than the last, and the right
+        counts from before the first request.
         """
         versions = dict(tables.versions)
         if wanted.is_share:
             opened = self._shares.get(wanted.round)
             if opened is None:
                 return None
-            # Another number, since the same answer means other domains now.
-            number = self._note_share(opened.asked_s, witnessed_in(versions))
+            # A new round number, since the set of domains may differ now.
+            number = self._open_share_round(opened.asked_s, witnessed_in(versions))
             return ShareAsk(
                 round=number,
                 checksum=tables.checksum,
@@ -150,7 +157,7 @@
         )
 
     def hear(self, host: str, answer: RightAnswer) -> None:
-        """Count a witness's answer; a majority extends the right."""
+        """Record a witness's answer; a majority extends the right."""
         opened = self._rounds.get(answer.domain, {}).get(answer.round)
         if opened is None or answer.good_s <= 0:
             return
@@ -164,26 +171,26 @@
         self._asked_s[answer.domain] = asked_s
 
     def ask_share(self, *, versions: Mapping[str, int], now_s: float) -> ShareAsk:
-        """Return the question for a host that may pass on what is left."""
+        """Return a request for a share of another host's rights."""
         return ShareAsk(
-            round=self._note_share(now_s, witnessed_in(versions)),
+            round=self._open_share_round(now_s, witnessed_in(versions)),
             checksum=checksum_of(versions),
             versions=dict(versions),
         )
 
     def open_share(self, *, tables: Tables, now_s: float) -> int:
-        """Note that other hosts are asked for shares now; return the round."""
-        return self._note_share(now_s, tables.witnessed())
+        """Record that other hosts are asked for shares now; return the round."""
+        return self._open_share_round(now_s, tables.witnessed())
 
-    def _note_share(self, asked_s: float, domains: frozenset[str]) -> int:
+    def _open_share_round(self, asked_s: float, domains: frozenset[str]) -> int:
         self._last_round += 1
         self._shares[self._last_round] = _ShareRound(asked_s=asked_s, domains=domains)
-        if len(self._shares) > MOST_SHARES:
+        if len(self._shares) > MAX_SHARE_ROUNDS:
             del self._shares[next(iter(self._shares))]
         return self._last_round
 
     def share(self, ask: ShareAsk, now_s: float) -> ShareAnswer:
-        """Return what is left for a host whose versions are not older than ours."""
+        """Return the remaining rights, for a host whose versions are not older."""
         left = {
             domain: until_s - now_s
             for domain, until_s in self._until_s.items()
@@ -192,46 +199,46 @@
         return ShareAnswer(round=ask.round, good_s=left)
 
     def hear_share(self, answer: ShareAnswer) -> None:
-        """Take what another host passes on, counted from this host's question."""
+        """Apply another host's remaining rights, counted from this host's request."""
         opened = self._shares.get(answer.round)
         if opened is None:
             return
-        # Not the domains known now: the answer says nothing of one whose witness list
-        # came after the question, and would give a right that nobody confirmed.
+        # Not the domains that are known now: the answer does not cover a domain whose
+        # witness list arrived after the request, so no witness confirmed a right to it.
         for domain in opened.domains | answer.good_s.keys():
             good_s = answer.left_s(domain)
             if good_s <= 0:
                 continue
             until_s = opened.asked_s + min(good_s, RIGHT_USE_S)
             self._until_s[domain] = max(until_s, self.until_s(domain))
-            # The majority was asked by the other host before this one asked; this
-            # is the latest moment that is certainly not after it.
-            first_s = until_s - RIGHT_WAIT_S
-            self._asked_s[domain] = max(first_s, self.asked_s(domain))
+            # The other host asked the majority before this host sent its request.
+            # This is the latest time that is certainly not after that.
+            asked_s = until_s - RIGHT_WAIT_S
+            self._asked_s[domain] = max(asked_s, self.asked_s(domain))
 
     def confirmed(self, domain: str) -> Collection[str]:
-        """Return the witnesses that confirmed the last round, none without a right."""
+        """Return the witnesses that confirmed the last round, if it gave a right."""
         rounds = self._rounds.get(domain)
         last = next(reversed(rounds.values())) if rounds else None
         return last.good_s if last and last is self._confirmed.get(domain) else ()
 
     def asked_s(self, domain: str) -> float:
-        """Return when the newest right for ``domain`` was asked for."""
+        """Return when the newest right for ``domain`` was requested."""
         return self._asked_s.get(domain, float("-inf"))
 
     def until_s(self, domain: str) -> float:
-        """Return until when this host may act on servers of ``domain``."""
+        """Return the time until which this host may act on servers of ``domain``."""
         return self._until_s.get(domain, float("-inf"))
 
 
 def knows_newer(tables: Tables, ask: RightAsk | ShareAsk) -> bool:
-    """Whether ``tables`` may hold anything newer than the versions asked for.
+    """Whether ``tables`` may hold anything newer than the versions in the request.
 
-    Guards against a right to an older table: whoever asks by checksum alone is
-    believed only when *all* versions are the same. A checksum of a part, or one that
-    two sets share, would confirm a table from before a move, and its host would go on
-    sending to the old owner: two owners. 64 bits leave odds of 2 to the -64 for each
-    pair of sets that is compared; see docs/design/ownership.md.
+    This prevents a right to an older table: a request with only a checksum is
+    confirmed only if *all* versions are the same. A checksum of only some versions, or
+    a collision, would confirm a table from before a move, and its host would continue
+    to send to the old owner: two owners. With 64 bits the probability is 2 to the -64
+    for each pair of sets that is compared; see docs/design/ownership.md.
     """
     if ask.versions is None:
         return ask.checksum != tables.checksum
@@ -240,12 +247,13 @@
 
 @final
 class Witness:
-    """The part of one host as a witness of its domain.
+    """The state of one host as a witness of its domain.
 
-    It confirms nothing until it has a memory: it has read the store since it
-    started, or since it was named a witness, or it heard enough witnesses that
-    have one. Otherwise a restart would make it forget a version that it had
-    acknowledged, and with another stale witness it would revive rights to it.
+    A witness confirms nothing until it has a memory, that is until it has read the
+    store since it started or was listed as a witness, or has received the versions of
+    enough witnesses that have a memory. Otherwise a restart would lose a version that
+    it had acknowledged, and together with another stale witness it would confirm
+    rights to the version before it.
     """
 
     def __init__(self, *, host: str, domain: str, incarnation: int) -> None:
@@ -253,42 +261,42 @@
         self.domain = domain
         self.incarnation = incarnation
         self._read_store = False
-        self._heard: set[str] = set()
-        self._recovered = False
+        self._answered_hosts: set[str] = set()
+        self._has_recovered = False
         self.is_listed = False
 
     @property
     def has_memory(self) -> bool:
-        """Whether it may confirm and acknowledge."""
-        return self._read_store or self._recovered
+        """Whether the witness may confirm and acknowledge."""
+        return self._read_store or self._has_recovered
 
     def note_list(self, witnesses: WitnessList | None) -> None:
-        """Note the witness list in force."""
+        """Apply the current witness list."""
         is_listed = witnesses is not None and self.host in witnesses.all()
         if is_listed and not self.is_listed:
-            # What it knew as an ordinary host may lack versions that the earlier
-            # witnesses acknowledged: only a read from now on counts.
+            # The tables of an ordinary host may lack versions that the earlier
+            # witnesses acknowledged, so only a read that begins from now on counts.
             self.forget()
         self.is_listed = is_listed
 
     def forget(self) -> None:
-        """Confirm nothing until the store is read or others are heard again."""
+        """Confirm nothing until the store is read or other witnesses have answered."""
         self._read_store = False
-        self._recovered = False
-        self._heard.clear()
+        self._has_recovered = False
+        self._answered_hosts.clear()
 
     def store_read(self) -> None:
-        """Note that a read of the store which began while listed has ended."""
+        """Record that a read of the store which began while listed has ended."""
         self._read_store = True
 
     def recovered_from(self, host: str, witnesses: WitnessList) -> None:
-        """Note the answer of a witness with memory, its values being installed."""
-        self._heard.add(host)
-        if witnesses.can_recover_from(self._heard):
-            self._recovered = True
+        """Record a witness with a memory whose values have been installed."""
+        self._answered_hosts.add(host)
+        if witnesses.can_recover_from(self._answered_hosts):
+            self._has_recovered = True
 
     def answer(self, ask: RightAsk, tables: Tables) -> RightAnswer:
-        """Confirm the versions asked for, or refuse when a newer one is known."""
+        """Confirm the requested versions, or refuse if a newer one is known."""
         good = self.has_memory and not knows_newer(tables, ask)
         return RightAnswer(
             domain=ask.domain,
--- a/src/gentianwharf/ownership/_witness_list.py
+++ b/src/gentianwharf/ownership/_witness_list.py
@@ -1,9 +1,10 @@
-"""Keeping a domain's witness list up to date while hosts come and go.
+"""Updates a domain's witness list as hosts are added and removed.
 
-The list changes one host at a time, through a value that holds both lists: rights
-and announcements then need a majority of each. Only when a majority of the earlier
-list knows of the change does the earlier list go; from then on whoever announces
-to it alone is told so by at least one of them.
+The list changes one host at a time, through a value that holds both the earlier and
+the new list; rights and announcements then need a majority of each. The earlier list
+is dropped only after a majority of it has acknowledged the change. From then on, a host
+that announces to the earlier list alone learns of the change from at least one of its
+members.
 """
 
 from collections.abc import Iterable
@@ -24,23 +25,25 @@
 from ._tables import WitnessList, witness_key
 from ._timing import STORE_TIMEOUT_S
 
-MOST_WITNESSES = 5
-"""Two of them may be lost; more would cost messages without need."""
+MAX_WITNESSES = 5
+"""Maximum number of witnesses. Two of five may be lost; more would only cost
+messages."""
 
-CHECK_EVERY_S = 1.0
-"""How often one host of the domain looks at the list."""
+CHECK_INTERVAL_S = 1.0
+"""Interval at which one host of the domain checks the list."""
 
 REPLACE_AFTER_S = 10.0
-"""Silence after which a witness is replaced: longer than a restart takes."""
+"""Time without a message after which a witness is replaced. It is longer than a
+restart takes."""
 
 
 def next_list(
     witnesses: WitnessList, *, listed: Iterable[str], live: Iterable[str]
 ) -> WitnessList | None:
-    """Return the list with one host changed, or None when it can stay.
+    """Return the list with one host changed, or None if no change is needed.
 
-    ``listed`` are the hosts that the platform names, ``live`` those that have not
-    been silent for ``REPLACE_AFTER_S``.
+    ``listed`` are the hosts in the platform's list, ``live`` those that have been live
+    within ``REPLACE_AFTER_S``.
 
     >>> now = WitnessList(hosts=("a", "b", "c"))
     >>> next_list(now, listed=["a", "b", "d"], live=["a", "b", "d"]).hosts
@@ -48,13 +51,13 @@
     >>> next_list(now, listed=["a", "b", "c"], live=["a", "b"]) is None
     True
     """
-    usable = [one for one in live if one in set(listed)]
-    spare = [one for one in usable if one not in witnesses.hosts]
-    gone = [one for one in witnesses.hosts if one not in usable]
+    usable = [host for host in live if host in set(listed)]
+    spare = [host for host in usable if host not in witnesses.hosts]
+    gone = [host for host in witnesses.hosts if host not in usable]
     hosts = list(witnesses.hosts)
     if gone and spare:
         hosts[hosts.index(gone[0])] = spare[0]
-    elif spare and len(hosts) < MOST_WITNESSES:
+    elif spare and len(hosts) < MAX_WITNESSES:
         hosts.append(spare[0])
     else:
         return None
@@ -64,10 +67,10 @@
 async def declare_lost(
     context: Context, fanout: Fanout, domain: str, *, lost: bool
 ) -> None:
-    """Write an operator's word on a domain into its witness list.
+    """Record in a domain's witness list whether an operator declared it lost.
 
-    Raises what the store raises; after ``OutcomeUnknownError`` the same call may be
-    repeated, since it first reads what is there.
+    Raises the errors of the store. After ``OutcomeUnknownError`` the call may be
+    repeated, since it reads the current value first.
     """
     key = witness_key(domain)
     found = await answer_within(
@@ -106,7 +109,7 @@
 
 @final
 class WitnessListKeeper:
-    """Writes the first list of this host's domain, and later changes."""
+    """Writes the initial witness list of this host's domain and its later changes."""
 
     def __init__(
         self, *, context: Context, announcer: Announcer, fanout: Fanout
@@ -116,22 +119,22 @@
         self._announcer = announcer
         self._key = witness_key(context.host.domain)
         self._due_s = float("-inf")
-        self._heard_s: dict[str, float] = {}
-        self._busy = False
+        self._last_live_s: dict[str, float] = {}
+        self._is_checking = False
 
     def tick(self, *, has_read: bool) -> None:
-        """Look at the list, on one host of the domain."""
+        """Check the list if this host is the one in its domain that does so."""
         context = self._context
         now_s = context.now_s
         if now_s < self._due_s:
             return
-        self._due_s = now_s + CHECK_EVERY_S
+        self._due_s = now_s + CHECK_INTERVAL_S
         domain = context.host.domain
         for host in context.peers.hosts_of(domain):
-            if context.peers.is_live(host) or host not in self._heard_s:
-                self._heard_s[host] = now_s
-        if has_read and not self._busy and context.is_among("witness list", 1):
-            self._busy = True
+            if context.peers.is_live(host) or host not in self._last_live_s:
+                self._last_live_s[host] = now_s
+        if has_read and not self._is_checking and context.is_among("witness list", 1):
+            self._is_checking = True
             Deferred.fromCoroutine(self._check())
 
     async def _check(self) -> None:
@@ -140,7 +143,7 @@
         except GentianwharfError as error:
             self._context.log("witnesses-not-written", error=str(error))
         finally:
-            self._busy = False
+            self._is_checking = False
 
     async def _change(self) -> None:
         context = self._context
@@ -148,22 +151,22 @@
         listed = context.tables.witnesses(domain)
         hosts = rendezvous_rank(domain, context.peers.hosts_of(domain))
         if listed is None:
-            await self._write(WitnessList(hosts=tuple(hosts[:MOST_WITNESSES])))
+            await self._write(WitnessList(hosts=tuple(hosts[:MAX_WITNESSES])))
             return
         if listed.leaving:
-            await self._end_change(listed)
+            await self._finish_change(listed)
             return
         now_s = context.now_s
         live = [
-            one
-            for one in hosts
-            if now_s - self._heard_s.get(one, now_s) < REPLACE_AFTER_S
+            host
+            for host in hosts
+            if now_s - self._last_live_s.get(host, now_s) < REPLACE_AFTER_S
         ]
         changed = next_list(listed, listed=hosts, live=live)
         if changed is not None:
             await self._write(changed)
 
-    async def _end_change(self, listed: WitnessList) -> None:
+    async def _finish_change(self, listed: WitnessList) -> None:
         revision = self._context.tables.versions[self._key]
         announcement = self._announcer.announce_list(
             domain=self._context.host.domain,
--- a/src/gentianwharf/ownership/_witnessing.py
+++ b/src/gentianwharf/ownership/_witnessing.py
@@ -1,4 +1,4 @@
-"""A host's part in rights: answering as a witness and sharing, recovering."""
+"""Answers requests for rights and shares, and recovers a witness's memory."""
 
 from typing import final
 
@@ -18,30 +18,31 @@
 from ._rights import knows_newer, shorten
 from ._tables import WitnessList, witness_key, witnessed_in
 
-RECOVER_EVERY_S = 0.2
-"""How often a witness without memory asks the others, while the store is down."""
+RECOVERY_INTERVAL_S = 0.2
+"""Interval at which a witness without a memory asks the other witnesses, while the
+store is unavailable."""
 
 
 @final
 class Witnessing:
-    """Answers as a witness, and passes on what is left of this host's rights."""
+    """Answers requests as a witness, and shares this host's remaining rights."""
 
     def __init__(self, *, context: Context) -> None:
         self._context = context
         self._recover_due_s = float("-inf")
 
     def tick(self) -> None:
-        """Recover a lost memory."""
+        """Ask the other witnesses for their versions if this one has no memory."""
         context = self._context
         now_s = context.now_s
         own = context.tables.witnesses(context.host.domain)
         context.witness.note_list(own)
         lacks_memory = own is not None and not context.witness.has_memory
         if own is not None and lacks_memory and now_s >= self._recover_due_s:
-            self._recover_due_s = now_s + RECOVER_EVERY_S
-            self._recover(own)
+            self._recover_due_s = now_s + RECOVERY_INTERVAL_S
+            self._request_recovery(own)
 
-    def _recover(self, witnesses: WitnessList) -> None:
+    def _request_recovery(self, witnesses: WitnessList) -> None:
         context = self._context
         if not context.witness.is_listed:
             return
@@ -53,7 +54,7 @@
                 context.peers.send(host, ask)
 
     def asked(self, host: str, ask: RightAsk) -> None:
-        """Answer a host that asks for a right, and bring it up to date."""
+        """Answer a request for a right, and send newer values to its host."""
         context = self._context
         if ask.domain != context.host.domain or not context.witness.is_listed:
             return
@@ -62,10 +63,10 @@
             context.send(host, wanted)
             return
         context.send(host, context.witness.answer(ask, context.tables))
-        self._bring_up_to_date(host, ask)
+        self._send_newer(host, ask)
 
     def share_asked(self, host: str, ask: ShareAsk) -> None:
-        """Pass on what is left, unless the other host's versions are older."""
+        """Share the remaining rights, unless the other host's versions are older."""
         context = self._context
         if not self._can_compare(ask):
             wanted = VersionsWanted(domain=ask.domain, round=ask.round, is_share=True)
@@ -73,7 +74,7 @@
             return
         if not knows_newer(context.tables, ask):
             context.send(host, self._share(ask))
-        self._bring_up_to_date(host, ask)
+        self._send_newer(host, ask)
 
     def _share(self, ask: ShareAsk) -> ShareAnswer:
         context = self._context
@@ -81,19 +82,19 @@
         if ask.domain is not None:
             return answer
         if ask.versions is None:
-            # The same checksum: the same witness lists.
+            # An equal checksum implies equal witness lists.
             domains = context.tables.witnessed()
         else:
             domains = witnessed_in(ask.versions)
         return shorten(answer, domains, exact=context.host.domain)
 
     def _can_compare(self, ask: RightAsk | ShareAsk) -> bool:
-        # A checksum that differs does not say who is newer; the same round goes on
-        # with all versions, a round trip later.
+        # A different checksum does not show which host is newer. The same round then
+        # continues with all versions, one round trip later.
         is_same = ask.checksum == self._context.tables.checksum
         return is_same or ask.versions is not None
 
-    def _bring_up_to_date(self, host: str, ask: RightAsk | ShareAsk) -> None:
+    def _send_newer(self, host: str, ask: RightAsk | ShareAsk) -> None:
         context = self._context
         if ask.versions is None:
             return
@@ -102,18 +103,18 @@
             context.send(host, Pull(versions=dict(context.tables.versions)))
 
     def versions_wanted(self, host: str, wanted: VersionsWanted) -> None:
-        """Ask again with all versions, since the other host's are not the same."""
+        """Repeat a request with all versions, since the other host's differ."""
         context = self._context
         ask = context.rights.ask_fully(wanted, context.tables)
         if ask is not None:
             context.send(host, ask)
 
     def answered(self, host: str, answer: RightAnswer) -> None:
-        """Count a witness's answer."""
+        """Record a witness's answer."""
         self._context.rights.hear(host, answer)
 
     def announced(self, host: str, announce: Announce) -> None:
-        """Take the version and acknowledge it, when this host has a memory."""
+        """Apply the announced values and acknowledge them if this host has a memory."""
         context = self._context
         for item in announce.items:
             context.take(item)
@@ -135,7 +136,7 @@
         )
 
     def recovery_asked(self, host: str, ask: RecoverAsk) -> None:
-        """Tell a witness that lost its memory all that this one knows."""
+        """Send all values and versions to a witness that lost its memory."""
         context = self._context
         if ask.domain == context.host.domain and context.witness.has_memory:
             context.send_items(host, context.tables.newer_than({}))
@@ -147,7 +148,7 @@
             context.send(host, answer)
 
     def recovery_answered(self, host: str, answer: RecoverAnswer) -> None:
-        """Count a witness whose knowledge has all arrived; ask again otherwise."""
+        """Record a witness if its values have arrived; otherwise it is asked again."""
         context = self._context
         if not context.tables.knows(answer.versions):
             return
