--- a/src/gentianwharf/ownership/_deadlines.py
+++ b/src/gentianwharf/ownership/_deadlines.py
@@ -1,13 +1,13 @@
-"""Deadlines beyond the sender's right: allowed by witnesses, and remembered by them.
-
-A server that knows tokens alone may thaw and run what its buffers hold, so that after
-its loss a shard waits until the last deadline sent there has passed. A deadline that
-ends soon after the sender's right costs nothing, since that end is waited for anyhow.
-A longer one may be sent only after a majority of the witnesses of the server's domain
-has noted how long it may be. When all rights under the old version have ended, the
-control holder asks a majority in turn. The two share a witness, and that one either
-remembers or says that it started later; so no deadline is overlooked, whatever host
-sent it and whether or not that host still lives.
+"""Deadlines beyond the sender's right, which witnesses allow and record.
+
+A server that checks only tokens may resume after a freeze and run buffered requests.
+After its loss a shard therefore waits until the last deadline sent to it has expired. A
+deadline that ends soon after the sender's right costs nothing, since the wait covers
+that end anyway. A longer one may be sent only after a majority of the witnesses of the
+server's domain has recorded its end. When all rights under the old version have
+ended, the control holder asks a majority in turn. The two majorities have a witness in
+common, which either holds the record or reports that it started later. No deadline is
+missed, whichever host sent it and whether or not that host is still running.
 """
 
 from collections import defaultdict
@@ -27,39 +27,41 @@
     RIGHT_WAIT_S,
 )
 
-MOST_ROUNDS = 1024
-"""Open rounds; the answer to an older one could hardly matter any more."""
+MAX_ROUNDS = 1024
+"""Maximum number of open rounds. An answer to an older round would hardly matter."""
 
 EVERY_SHARD = -1
-"""Stands in a question for all shards of its service."""
+"""Stands for all shards of the service in a request."""
 
-MOST_SINGLE_SHARDS = 16
-"""Shards for which a host asks one by one within ``ALLOWANCE_REUSE_S``.
+MAX_SINGLE_SHARDS = 16
+"""Maximum number of shards that a host asks for singly within ``ALLOWANCE_REUSE_S``.
 
-Where most requests have long deadlines, as when every rule of a service gives one, a
-question for each shard would be several messages a request. Beyond this number one
-question stands for all of them; the price is that after a loss all of them wait.
+Where most requests have long deadlines, for example because every rule of a service
+sets one, asking for each shard would cost several messages per request. Above this
+number the host asks for all shards at once; the cost is that after a loss all of them
+wait.
 """
 
-ASK_FOR_EVERY_S = 1.0
-"""For how long a host then asks for every shard at once."""
+ASK_FOR_ALL_S = 1.0
+"""Time for which a host then asks for all shards at once."""
 
-PRUNE_EVERY_S = 1.0
-"""How often what has passed is dropped."""
+PRUNE_INTERVAL_S = 1.0
+"""Interval at which expired records are dropped."""
 
 Settled = Callable[[Mapping[int, float]], None]
-"""Called with the end of the longest deadline by shard, on this host's clock."""
+"""Callback that receives the end of the longest deadline by shard, on this host's
+clock."""
 
 
 @final
 class DeadlineMemory:
-    """What one host remembers, as a witness of its domain, of deadlines sent there.
+    """The deadlines that one host has recorded as a witness of its domain.
 
-    It keeps nothing over a restart. What was allowed before it started is covered by
-    ``_unknown_until_s``: nothing that was allowed then lasts longer than the service's
-    longest deadline. The same holds each time the domain's witness list changes, since
-    hosts may have asked witnesses of the earlier list alone; they can't have sent under
-    it for longer than a right's length after the new list was written.
+    The records are lost on a restart. Deadlines allowed before the start are covered by
+    ``_unknown_until_s``: none of them lasts longer than the service's longest deadline.
+    The same applies whenever the domain's witness list changes, since hosts may have
+    asked only witnesses of the earlier list. They cannot have sent under that list for
+    longer than the length of a right after the new list was written.
     """
 
     def __init__(self, *, context: Context) -> None:
@@ -70,12 +72,12 @@
         self._prune_due_s = float("-inf")
 
     def tick(self) -> None:
-        """Notice a changed witness list; drop what has passed."""
+        """Check for a changed witness list and drop expired records."""
         self._note_list()
         now_s = self._context.now_s
         if now_s < self._prune_due_s:
             return
-        self._prune_due_s = now_s + PRUNE_EVERY_S
+        self._prune_due_s = now_s + PRUNE_INTERVAL_S
         self._until_s = {
             which: until_s
             for which, until_s in self._until_s.items()
@@ -95,7 +97,7 @@
         return self._since_s + RIGHT_WAIT_S + (cap_s + ALLOWANCE_REUSE_S) * CLOCK_RATIO
 
     def asked(self, host: str, ask: DeadlineAsk) -> None:
-        """Remember what the asking host may send, and answer."""
+        """Record the deadlines that the requesting host may send, and answer."""
         context = self._context
         witness = context.witness
         if ask.domain != context.host.domain or not witness.is_listed:
@@ -106,11 +108,11 @@
         now_s = context.now_s
         unknown_until_s = self._unknown_until_s(ask.service)
         every_until_s = self._note(ask.service, EVERY_SHARD, 0.0, now_s)
-        least_s = max(every_until_s, unknown_until_s, now_s)
+        min_until_s = max(every_until_s, unknown_until_s, now_s)
         left_s = {}
         for shard, wanted_s in ask.wanted_s.items():
             until_s = self._note(ask.service, shard, wanted_s, now_s)
-            left_s[shard] = max(until_s, least_s) - now_s
+            left_s[shard] = max(until_s, min_until_s) - now_s
         answer = DeadlineAnswer(
             domain=ask.domain,
             round=ask.round,
@@ -139,17 +141,17 @@
 
 @final
 class DeadlineAsker:
-    """Asks a domain's witnesses and settles what a majority of them says.
+    """Asks a domain's witnesses and determines the result of a majority.
 
-    Any majority will do, so the one that allows the earliest end is taken: a witness
-    that started lately makes no difference while the others answer.
+    Any majority is sufficient, so the one that gives the earliest end is used. A
+    witness that started recently has no effect while the others answer.
     """
 
     def __init__(self, *, context: Context) -> None:
         self._context = context
         self._rounds: dict[int, _Round] = {}
-        # Drawn at each start: a late answer to an earlier life knows nothing of what
-        # was allowed since.
+        # Drawn at random at each start: a late answer to a request from before the
+        # restart does not cover deadlines that were allowed since.
         self._last_round = context.rng.getrandbits(ROUND_BITS)
 
     def ask(
@@ -160,7 +162,7 @@
         wanted_s: Mapping[int, float],
         settled: Settled,
     ) -> None:
-        """Ask; ``settled`` is called at a majority, and again when more is known."""
+        """Ask; ``settled`` is called at a majority and again at each further answer."""
         context = self._context
         witnesses = context.tables.witnesses(domain)
         if witnesses is None:
@@ -171,7 +173,7 @@
             revision=context.tables.versions[witness_key(domain)],
             settled=settled,
         )
-        self._rounds.pop(self._last_round - MOST_ROUNDS, None)
+        self._rounds.pop(self._last_round - MAX_ROUNDS, None)
         ask = DeadlineAsk(
             domain=domain,
             round=self._last_round,
@@ -182,10 +184,10 @@
             context.send(host, ask)
 
     def hear(self, host: str, answer: DeadlineAnswer) -> None:
-        """Count an answer."""
+        """Record an answer."""
         opened = self._rounds.get(answer.round)
-        # A witness of another list than the one asked may share no witness with the
-        # majority that the other side asked.
+        # Under another witness list, a majority may have no witness in common with the
+        # one that the sending host asked.
         if opened is None or answer.witness_revision != opened.revision:
             return
         now_s = self._context.now_s
@@ -198,7 +200,7 @@
 
 
 def _earliest(opened: _Round, shard: int) -> float:
-    """Return the earliest end that a majority vouches for."""
+    """Return the earliest end that a majority confirms."""
     by_end = sorted((ends[shard], host) for host, ends in opened.until_s.items())
     members: set[str] = set()
     for until_s, host in by_end:
@@ -222,7 +224,7 @@
 @final
 @dataclass(kw_only=True, slots=True)
 class _Scope:
-    """Whether a host asks for single shards of a service, or for all at once."""
+    """Decides whether a host asks for single shards of a service or all at once."""
 
     since_s: float = float("-inf")
     every_until_s: float = float("-inf")
@@ -236,9 +238,9 @@
             self.since_s = now_s
             self.shards.clear()
         self.shards.add(shard)
-        if len(self.shards) <= MOST_SINGLE_SHARDS:
+        if len(self.shards) <= MAX_SINGLE_SHARDS:
             return shard
-        self.every_until_s = now_s + ASK_FOR_EVERY_S
+        self.every_until_s = now_s + ASK_FOR_ALL_S
         return EVERY_SHARD
 
 
@@ -253,14 +255,14 @@
         self._scopes: dict[tuple[str, str], _Scope] = defaultdict(_Scope)
 
     def until_s(self, service: str, shard: int, domain: str) -> float:
-        """Return how late a deadline may be that is sent to ``domain`` now."""
-        # Only under the list that was asked: the witnesses of a newer one need not
-        # know of it.
+        """Return the latest deadline that may be sent to ``domain`` now."""
+        # Valid only under the witness list that was asked: witnesses of a newer list
+        # may have no record of it.
         revision = self._revision(domain)
         ends_s = [
             known.until_s
-            for one in (shard, EVERY_SHARD)
-            if (known := self._known.get((service, one, domain))) is not None
+            for scope in (shard, EVERY_SHARD)
+            if (known := self._known.get((service, scope, domain))) is not None
             and known.revision == revision
         ]
         return max(ends_s, default=float("-inf"))
@@ -271,7 +273,7 @@
     def want(
         self, service: str, shard: int, domain: str, *, until_s: float, now_s: float
     ) -> float:
-        """Ask for deadlines up to ``until_s``; returns until when to wait for it."""
+        """Ask for deadlines up to ``until_s``; return until when to wait for them."""
         known = self._ask_when_due(service, shard, domain, until_s, now_s)
         if known.waits_since_s is None or now_s >= known.waited_s + HOLD_S:
             known.waits_since_s = now_s
@@ -281,7 +283,7 @@
     def renew(
         self, service: str, shard: int, domain: str, *, until_s: float, now_s: float
     ) -> None:
-        """Ask again before an allowance that is in use ends, so that nobody waits."""
+        """Renew an allowance in use before it ends, so that no request has to wait."""
         if self.until_s(service, shard, domain) < until_s + ALLOWANCE_REUSE_S / 2:
             self._ask_when_due(service, shard, domain, until_s, now_s)
 
@@ -293,10 +295,10 @@
         revision = self._revision(domain)
         known = self._known.get(which)
         if known is None or known.revision != revision:
-            self._drop_passed(now_s)
+            self._drop_expired(now_s)
             known = self._known[which] = _Allowance(revision=revision)
-        is_open = now_s < known.asked_s + ALLOWANCE_AGAIN_S
-        if not is_open or until_s > known.asked_until_s:
+        is_recent = now_s < known.asked_s + ALLOWANCE_AGAIN_S
+        if not is_recent or until_s > known.asked_until_s:
             self._ask(which, known, until_s=until_s, now_s=now_s)
         return known
 
@@ -314,7 +316,7 @@
         known.asked_until_s = now_s + wanted_s
 
         def settled(_: Mapping[int, float]) -> None:
-            # Counted from before the question left, as a right is.
+            # Counted from before the request was sent, as for a right.
             known.until_s = max(known.until_s, now_s + wanted_s)
             known.waits_since_s = None
 
@@ -322,11 +324,11 @@
             domain=domain, service=service, wanted_s={shard: wanted_s}, settled=settled
         )
 
-    def _drop_passed(self, now_s: float) -> None:
-        passed = [
+    def _drop_expired(self, now_s: float) -> None:
+        expired = [
             which
             for which, known in self._known.items()
             if max(known.until_s, known.asked_until_s) < now_s
         ]
-        for which in passed:
+        for which in expired:
             del self._known[which]
--- a/src/gentianwharf/ownership/_lag.py
+++ b/src/gentianwharf/ownership/_lag.py
@@ -1,24 +1,24 @@
-"""How late this host's own loop runs, so that its lateness is not held against others.
+"""Measures the lag of this host's own event loop and extends timeouts by it.
 
-A host whose loop is busy or was paused finds every timeout over at once, while the
-answers wait unread in its sockets. Taken as evidence, that would say that all servers
-are lost; the moves that follow would make the loop busier still.
+On a host whose loop is busy or was paused, all timeouts expire at once while the
+answers are still unread in its sockets. If that counted as evidence, all servers would
+appear lost, and the resulting moves would add to the load of the loop.
 """
 
 from typing import final
 
 from ._timing import TICK_S
 
-TURNS_PER_CALL = 6
-"""Turns of the loop from an order to its answer: connect, write, and each read."""
+ITERATIONS_PER_CALL = 6
+"""Loop iterations from an order to its answer: connect, write, and each read."""
 
-LAG_FADES = 0.9
-"""Part of the lag that is kept from tick to tick: gone after a second of quick ones."""
+LAG_DECAY = 0.9
+"""Factor by which the lag decays at each tick; it is small after a second on time."""
 
 
 @final
 class LoopLag:
-    """Measures by the ticks that should come every ``TICK_S``.
+    """Measures the lag by the ticks, which are due every ``TICK_S``.
 
     >>> lag = LoopLag()
     >>> lag.note_tick(0.0)
@@ -31,21 +31,21 @@
     """
 
     def __init__(self) -> None:
-        self._ticked_s: float | None = None
+        self._last_tick_s: float | None = None
         self._lag_s = 0.0
 
     def note_tick(self, now_s: float) -> None:
-        """Note a tick."""
-        if self._ticked_s is not None:
-            late_s = max(0.0, now_s - self._ticked_s - TICK_S)
-            self._lag_s = max(late_s, self._lag_s * LAG_FADES)
-        self._ticked_s = now_s
+        """Record a tick and update the lag."""
+        if self._last_tick_s is not None:
+            late_s = max(0.0, now_s - self._last_tick_s - TICK_S)
+            self._lag_s = max(late_s, self._lag_s * LAG_DECAY)
+        self._last_tick_s = now_s
 
     def timeout_s(self, timeout_s: float) -> float:
-        """Return how long to wait for an answer that should take ``timeout_s``."""
-        return timeout_s + TURNS_PER_CALL * self._lag_s
+        """Return ``timeout_s`` extended by the current lag."""
+        return timeout_s + ITERATIONS_PER_CALL * self._lag_s
 
     @staticmethod
     def was_paused(*, begun_s: float, timeout_s: float, now_s: float) -> bool:
-        """Whether a timeout that is over ran out while this host stood still."""
+        """Whether a timeout expired while this host was paused."""
         return now_s - begun_s > timeout_s + TICK_S
--- a/src/gentianwharf/ownership/_writer.py
+++ b/src/gentianwharf/ownership/_writer.py
@@ -1,4 +1,4 @@
-"""Writing a service's chunks to the store, one compare-and-swap at a time."""
+"""Writes a service's chunks to the store, one compare-and-swap at a time."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -21,9 +21,9 @@
 
 @final
 class TableWriter:
-    """Gathers wanted changes of a service and writes them, many to one value.
+    """Collects requested changes of a service and writes many of them in one value.
 
-    ``written`` is called when all of them are written, or could not be.
+    ``written`` is called once all of them are written, or after a write fails.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self._intents: dict[int, tuple[str, EntryState]] = {}
         self._pins: dict[str, tuple[str, bool]] = {}
         self._unread: set[int] = set()
-        self._busy = False
+        self._is_writing = False
 
     def revision(self, number: int) -> int:
         """Return the newest known revision of a chunk."""
@@ -54,7 +54,7 @@
         return self._context.tables.versions.get(key, ABSENT_REVISION)
 
     def chunk_of(self, shard: int) -> int:
-        """Return the chunk of a shard, also of a pinned key's."""
+        """Return the chunk number of a shard, which may be that of a pinned key."""
         if shard < self._shards:
             return shard // CHUNK_SHARDS
         for number, chunk in self._context.tables.chunks(self._service).items():
@@ -63,31 +63,31 @@
         return 0
 
     def want(self, confirms: dict[int, Entry]) -> None:
-        """Ask for moves to be confirmed."""
+        """Request the confirmation of moves."""
         self._confirms.update(confirms)
         self.flush()
 
     def intend(self, intents: dict[int, tuple[str, EntryState]]) -> None:
-        """Ask for intents: by shard, the target and how the holders are cleared."""
+        """Request intents: by shard, the target and how its holders are cleared."""
         self._intents.update(intents)
         self.flush()
 
     def pin(self, key: str, target: str, *, fixed: bool) -> None:
-        """Ask for an entry of its own for ``key``, to be owned by ``target``."""
+        """Request a separate entry for ``key``, to be owned by ``target``."""
         self._pins[key] = (target, fixed)
         self.flush()
 
     def clear(self) -> None:
-        """Forget what was wanted, this host being no more the one to write."""
+        """Discard all requested changes, when this host is no longer the writer."""
         self._confirms.clear()
         self._intents.clear()
         self._pins.clear()
 
     def flush(self) -> None:
-        """Start writing unless it is under way."""
+        """Start to write the requested changes unless a write is in progress."""
         wanted = self._confirms or self._intents or self._pins or self._unread
-        if wanted and not self._busy:
-            self._busy = True
+        if wanted and not self._is_writing:
+            self._is_writing = True
             Deferred.fromCoroutine(self._run())
 
     async def _run(self) -> None:
@@ -97,7 +97,7 @@
         except GentianwharfError as error:
             self._context.log("table-write-failed", error=str(error))
         finally:
-            self._busy = False
+            self._is_writing = False
         self._written()
 
     async def _write_next(self) -> bool:
@@ -138,9 +138,9 @@
 
     def _edit(self, chunk: Chunk) -> Chunk | None:
         changes: dict[int, Entry] = {}
-        ended: list[int] = []
+        unpinned: list[int] = []
         counter = chunk.counter
-        for shard in self._of_chunk(self._confirms, chunk.number):
+        for shard in self._shards_in_chunk(self._confirms, chunk.number):
             entry = self._confirms.pop(shard)
             moving = chunk.entries.get(shard)
             if moving is None or moving.next_token != entry.token:
@@ -148,33 +148,33 @@
             if entry.owner:
                 changes[shard] = entry
             else:
-                ended.append(shard)
-        for shard in self._of_chunk(self._intents, chunk.number):
+                unpinned.append(shard)
+        for shard in self._shards_in_chunk(self._intents, chunk.number):
             target, state = self._intents.pop(shard)
             entry_now = changes.get(shard) or chunk.entries.get(shard)
-            if entry_now is None or shard in ended:
+            if entry_now is None or shard in unpinned:
                 continue
             if entry_now.state is state and entry_now.target == target:
-                # Planned once more while the first intent was on its way to the store:
-                # with another token the wait would begin anew.
+                # The same move was planned again while the first intent was being
+                # written. A new token would restart the wait.
                 continue
             counter += 1
             changes[shard] = entry_now.intend(target=target, token=counter, state=state)
-        if not (changes or ended):
+        if not (changes or unpinned):
             return None
         changed = chunk.edit(changes, counter=counter)
-        for shard in ended:
+        for shard in unpinned:
             changed = changed.unpin(shard)
         return changed
 
-    def _of_chunk(self, wanted: Iterable[int], number: int) -> list[int]:
+    def _shards_in_chunk(self, wanted: Iterable[int], number: int) -> list[int]:
         return [shard for shard in wanted if self.chunk_of(shard) == number]
 
     async def _write(self, chunk: Chunk) -> None:
         context = self._context
         key = chunk_key(self._service, chunk.number)
-        # Until the answer is here the value may be the old or the new one; what the
-        # table says next must come from the store and not from what was meant.
+        # Until the answer arrives, the store may hold the old or the new value. The
+        # table's next state must come from the store, not from the requested change.
         self._unread.add(chunk.number)
         try:
             written = await answer_within(
@@ -213,14 +213,14 @@
             self._fanout.tell(item)
 
     async def write_first(self, targets: dict[int, str]) -> None:
-        """Write the chunks of a service that has none yet."""
+        """Write the initial chunks of a service that has none yet."""
         numbers = sorted({shard // CHUNK_SHARDS for shard in targets})
         for number in numbers:
             if self.revision(number) != ABSENT_REVISION:
                 continue
-            of_chunk = {
+            chunk_targets = {
                 shard: target
                 for shard, target in targets.items()
                 if shard // CHUNK_SHARDS == number
             }
-            await self._write(first_chunk(self._service, number, of_chunk))
+            await self._write(first_chunk(self._service, number, chunk_targets))
--- a/tests/test_ownership_deadlines.py
+++ b/tests/test_ownership_deadlines.py
@@ -128,7 +128,7 @@
     domains, witnesses = 3, 3
     asked = (world.sent["DeadlineAsk"] - before) / witnesses
     assert sent > 1500
-    assert asked <= domains * (_deadlines.MOST_SINGLE_SHARDS + 20)
+    assert asked <= domains * (_deadlines.MAX_SINGLE_SHARDS + 20)
 
 
 def freeze_with_a_long_request(world: World, *, host: str = "ariana-1") -> str:
