--- a/tests/builders_ownership_store.py
+++ b/tests/builders_ownership_store.py
@@ -1,4 +1,4 @@
-"""The store and the hosts' clocks of the small world for tests of ownership."""
+"""Fake store and host clocks of the simulated world for ownership tests."""
 
 from collections import defaultdict
 from collections.abc import Callable, Sequence
@@ -22,7 +22,7 @@
 @final
 @implementer(IReactorTime)
 class HostClock:
-    """A host's own monotonic clock over the world's; queues calls while paused."""
+    """A host's monotonic clock derived from the world's; queues calls while paused."""
 
     def __init__(self, true: Clock, *, rate: float, offset_s: float) -> None:
         self._true = true
@@ -43,7 +43,7 @@
         *args: object,
         **kwargs: object,
     ) -> IDelayedCall:
-        """Call later, as this host measures it."""
+        """Schedule a call after ``delay`` seconds of this host's clock."""
 
         def run() -> None:
             if self.paused:
@@ -58,7 +58,7 @@
         return self._true.getDelayedCalls()
 
     def resume(self) -> None:
-        """Return the calls of the whole world."""
+        """Resume the host and run the calls that were queued while it was paused."""
         self.paused = False
         queued, self._queued = self._queued, []
         for call in queued:
@@ -67,7 +67,7 @@
 
 @final
 class FakeStore:
-    """The platform's store, with outages and lost answers."""
+    """A fake of the platform's store, with outages and lost answers."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -81,7 +81,7 @@
         self._watches: list[Callable[[], None]] = []
 
     def expire(self) -> None:
-        """Drop keys whose lease lapsed."""
+        """Delete keys whose lease has expired."""
         now_s = self._clock.seconds()
         for key, lease in list(self._lease_of.items()):
             if lease not in self._leases or self._leases[lease][1] < now_s:
@@ -91,7 +91,7 @@
     def swap(
         self, key: str, value: bytes, expected_revision: int, lease_id: str | None
     ) -> VersionedValue:
-        """Compare and swap at once."""
+        """Compare and swap without delay."""
         self.expire()
         found = self.values.get(key)
         if (found.revision if found else 0) != expected_revision:
@@ -107,21 +107,21 @@
         return written
 
     def grant(self, ttl_s: float) -> StoreLease:
-        """Grant, at once or as the network lets it."""
+        """Grant a lease without delay."""
         self.revision += 1
         lease = StoreLease(id=f"lease-{self.revision}", ttl_s=ttl_s)
         self._leases[lease.id] = (ttl_s, self._clock.seconds() + ttl_s)
         return lease
 
     def renew(self, lease_id: str) -> None:
-        """Renew a lease at once."""
+        """Renew a lease without delay."""
         ttl_s, end_s = self._leases.get(lease_id, (0.0, 0.0))
         if end_s < self._clock.seconds():
             raise RefusedError("lapsed", step="renew", peer=lease_id)
         self._leases[lease_id] = (ttl_s, self._clock.seconds() + ttl_s)
 
     def revoke(self, lease_id: str) -> None:
-        """End a lease at once."""
+        """Revoke a lease without delay."""
         self._leases.pop(lease_id, None)
         self.expire()
 
@@ -129,13 +129,13 @@
         """Return the newer values below a prefix."""
         self.expire()
         return [
-            one
-            for key, one in self.values.items()
-            if key.startswith(prefix) and one.revision > revision
+            value
+            for key, value in self.values.items()
+            if key.startswith(prefix) and value.revision > revision
         ]
 
     def changed(self) -> Deferred[None]:
-        """Return what is called at the next write."""
+        """Return a Deferred that fires at the next write."""
         waiting: Deferred[None] = Deferred()
 
         def wake() -> None:
@@ -148,7 +148,7 @@
 
 @final
 class StoreClient:
-    """One host's way to the store."""
+    """One host's client of the fake store, with latency and network cuts."""
 
     def __init__(self, world: "World", host: str, clock: HostClock) -> None:
         self._world = world
@@ -183,7 +183,7 @@
         return await self._call("get", act)
 
     async def get_many(self, prefix: str) -> list[VersionedValue]:
-        """Read a prefix."""
+        """Read all values below a prefix."""
         return await self._call("get_many", lambda: self._world.store.newer(prefix, 0))
 
     async def compare_and_swap(
@@ -217,7 +217,7 @@
         return await self._call("watch", lambda: store.newer(prefix, after_revision))
 
     async def lease_grant(self, *, ttl_s: float) -> StoreLease:
-        """Make a lease."""
+        """Grant a lease."""
         return await self._call("grant", lambda: self._world.store.grant(ttl_s))
 
     async def lease_renew(self, lease_id: str) -> None:
@@ -225,5 +225,5 @@
         await self._call("renew", lambda: self._world.store.renew(lease_id))
 
     async def lease_revoke(self, lease_id: str) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         await self._call("revoke", lambda: self._world.store.revoke(lease_id))
--- a/tests/test_ownership_asking.py
+++ b/tests/test_ownership_asking.py
@@ -1,4 +1,4 @@
-"""Who asks whom for rights: few questions, and none that a lost host leaves open."""
+"""Tests for the requests for rights: their number, and the loss of asked hosts."""
 
 from collections.abc import Callable, Iterable
 from itertools import product
@@ -12,7 +12,7 @@
 from gentianwharf.ownership._timing import RIGHT_ASK_EVERY_S, RIGHT_USE_S
 from tests.builders_ownership import SERVICE, FakeHost, World
 
-ROUNDS_A_S = 1 / RIGHT_ASK_EVERY_S
+ROUNDS_PER_S = 1 / RIGHT_ASK_EVERY_S
 
 
 def build(**options: object) -> World:
@@ -36,7 +36,7 @@
 
 
 def count_refused(world: World, hosts: Iterable[FakeHost], span_s: float) -> int:
-    """Count the requests to ``hosts`` that would not be sent at once, every 10 ms."""
+    """Count, every 10 ms, requests to ``hosts`` that would not be sent at once."""
     refused = 0
     for _ in range(round(span_s / 0.01)):
         world.advance(0.01)
@@ -63,38 +63,38 @@
         pytest.param(15, 2, id="three-steps"),
     ],
 )
-def test_questions_grow_with_hosts_once_each(
+def test_requests_grow_linearly_with_hosts(
     hosts: int, fan_out: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A domain grows, and its witnesses hear two hosts of it as before.
+    """As a domain grows, its witnesses still receive requests from two hosts of it.
 
-    Some hosts are three steps away from the witnesses: were each step to add a round
-    to the age of a right, they had to ask the witnesses themselves.
+    Some hosts are three steps away from the witnesses. If each step added a round to
+    the age of a right, they would have to ask the witnesses themselves.
     """
     monkeypatch.setattr(_pace, "FAN_OUT", fan_out)
     world = build(hosts_a_domain=hosts, servers_a_domain=1, shards=3)
     domains = len(world.domains)
     witnessed = rate(world, "RightAsk")
     majority = min(hosts, 5) // 2 + 1
-    assert witnessed <= domains * ASKERS * (majority - 1) * ROUNDS_A_S * 1.1
+    assert witnessed <= domains * ASKERS * (majority - 1) * ROUNDS_PER_S * 1.1
     shared = rate(world, "ShareAsk")
     # Askers ask one host of each other domain, and the second one the first.
     children = domains * (hosts - ASKERS) + domains * ((domains - 1) * ASKERS + 1)
-    assert shared <= children * ROUNDS_A_S * 1.1
+    assert shared <= children * ROUNDS_PER_S * 1.1
     assert shortest_right_s(world, 1.0) > RIGHT_USE_S / 3
 
 
-def test_asking_at_any_time_ages_a_right_with_each_step(
+def test_unsynchronized_requests_age_a_right_with_each_step(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The same, with hosts that do not ask a moment after those nearer to witnesses.
+    """Without synchronization with the hosts nearer to the witnesses, rights age.
 
-    Rights arrive so old that many hosts turn to the witnesses, round after round.
+    They arrive so old that many hosts ask the witnesses in every round.
     """
     monkeypatch.setattr(_pace, "FAN_OUT", 2)
     monkeypatch.setattr(_asking, "late_s", lambda age_s, aimed_s: 0.0)
     world = build(hosts_a_domain=15, servers_a_domain=1, shards=3)
-    usual = len(world.domains) * ASKERS * 2 * ROUNDS_A_S
+    usual = len(world.domains) * ASKERS * 2 * ROUNDS_PER_S
     assert rate(world, "RightAsk") > 1.2 * usual
 
 
@@ -118,18 +118,18 @@
 @pytest.mark.parametrize(
     "fault", [stop_one, stop_both, pause_one, restart_one], ids=lambda one: one.__name__
 )
-def test_no_host_lacks_a_right_when_those_that_ask_are_lost(
+def test_no_host_lacks_a_right_when_askers_are_lost(
     fault: Callable[[World], None],
 ) -> None:
     """A host that asks the witnesses for its domain is lost, paused or restarted.
 
-    Every other host, in its own domain and in others, must find another one to ask
-    before its right ends: callers would be refused.
+    Every other host, in its own domain and in others, must find another host to ask
+    before its right ends. Otherwise callers are refused.
     """
     world = build(hosts_a_domain=6, servers_a_domain=1, shards=3)
     known = dict(world.hosts)
     fault(world)
-    # A paused host sends nothing; one that restarted has still to learn all.
+    # A paused host sends nothing, and a restarted one has no tables yet.
     running = [
         one
         for name, one in known.items()
@@ -138,11 +138,11 @@
     assert count_refused(world, running, 2.0) == 0
 
 
-def test_domain_that_lost_another_does_not_press_its_witnesses() -> None:
+def test_domain_that_lost_another_does_not_overload_its_witnesses() -> None:
     """A domain cannot reach another one for minutes; all of its hosts lack the right.
 
-    Its askers go on asking; were all hosts to, the witnesses would meet thousands of
-    questions at once when the path is back.
+    Its askers continue to ask. If all hosts did, the witnesses would receive thousands
+    of requests at once when the connection is restored.
     """
     world = build(hosts_a_domain=12, servers_a_domain=1, shards=3)
     usual = rate(world, "RightAsk")
@@ -150,22 +150,24 @@
     world.advance(2.0)
     lost = rate(world, "RightAsk")
     slow = 10 * 5 / _asking.DIRECT_BACKOFF_INTERVAL_S
-    quick = ASKERS * 5 * ROUNDS_A_S
+    quick = ASKERS * 5 * ROUNDS_PER_S
     assert lost - usual <= 2 * (slow + quick) * 1.1
     world.cuts.clear()
     world.advance(0.5)
     assert shortest_right_s(world, 0.5) > 0
 
 
-def test_host_that_hears_few_others_does_not_take_itself_for_an_asker() -> None:
-    """A domain has thousands of hosts, and each hears a dozen of them.
+def test_host_that_receives_from_few_others_does_not_act_as_an_asker() -> None:
+    """A domain has thousands of hosts, and each receives messages from a dozen.
 
-    Were places counted among the heard ones, one host of six would ask the witnesses
+    If positions were counted among those only, one host in six would ask the witnesses
     and every other domain.
     """
     hosts = [f"host-{number}" for number in range(2_000)]
     witnesses = WitnessList(hosts=tuple(hosts[:5]))
     own = hosts[700]
-    heard = {own, *hosts[1_000:1_010]}
-    assert own not in tree_order(hosts, witnesses, heard)[:ASKERS]
-    assert set(tree_order(hosts, witnesses, heard)[:ASKERS]) < set(witnesses.hosts)
+    received_from = {own, *hosts[1_000:1_010]}
+    assert own not in tree_order(hosts, witnesses, received_from)[:ASKERS]
+    assert set(tree_order(hosts, witnesses, received_from)[:ASKERS]) < set(
+        witnesses.hosts
+    )
--- a/tests/test_ownership_checksums.py
+++ b/tests/test_ownership_checksums.py
@@ -1,4 +1,4 @@
-"""Questions by one checksum of the versions: who is believed, and who is not."""
+"""Tests for requests with a checksum of the versions, and for when they succeed."""
 
 from collections.abc import Callable, Mapping, Sequence
 
@@ -50,7 +50,7 @@
         pytest.param(2, 1, False, id="asker-newer"),
     ],
 )
-def test_checksum_alone_is_believed_only_when_it_is_the_same(
+def test_checksum_alone_is_confirmed_only_if_equal(
     asked: int, known: int, is_given: bool
 ) -> None:
     ask = Rights().ask_briefly(
@@ -63,11 +63,11 @@
     ("known", "is_given"),
     [pytest.param(1, True, id="older"), pytest.param(3, False, id="newer")],
 )
-def test_same_round_goes_on_with_all_versions(known: int, is_given: bool) -> None:
-    """A host hears of a move before its witnesses do, and its checksum is not theirs.
+def test_same_round_continues_with_all_versions(known: int, is_given: bool) -> None:
+    """A host receives a move before its witnesses do, so their checksums differ.
 
-    Were it to wait for the next round, each move would cost every host a round of the
-    three that may fail. The right still counts from the first question.
+    If it waited for the next round, each move would cost every host one of the three
+    rounds that may fail. The right still counts from the first request.
     """
     rights, tables = Rights(), tables_at(2)
     brief = rights.ask_briefly(
@@ -82,14 +82,14 @@
     assert (rights.until_s("lac") == 10.0 + RIGHT_USE_S) is is_given
 
 
-def test_versions_wanted_for_a_round_of_an_earlier_life_is_not_answered() -> None:
+def test_versions_wanted_for_a_round_before_a_restart_is_not_answered() -> None:
     rights = Rights(first_round=100)
     for is_share in (False, True):
         wanted = VersionsWanted(domain="lac", round=7, is_share=is_share)
         assert rights.ask_fully(wanted, tables_at(1)) is None
 
 
-def test_answers_to_both_kinds_of_question_make_one_majority() -> None:
+def test_answers_to_both_kinds_of_request_make_one_majority() -> None:
     rights, tables = Rights(), tables_at(2)
     brief = rights.ask_briefly(
         domain="lac", witnesses=LAC, checksum=tables.checksum, now_s=10.0
@@ -111,7 +111,7 @@
         pytest.param({KEY: 7, "witnesses/lac": 3, "table/ledger/1": 9}, id="three"),
     ],
 )
-def test_checksum_that_is_kept_up_is_that_of_all_versions(
+def test_incremental_checksum_equals_that_of_all_versions(
     versions: Mapping[str, int],
 ) -> None:
     tables = Tables(shards={})
@@ -132,31 +132,31 @@
     return 0 if key.startswith(TABLE) else version_hash(key, revision)
 
 
-def hears_only_witnesses(world: World, stale: str, server_domain: str) -> None:
+def reaches_only_witnesses(world: World, stale: str, server_domain: str) -> None:
     """Cut ``stale`` off from all hosts but those of the server's domain."""
     for host in world.hosts:
         if host != stale and not host.startswith(server_domain):
             world.cut(host, stale)
 
 
-def hears_only_fellows(world: World, stale: str, server_domain: str) -> None:
+def reaches_only_own_domain(world: World, stale: str, server_domain: str) -> None:
     """Cut ``stale`` off from all hosts but those of its own domain."""
     own = world.domain_of(stale)
     for host in world.hosts:
         if not host.startswith(own):
             world.cut(host, stale)
         elif host != stale:
-            # It would pass on what its watch brings.
+            # It would forward values from its watch.
             world.cut(host, "store")
 
 
 def serve_through_a_host_that_missed_a_move(
     isolate: Callable[[World, str, str], None],
 ) -> None:
-    """Move a lost server's shards while one host that reaches it hears of nothing.
+    """Move a lost server's shards while one host still reaches it but misses the move.
 
-    All other hosts are cut off from the server. The one host goes on asking for
-    rights, with its tables of before the move.
+    All other hosts are cut off from the server. This host continues to request rights
+    with its tables from before the move.
     """
     world = World(deadline_cap_s=0.1, knows_validity=False, gives_stamp=False)
     world.settle()
@@ -168,7 +168,7 @@
         one.name for one in world.domains if one.name != world.domain_of(controller)
     )
     server = next(one for one in world.servers if server_domain in one)
-    # The one of its domain that asks two others for a share.
+    # The host of its domain that requests shares from two others.
     stale = rendezvous_rank(
         "rights", [one for one in world.hosts if one.startswith(stale_domain)]
     )[-1]
@@ -184,8 +184,8 @@
 ISOLATED = pytest.mark.parametrize(
     "isolate",
     [
-        pytest.param(hears_only_witnesses, id="witness"),
-        pytest.param(hears_only_fellows, id="fellows"),
+        pytest.param(reaches_only_witnesses, id="witness"),
+        pytest.param(reaches_only_own_domain, id="fellows"),
     ],
 )
 
@@ -194,39 +194,42 @@
 def test_host_that_missed_a_move_gets_no_right(
     isolate: Callable[[World, str, str], None],
 ) -> None:
-    """A host misses a move's messages and asks for rights with its old tables.
+    """A host misses the messages of a move and requests rights with its old tables.
 
-    Its checksum is not that of the others, so nobody confirms it.
+    Its checksum differs from that of all other hosts, so none of them confirms it.
     """
     serve_through_a_host_that_missed_a_move(isolate)
 
 
 @ISOLATED
 @pytest.mark.parametrize("part", [hash_of_keys_alone, hash_without_chunks])
-def test_checksum_of_a_part_gives_two_owners(
+def test_partial_checksum_gives_two_owners(
     part: Callable[[str, int], int],
     isolate: Callable[[World, str, str], None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The same, with a checksum that leaves out the revisions or the chunks.
+    """The same case, with a checksum that omits the revisions or the chunks.
 
-    Whoever is asked takes the old tables for its own and confirms them for good; the
-    host goes on sending to the old owner after the new one was granted the shard.
+    The asked hosts take the old tables for equal to their own and keep confirming
+    them. The host continues to send to the old owner after the shard was granted to
+    the new one.
     """
     monkeypatch.setattr(_tables, "version_hash", part)
     with pytest.raises(AssertionError, match="two owners"):
         serve_through_a_host_that_missed_a_move(isolate)
 
 
-def shared_with(names: Sequence[str], good_s: Mapping[str, float]) -> dict[str, float]:
-    """Return what a host takes that asked when it knew the lists of ``names``."""
+def shared_rights(
+    names: Sequence[str], good_s: Mapping[str, float]
+) -> dict[str, float]:
+    """Return the rights of a host that had the lists of ``names`` when it asked."""
     tables = Tables(shards={})
     for name in names:
         tables.install(Item(f"witnesses/{name}", 1, b"\x91\x90"))
     rights = Rights()
     number = rights.open_share(tables=tables, now_s=10.0)
     answer = shorten(ShareAnswer(round=number, good_s=dict(good_s)), names, exact="")
-    # A list that comes while the answer is on its way.
+    # A list that arrives while the answer is in transit.
     tables.install(Item("witnesses/late", 1, b"\x91\x90"))
     rights.hear_share(answer)
     until_s = {name: rights.until_s(name) for name in (*names, "late")}
@@ -250,35 +253,35 @@
     )
     assert answer.others_s == others_s
     assert set(answer.good_s) == named
-    taken = shared_with(["a", "b", "c"], good_s)
-    assert set(taken) == set(good_s)
-    assert all(taken[name] <= left_s + 1e-9 for name, left_s in good_s.items())
+    shared = shared_rights(["a", "b", "c"], good_s)
+    assert set(shared) == set(good_s)
+    assert all(shared[name] <= left_s + 1e-9 for name, left_s in good_s.items())
 
 
 @pytest.mark.parametrize(
     "guarded", [pytest.param(True, id="guard"), pytest.param(False, id="no-guard")]
 )
-def test_share_says_nothing_of_a_domain_named_after_the_question(
+def test_share_does_not_cover_a_domain_added_after_the_request(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A domain gets its first witnesses while an answer is on its way.
+    """A domain gets its first witnesses while an answer is in transit.
 
-    The answer's one figure is for the domains that both hosts knew at the question.
-    Read for all that are known when it arrives, it gives a right to the new domain's
-    servers that none of its witnesses has confirmed.
+    The common value of the answer is for the domains that both hosts held at the time
+    of the request. If it were applied to all domains known on arrival, it would give a
+    right to the new domain's servers that none of its witnesses has confirmed.
     """
     if not guarded:
-        # The set of the question grows with the tables.
+        # The set of domains in the request grows with the tables.
         monkeypatch.setattr(Tables, "witnessed", lambda one: one._witnesses.keys())
-    taken = shared_with(["a", "b"], {"a": 0.3, "b": 0.3})
-    assert ("late" not in taken) is guarded
+    shared = shared_rights(["a", "b"], {"a": 0.3, "b": 0.3})
+    assert ("late" not in shared) is guarded
 
 
-def test_share_asked_again_with_all_versions_has_a_round_of_its_own() -> None:
-    """A question is doubled; one copy meets other versions, the other an equal table.
+def test_share_repeated_with_all_versions_has_its_own_round() -> None:
+    """A request is duplicated; one copy meets other versions, one an equal table.
 
-    Both answers arrive. The second question may know more domains, and the answer to
-    the first must not be read for these.
+    Both answers arrive. The second request may cover more domains, and the answer to
+    the first must not be applied to these.
     """
     tables = tables_at(2)
     rights = Rights()
--- a/tests/test_ownership_deadlines.py
+++ b/tests/test_ownership_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines longer than the sender's right, and the wait for them after a loss."""
+"""Tests for deadlines beyond the sender's right and the wait for them after a loss."""
 
 from collections.abc import Callable
 from contextlib import nullcontext
@@ -26,7 +26,7 @@
         **options,  # type: ignore[arg-type]
     )
     world.settle()
-    # Until a witness has lived as long as the longest deadline, it vouches for none.
+    # A witness confirms no deadline until it has run for the longest deadline.
     world.advance(CAP_S + 1.0)
     return world
 
@@ -42,10 +42,10 @@
 def test_shard_is_served_again_within_a_second_though_long_deadlines_are_allowed() -> (
     None
 ):
-    """A server that knows tokens alone dies; its service allows deadlines of 2 s.
+    """A server that checks only tokens is lost; its service allows deadlines of 2 s.
 
-    Nobody sent such a request for its shards, yet families waited 2.9 s for them, as
-    though somebody had.
+    No host sent such a request for its shards, yet they were unserved for 2.9 s as if
+    one had.
     """
     world = build()
     world.servers[world.owner(0)].lost = True
@@ -53,7 +53,7 @@
 
 
 def test_only_the_shard_with_a_long_request_waits_for_it() -> None:
-    """One shard of a lost server had a request of 2 s on its way, the others none."""
+    """One shard of a lost server had a request of 2 s in transit, the others none."""
     world = build()
     lost = world.owner(0)
     other = next(s for s in range(1, world.shards) if world.owner(s) == lost)
@@ -65,8 +65,8 @@
     assert CAP_S - 1.0 < served_again_after_s(world, 0) < CAP_S + 0.3
 
 
-def test_request_gets_the_deadline_that_it_wants() -> None:
-    """A posting may take 2 s; sent with less, it is cut off and nobody knows."""
+def test_request_gets_the_deadline_that_it_asks_for() -> None:
+    """A posting may take 2 s; a shorter deadline leaves its outcome unknown."""
     world = build()
     system = world.hosts["lac-1"].system
     clock = world.hosts["lac-1"].clock
@@ -79,7 +79,7 @@
 
 
 def test_request_is_refused_as_not_run_when_no_majority_allows_its_deadline() -> None:
-    """The witnesses forget to answer; a posting must not be sent and then cut off."""
+    """The witnesses do not answer; a posting must not be sent and then cut off."""
     world = build()
     found = world.hosts["lac-1"]
     for host in world.hosts.values():
@@ -97,9 +97,9 @@
 def test_short_deadlines_are_never_asked_for(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A service of 0.3 s needs no long deadlines, though rights have less at times.
+    """A service of 0.3 s needs no long deadlines, though rights are shorter at times.
 
-    Asked for, they would make its keys wait for them after a loss.
+    If hosts asked for them, its keys would wait for them after a loss.
     """
     if not guarded:
         monkeypatch.setattr(_route, "LEAST_DEADLINE_S", 0.4)
@@ -113,10 +113,10 @@
     assert (world.sent["DeadlineAsk"] == before) is guarded
 
 
-def test_many_long_requests_cost_a_bounded_number_of_questions() -> None:
-    """Every rule of a service gives 2 s, and a host serves hundreds of shards.
+def test_many_long_requests_cost_a_bounded_number_of_messages() -> None:
+    """Every rule of a service sets 2 s, and a host serves hundreds of shards.
 
-    A question for each of them would be several messages a request.
+    Asking for each shard would cost several messages per request.
     """
     world = build(shards=200)
     before = world.sent["DeadlineAsk"]
@@ -145,7 +145,7 @@
 def long_request_in_a_frozen_server() -> None:
     """Freeze a server with a request of 2 s in its buffers, whose host is then lost.
 
-    Nobody but the witnesses knows of the request when the shard gets a new owner.
+    Only the witnesses have a record of the request when the shard gets a new owner.
     """
     world = build()
     freeze_with_a_long_request(world)
@@ -154,9 +154,9 @@
 
 
 def long_requests_for_every_shard() -> None:
-    """Let a host send long requests for many shards: it asks for all at once.
+    """Let a host send long requests for many shards, so that it asks for all at once.
 
-    The frozen server's shards come last, when it no longer asks for each.
+    The frozen server's shards come last, when the host no longer asks for each.
     """
     world = build(shards=96)
     frozen = next(one for one in world.servers if "-lac-" in one)
@@ -173,7 +173,8 @@
 def witnesses_restart_after_they_allowed_it() -> None:
     """Restart two of the domain's three witnesses after they allowed 2 s.
 
-    They remember nothing of it when the control holder asks, and must say since when.
+    They have no record of it when the control holder asks, and must report when they
+    started.
     """
     world = build()
     freeze_with_a_long_request(world)
@@ -191,11 +192,11 @@
     world.traffic(1.5, step_s=0.002)
 
 
-def nothing_is_remembered(patch: Patch) -> None:
+def record_nothing(patch: Patch) -> None:
     patch.setattr(DeadlineMemory, "_note", lambda *_: float("-inf"))
 
 
-def one_by_one_is_remembered(patch: Patch) -> None:
+def record_single_shards_only(patch: Patch) -> None:
     note = DeadlineMemory._note
 
     def forget(
@@ -208,20 +209,20 @@
     patch.setattr(DeadlineMemory, "_note", forget)
 
 
-def restart_is_not_told(patch: Patch) -> None:
+def do_not_report_restart(patch: Patch) -> None:
     patch.setattr(DeadlineMemory, "_unknown_until_s", lambda *_: float("-inf"))
 
 
-def right_is_not_waited_for(patch: Patch) -> None:
+def do_not_wait_for_right(patch: Patch) -> None:
     patch.setattr(_lapse, "DEADLINE_PAST_RIGHT_S", -1.0)
     patch.setattr(_route, "DEADLINE_PAST_RIGHT_S", 1.0)
 
 
 GUARDS: list[tuple[str, Callable[[], None], Callable[[Patch], None]]] = [
-    ("witnesses-remember", long_request_in_a_frozen_server, nothing_is_remembered),
-    ("all-at-once", long_requests_for_every_shard, one_by_one_is_remembered),
-    ("restart-is-told", witnesses_restart_after_they_allowed_it, restart_is_not_told),
-    ("short-ends-soon", deadline_ends_with_the_right, right_is_not_waited_for),
+    ("witnesses-remember", long_request_in_a_frozen_server, record_nothing),
+    ("all-at-once", long_requests_for_every_shard, record_single_shards_only),
+    ("restart-is-told", witnesses_restart_after_they_allowed_it, do_not_report_restart),
+    ("short-ends-soon", deadline_ends_with_the_right, do_not_wait_for_right),
 ]
 
 
@@ -240,7 +241,7 @@
 
 
 class LongRequestsMachine(interleavings.OwnershipMachine):
-    """The faults of the other machine, with requests that may run for long."""
+    """The faults of ``OwnershipMachine``, with requests that may run for long."""
 
     @rule(
         host=interleavings.hosts,
--- a/tests/test_ownership_lag.py
+++ b/tests/test_ownership_lag.py
@@ -1,4 +1,4 @@
-"""A host's own lateness is not held against the servers."""
+"""Tests that a host's own lag does not count as evidence against servers."""
 
 from gentianwharf.ownership import Hold, Refuse, Send
 from gentianwharf.ownership._lag import LoopLag
@@ -6,11 +6,11 @@
 from tests.builders_ownership import SERVICE, World
 
 
-def test_busy_loop_gives_answers_more_time_and_a_quick_one_takes_it_back() -> None:
-    """A rule change moves 500 shards, and every server is taken for lost.
+def test_lag_of_a_busy_loop_extends_timeouts_until_it_decays() -> None:
+    """Guards against taking every server for lost when a rule change moves 500 shards.
 
-    The loop is busy with the moves; probes' answers wait unread past their timeout,
-    the suspicions start more moves, and the keys stay unserved.
+    The loop is busy with the moves, so answers to probes stay unread past their
+    timeout. The suspicions start more moves, and the keys stay unserved.
     """
     lag = LoopLag()
     lag.note_tick(0.0)
@@ -23,16 +23,16 @@
     assert lag.timeout_s(0.1) < 0.11
 
 
-def test_timeout_that_ran_out_in_a_pause_is_told_from_a_missing_answer() -> None:
-    """An entry host is paused for seconds; on its return all servers seem silent."""
+def test_timeout_in_a_pause_is_distinguished_from_a_missing_answer() -> None:
+    """After an entry host is paused for seconds, no server seems to have answered."""
     assert LoopLag.was_paused(begun_s=1.0, timeout_s=0.1, now_s=4.0)
     assert not LoopLag.was_paused(begun_s=1.0, timeout_s=0.1, now_s=1.12)
 
 
-def test_host_that_was_paused_holds_requests_until_its_right_is_back() -> None:
-    """A host stands still for two seconds, and requests wait in its sockets.
+def test_host_that_was_paused_holds_requests_until_it_has_a_right() -> None:
+    """A host is paused for two seconds, and requests wait in its sockets.
 
-    All were refused when it went on, though its right was back 100 ms later.
+    They were all refused when it resumed, although it had a right again 100 ms later.
     """
     world = World()
     world.settle()
@@ -41,9 +41,9 @@
     host.clock.paused = True
     world.advance(2.0)
     host.clock.resume()
-    found = host.system.route(SERVICE, shard)
-    assert isinstance(found, Hold)
-    world.advance(found.until_s - host.clock.seconds() - 0.001)
+    route = host.system.route(SERVICE, shard)
+    assert isinstance(route, Hold)
+    world.advance(route.until_s - host.clock.seconds() - 0.001)
     assert isinstance(host.system.route(SERVICE, shard), Send)
 
 
--- a/tests/test_ownership_rights.py
+++ b/tests/test_ownership_rights.py
@@ -1,4 +1,4 @@
-"""Rights, witnesses and announcements, message by message."""
+"""Tests for rights, witnesses and announcements at the level of single messages."""
 
 from collections.abc import Sequence
 
@@ -28,7 +28,7 @@
     return Item(KEY, revision, value)
 
 
-class Fellow:
+class FakeWitness:
     """A witness with its tables."""
 
     def __init__(self, name: str, *, revision: int, has_memory: bool = True) -> None:
@@ -38,7 +38,7 @@
         self.tables.install(item(revision))
 
     def restart(self, *, has_memory: bool) -> None:
-        """Forget everything."""
+        """Restart without any tables."""
         self.incarnation += 1
         self.tables = Tables(shards={"ledger": 1})
         self.witness = Witness(
@@ -48,15 +48,15 @@
         if has_memory:
             self.witness.store_read()
 
-    def recover(self, fellows: Sequence["Fellow"]) -> None:
-        """Hear the other witnesses."""
-        for fellow in fellows:
-            for one in fellow.tables.newer_than({}):
-                self.tables.install(one)
-            self.witness.recovered_from(fellow.name, LAC)
+    def recover(self, witnesses: Sequence["FakeWitness"]) -> None:
+        """Receive the values of other witnesses."""
+        for witness in witnesses:
+            for value in witness.tables.newer_than({}):
+                self.tables.install(value)
+            self.witness.recovered_from(witness.name, LAC)
 
     def confirms(self, revision: int) -> bool:
-        """Whether it gives its part of a right to ``revision``."""
+        """Whether this witness confirms ``revision``."""
         ask = Rights().ask(
             domain="lac", witnesses=LAC, versions={KEY: revision}, now_s=0
         )
@@ -98,10 +98,10 @@
     assert (right_until_s(answers) > 0) is has_right
 
 
-def test_right_counts_from_before_the_question() -> None:
-    """A host asks, is paused for a second, and then finds the answers waiting.
+def test_right_counts_from_before_the_request() -> None:
+    """A host sends a request, is paused for a second, and then reads the answers.
 
-    Counted from the answer, its right would outlast what the witnesses meant.
+    If its right counted from the answer, it would last longer than the witnesses allow.
     """
     asked_s = 10.0
     assert right_until_s(["w1", "w2"]) == asked_s + RIGHT_USE_S
@@ -125,10 +125,10 @@
 def test_witness_that_restarted_confirms_nothing_before_it_has_a_memory() -> None:
     """Two of three witnesses acknowledge a move's version; one of them restarts.
 
-    If it confirmed at once, it and the one that never heard would keep the old
-    owner's hosts sending after the move.
+    If it confirmed at once, it and the witness that never received the version would
+    let hosts send to the old owner after the move.
     """
-    w1, w2, w3 = (Fellow(name, revision=1) for name in ("w1", "w2", "w3"))
+    w1, w2, w3 = (FakeWitness(name, revision=1) for name in ("w1", "w2", "w3"))
     w1.tables.install(item(2))
     w2.tables.install(item(2))
     w1.restart(has_memory=False)
@@ -142,7 +142,7 @@
 
 
 def settle_without_instant(announcement: Announcement) -> None:
-    """Count acknowledgements without asking whether they hold at one instant."""
+    """Count acknowledgements without checking that they hold at one instant."""
     if announcement.witnesses.is_majority(announcement._heard):
         announcement.stands_since_s = 0.0
 
@@ -150,15 +150,15 @@
 @pytest.mark.parametrize(
     "guarded", [pytest.param(True, id="guard"), pytest.param(False, id="no-guard")]
 )
-def test_acknowledgement_of_a_witness_that_forgot_does_not_count(
+def test_acknowledgement_of_a_witness_that_lost_its_memory_does_not_count(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A witness acknowledges, restarts, and recovers from two that have not heard.
+    """A witness acknowledges, restarts, and recovers from two with the old version.
 
-    Then a second one acknowledges. A majority has acknowledged, yet another one
-    gives rights to the old version: two owners a moment later.
+    Then a second witness acknowledges. One majority has acknowledged, yet another
+    one confirms rights to the old version, which leads to two owners.
     """
-    w1, w2, w3 = (Fellow(name, revision=1) for name in ("w1", "w2", "w3"))
+    w1, w2, w3 = (FakeWitness(name, revision=1) for name in ("w1", "w2", "w3"))
     if not guarded:
         monkeypatch.setattr(Announcement, "_settle", settle_without_instant)
     announcement = Announcement(domain="lac", witnesses=LAC, witness_revision=1)
@@ -176,17 +176,17 @@
 
 def test_announcement_stands_after_a_second_round_and_lapses_after_the_wait() -> None:
     announcement = Announcement(domain="lac", witnesses=LAC, witness_revision=1)
-    fellows = [Fellow(name, revision=2) for name in ("w1", "w2")]
+    witnesses = [FakeWitness(name, revision=2) for name in ("w1", "w2")]
     for number, now_s in ((1, 0.0), (2, 0.2)):
         announcement.ask(number, now_s)
-        for fellow in fellows:
-            fellow.acknowledge(announcement, number, now_s + 0.1)
+        for witness in witnesses:
+            witness.acknowledge(announcement, number, now_s + 0.1)
     assert announcement.stands_since_s == 0.1
     assert not announcement.has_lapsed(0.1 + RIGHT_USE_S)
     assert announcement.has_lapsed(0.1 + RIGHT_WAIT_S)
 
 
-def test_announcement_to_an_outdated_witness_list_is_given_up() -> None:
+def test_announcement_to_an_outdated_witness_list_is_abandoned() -> None:
     announcement = Announcement(domain="lac", witnesses=LAC, witness_revision=1)
     announcement.ask(1, 0.0)
     answer = Acknowledge(domain="lac", round=1, incarnation=1, witness_revision=2)
@@ -194,15 +194,15 @@
     assert announcement.outdated
 
 
-def test_witness_that_is_named_forgets_what_it_knew_as_a_host() -> None:
+def test_newly_listed_witness_discards_its_memory_as_a_host() -> None:
     witness = Witness(host="w4", domain="lac", incarnation=1)
     witness.store_read()
     witness.note_list(WitnessList(hosts=("w4", "w2", "w3")))
     assert not witness.has_memory
 
 
-def test_older_version_never_comes_back() -> None:
-    """A peer that was cut off for an hour passes on the table that it knew."""
+def test_older_version_is_never_installed() -> None:
+    """A peer that was cut off for an hour sends its old table."""
     tables = Tables(shards={"ledger": 1})
     assert tables.install(item(5, "b"))
     assert not tables.install(item(4, "a"))
@@ -210,7 +210,7 @@
     assert entry is not None and entry.target == "b"
 
 
-def test_witness_list_survives_its_packing() -> None:
+def test_witness_list_round_trips_through_encoding() -> None:
     change = WitnessList(hosts=("w3",), leaving=("w1", "w2"))
     packed = msgspec.msgpack.encode(change)
     assert msgspec.msgpack.decode(packed, type=WitnessList) == change
@@ -230,10 +230,10 @@
 @pytest.mark.parametrize(
     "guarded", [pytest.param(True, id="guard"), pytest.param(False, id="no-guard")]
 )
-def test_answer_to_an_earlier_life_gives_no_right(guarded: bool) -> None:
-    """A host asks, restarts, and asks again; the first answers come only then.
+def test_answer_from_before_a_restart_gives_no_right(guarded: bool) -> None:
+    """A host asks, restarts and asks again, and then gets the first answers.
 
-    The witnesses confirmed a second ago and may have heard of a move since.
+    The witnesses confirmed a second ago and may have acknowledged a move since.
     """
     seeds = [5, 9] if guarded else [0, 0]
     first = ask_once(Rights(first_round=seeds[0]), 10.0)
@@ -245,20 +245,20 @@
 
 
 def test_shared_right_ends_no_later_than_the_one_it_is_a_part_of() -> None:
-    """A host passes on what is left; the receiver counts from its own question."""
-    giver, taker = Rights(), Rights(first_round=100)
-    number = ask_once(giver, 10.0)
+    """A host shares its remaining right; the receiver counts from its own request."""
+    sharer, receiver = Rights(), Rights(first_round=100)
+    number = ask_once(sharer, 10.0)
     for host in LAC.hosts:
-        giver.hear(host, RightAnswer(domain="lac", round=number, good_s=RIGHT_USE_S))
-    ask = taker.ask_share(versions={KEY: 1}, now_s=10.2)
-    taker.hear_share(giver.share(ask, 10.25))
-    assert taker.until_s("lac") == pytest.approx(10.35)
-    assert taker.asked_s("lac") <= 10.0
+        sharer.hear(host, RightAnswer(domain="lac", round=number, good_s=RIGHT_USE_S))
+    ask = receiver.ask_share(versions={KEY: 1}, now_s=10.2)
+    receiver.hear_share(sharer.share(ask, 10.25))
+    assert receiver.until_s("lac") == pytest.approx(10.35)
+    assert receiver.asked_s("lac") <= 10.0
 
 
-def test_values_are_parted_into_messages_that_the_links_carry() -> None:
-    """A host restarts; all tables together are larger than one message may be."""
+def test_values_are_split_into_messages_within_the_size_limit() -> None:
+    """After a restart, all tables together exceed the maximum message size."""
     items = [Item(f"table/ledger/{n}", n, b"x" * 200_000) for n in range(1, 8)]
     parts = list(batches(items))
-    assert [one for part in parts for one in part.items] == items
+    assert [value for part in parts for value in part.items] == items
     assert max(len(encode(part)) for part in parts) < MOST_MESSAGE_BYTES
