--- a/src/gentianwharf/ownership/_lapse.py
+++ b/src/gentianwharf/ownership/_lapse.py
@@ -85,8 +85,8 @@
         request still in transit to a server was allowed before this.
         """
         now_s = self._context.now_s
-        wanted, self._waiting_moves = self._waiting_moves, defaultdict(dict)
-        for domain, moves in wanted.items():
+        waiting, self._waiting_moves = self._waiting_moves, defaultdict(dict)
+        for domain, moves in waiting.items():
             if now_s < self._asked_s.get(domain, float("-inf")) + ASK_INTERVAL_S:
                 self._wake_at(self._asked_s[domain] + ASK_INTERVAL_S)
                 continue
--- a/src/gentianwharf/ownership/_writer.py
+++ b/src/gentianwharf/ownership/_writer.py
@@ -85,8 +85,8 @@
 
     def flush(self) -> None:
         """Start to write the requested changes unless a write is in progress."""
-        wanted = self._confirms or self._intents or self._pins or self._unread
-        if wanted and not self._is_writing:
+        requested = self._confirms or self._intents or self._pins or self._unread
+        if requested and not self._is_writing:
             self._is_writing = True
             Deferred.fromCoroutine(self._run())
 
@@ -104,10 +104,10 @@
         if self._unread:
             await self._read_back(min(self._unread))
             return True
-        wanted = [*self._confirms, *self._intents]
-        if not wanted:
+        requested = [*self._confirms, *self._intents]
+        if not requested:
             return await self._write_pin()
-        number = self.chunk_of(wanted[0])
+        number = self.chunk_of(requested[0])
         chunk = self._context.tables.chunks(self._service).get(number)
         if chunk is None:
             self._confirms.clear()
@@ -167,8 +167,8 @@
             changed = changed.unpin(shard)
         return changed
 
-    def _shards_in_chunk(self, wanted: Iterable[int], number: int) -> list[int]:
-        return [shard for shard in wanted if self.chunk_of(shard) == number]
+    def _shards_in_chunk(self, requested: Iterable[int], number: int) -> list[int]:
+        return [shard for shard in requested if self.chunk_of(shard) == number]
 
     async def _write(self, chunk: Chunk) -> None:
         context = self._context
--- a/tests/test_ownership_asking.py
+++ b/tests/test_ownership_asking.py
@@ -23,9 +23,9 @@
 
 
 def askers(world: World, domain: str) -> list[str]:
-    system = next(one for one in world.hosts.values()).system
+    system = next(host for host in world.hosts.values()).system
     listed = system._context.tables.witnesses(domain)
-    hosts = [one for one in world.hosts if world.domain_of(one) == domain]
+    hosts = [host for host in world.hosts if world.domain_of(host) == domain]
     return tree_order(hosts, listed, hosts)[:ASKERS]
 
 
@@ -116,7 +116,9 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [stop_one, stop_both, pause_one, restart_one], ids=lambda one: one.__name__
+    "fault",
+    [stop_one, stop_both, pause_one, restart_one],
+    ids=lambda fault: fault.__name__,
 )
 def test_no_host_lacks_a_right_when_askers_are_lost(
     fault: Callable[[World], None],
@@ -131,9 +133,9 @@
     fault(world)
     # A paused host sends nothing, and a restarted one has no tables yet.
     running = [
-        one
-        for name, one in known.items()
-        if world.hosts.get(name) is one and not one.clock.paused
+        host
+        for name, host in known.items()
+        if world.hosts.get(name) is host and not host.clock.paused
     ]
     assert count_refused(world, running, 2.0) == 0
 
--- a/tests/test_ownership_checksums.py
+++ b/tests/test_ownership_checksums.py
@@ -117,8 +117,8 @@
     tables = Tables(shards={})
     for key, revision in versions.items():
         value = b"\x91\x90" if key.startswith("witnesses") else b""
-        for one in range(1, revision + 1):
-            tables.install(Item(key, one, value))
+        for number in range(1, revision + 1):
+            tables.install(Item(key, number, value))
             tables.install(Item(key, 1, value))
     assert tables.versions == versions
     assert tables.checksum == checksum_of(versions)
@@ -162,15 +162,17 @@
     world.settle()
     world.advance(0.5)
     controller = next(
-        name for name, one in world.hosts.items() if one.system.state().controls
+        name for name, host in world.hosts.items() if host.system.state().controls
     )
     server_domain, stale_domain = (
-        one.name for one in world.domains if one.name != world.domain_of(controller)
+        domain.name
+        for domain in world.domains
+        if domain.name != world.domain_of(controller)
     )
-    server = next(one for one in world.servers if server_domain in one)
+    server = next(name for name in world.servers if server_domain in name)
     # The host of its domain that requests shares from two others.
     stale = rendezvous_rank(
-        "rights", [one for one in world.hosts if one.startswith(stale_domain)]
+        "rights", [host for host in world.hosts if host.startswith(stale_domain)]
     )[-1]
     for host in world.hosts:
         if host != stale:
@@ -233,7 +235,7 @@
     tables.install(Item("witnesses/late", 1, b"\x91\x90"))
     rights.hear_share(answer)
     until_s = {name: rights.until_s(name) for name in (*names, "late")}
-    return {name: one - 10.0 for name, one in until_s.items() if one > 10.0}
+    return {name: end_s - 10.0 for name, end_s in until_s.items() if end_s > 10.0}
 
 
 @pytest.mark.parametrize(
@@ -272,7 +274,9 @@
     """
     if not guarded:
         # The set of domains in the request grows with the tables.
-        monkeypatch.setattr(Tables, "witnessed", lambda one: one._witnesses.keys())
+        monkeypatch.setattr(
+            Tables, "witnessed", lambda tables: tables._witnesses.keys()
+        )
     shared = shared_rights(["a", "b"], {"a": 0.3, "b": 0.3})
     assert ("late" not in shared) is guarded
 
--- a/tests/test_ownership_deadlines.py
+++ b/tests/test_ownership_deadlines.py
@@ -89,7 +89,7 @@
         deadline_s = found.clock.seconds() + CAP_S
         routes.append(found.system.route(SERVICE, 0, deadline_s=deadline_s))
         world.advance(0.005)
-    assert not [one for one in routes if isinstance(one, Send)]
+    assert not [route for route in routes if isinstance(route, Send)]
     assert isinstance(routes[-1], Refuse)
 
 
@@ -159,9 +159,9 @@
     The frozen server's shards come last, when the host no longer asks for each.
     """
     world = build(shards=96)
-    frozen = next(one for one in world.servers if "-lac-" in one)
+    frozen = next(server for server in world.servers if "-lac-" in server)
     world.servers[frozen].frozen = True
-    shards = sorted(range(world.shards), key=lambda one: world.owner(one) == frozen)
+    shards = sorted(range(world.shards), key=lambda shard: world.owner(shard) == frozen)
     for shard in shards:
         world.request("ariana-1", shard, wanted_s=CAP_S)
     world.advance(0.02, 0.001)
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False], ids=["guard", "no-guard"])
-@pytest.mark.parametrize("case", GUARDS, ids=[one[0] for one in GUARDS])
+@pytest.mark.parametrize("case", GUARDS, ids=[case[0] for case in GUARDS])
 def test_one_owner_only_with_the_guard(
     case: tuple[str, Callable[[], None], Callable[[Patch], None]],
     guarded: bool,
--- a/tests/test_ownership_lag.py
+++ b/tests/test_ownership_lag.py
@@ -37,7 +37,7 @@
     world = World()
     world.settle()
     host = world.hosts["lac-1"]
-    shard = next(one for one in range(world.shards) if "-lac-" in world.owner(one))
+    shard = next(s for s in range(world.shards) if "-lac-" in world.owner(s))
     host.clock.paused = True
     world.advance(2.0)
     host.clock.resume()
@@ -51,7 +51,7 @@
     world = World()
     world.settle()
     host = world.hosts["lac-1"]
-    shard = next(one for one in range(world.shards) if "-lac-" not in world.owner(one))
+    shard = next(s for s in range(world.shards) if "-lac-" not in world.owner(s))
     world.cut_off("lac-1")
     world.advance(1.0)
     assert isinstance(host.system.route(SERVICE, shard), Hold)
