--- a/src/gentianwharf/ownership/_writer.py
+++ b/src/gentianwharf/ownership/_writer.py
@@ -23,7 +23,8 @@
 class TableWriter:
     """Collects requested changes of a service and writes many of them in one value.
 
-    ``written`` is called once all of them are written, or after a write fails.
+    ``written`` is called once all of them are written or writing has stopped, because
+    of an error or because this host may no longer write.
     """
 
     def __init__(
