--- a/src/gentianwharf/ownership/__init__.py
+++ b/src/gentianwharf/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""One owner for each key: assignment table, rights, grants, moves, control."""
+"""Single-owner key assignment: tables, rights, grants, moves and control leases."""
 
 from ._messages import ControlAlive, Message, decode, encode
 from ._move import MoveState
--- a/src/gentianwharf/ownership/_route.py
+++ b/src/gentianwharf/ownership/_route.py
@@ -1,4 +1,4 @@
-"""Where a request for a key goes, on the hot path."""
+"""Routing of requests for keys; runs for every request."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -30,10 +30,10 @@
 class Send:
     """Send to ``server_id`` as ``shard`` under ``token``.
 
-    ``shard`` is the number of the key's own entry where it has one. The request's
-    deadline may be at most ``deadline_cap_s`` from the moment of the decision: after a
-    loss, a new owner waits for the last deadline that may still be in the old one's
-    buffers.
+    ``shard`` is the number of the key's own entry if the key has one. The request's
+    deadline may be at most ``deadline_cap_s`` after the moment of the decision: after
+    the loss of an owner, the new owner waits for the last deadline of a request that
+    may still be in the old owner's buffers.
     """
 
     server_id: str
@@ -45,9 +45,9 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Hold:
-    """Keep the request until ``until_s`` of this host's clock, then ask again.
+    """Hold the request until ``until_s`` on this host's clock, then route it again.
 
-    Meanwhile ask every ``step_s``: what it waits for may come earlier.
+    Until then, route it every ``step_s``, since the awaited change may come earlier.
     """
 
     until_s: float
@@ -55,7 +55,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why no server may be sent to; the request was not run."""
+    """Why the request may not be sent to any server; it was not executed."""
 
     NO_TABLE = "no-table"
     NO_RIGHT = "no-right"
@@ -65,7 +65,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refuse:
-    """Refuse as not run; the caller may come back after ``retry_after_s``."""
+    """Refuse the request unexecuted; the caller may retry after ``retry_after_s``."""
 
     reason: RefusalReason
     retry_after_s: float
@@ -81,8 +81,8 @@
     since_s: float
 
 
-def _enough_s(wanted_s: float) -> float:
-    """Return the least deadline that will do for a request that wants ``wanted_s``."""
+def _min_deadline_s(wanted_s: float) -> float:
+    """Return the shortest acceptable deadline for a request that asks ``wanted_s``."""
     if wanted_s > SHORT_DEADLINE_S:
         return wanted_s
     return min(wanted_s, LEAST_DEADLINE_S)
@@ -90,7 +90,7 @@
 
 @final
 class Router:
-    """Decides requests from the tables and this host's rights."""
+    """Routes requests by the tables and this host's rights."""
 
     def __init__(
         self,
@@ -104,18 +104,18 @@
     ) -> None:
         self._tables = tables
         self._rights = rights
-        self._domain_of = {one.id: one.domain for one in servers.values()}
-        # Their grants don't end by themselves, only their requests' deadlines do.
-        self._tokens_alone = {
-            one.id
-            for one in servers.values()
-            if not (one.knows_validity and one.gives_stamp)
+        self._domain_of = {server.id: server.domain for server in servers.values()}
+        # Servers whose grants don't expire: only the deadlines of their requests do.
+        self._token_only_servers = {
+            server.id
+            for server in servers.values()
+            if not (server.knows_validity and server.gives_stamp)
         }
         self._allowances = allowances
         self._deadline_caps_s = deadline_caps_s
         self._sent = sent
         self._blocks: dict[tuple[str, int], _Block] = {}
-        self._lacking_since_s: dict[str, float] = {}
+        self._right_missing_since_s: dict[str, float] = {}
 
     def route(
         self,
@@ -126,31 +126,32 @@
         *,
         deadline_s: float | None = None,
     ) -> Route:
-        """Decide one request.
+        """Route one request.
 
-        One that is to run until ``deadline_s`` waits until so long a deadline may be
-        sent; with None it takes what it may have at once.
+        A request with ``deadline_s`` is held until a deadline that long may be sent;
+        with None it gets the longest deadline that is allowed at once.
         """
         number = self._tables.shard_for(service, shard, key)
         entry = self._tables.entry(service, number)
         if entry is None:
             return Refuse(reason=RefusalReason.NO_TABLE, retry_after_s=RETRY_AFTER_S)
         if self._blocks or entry.state is not EntryState.OWNED:
-            waiting = self._wait_for_move(service, number, entry, now_s)
-            if waiting is not None:
-                return waiting
+            route = self._wait_for_move(service, number, entry, now_s)
+            if route is not None:
+                return route
         server = entry.owner
-        # A host that was paused looks at its clock here, after the pause.
+        # ``now_s`` is read after any pause of the process, so that a right that expired
+        # during the pause is refused here.
         domain = self._domain_of.get(server, "")
         if now_s >= self._rights.until_s(domain):
             return self._wait_for_right(domain, now_s)
-        if self._lacking_since_s:
-            self._lacking_since_s.pop(domain, None)
+        if self._right_missing_since_s:
+            self._right_missing_since_s.pop(domain, None)
         cap_s = self._deadline_caps_s[service]
-        if server in self._tokens_alone:
+        if server in self._token_only_servers:
             wanted_s = cap_s if deadline_s is None else min(deadline_s - now_s, cap_s)
-            longest_s = self._longest_s(service, number, server, wanted_s, now_s)
-            if deadline_s is not None and longest_s < _enough_s(wanted_s):
+            longest_s = self._max_deadline_s(service, number, server, wanted_s, now_s)
+            if deadline_s is not None and longest_s < _min_deadline_s(wanted_s):
                 until_s = now_s + wanted_s
                 return self._wait_for_deadline(service, number, server, until_s, now_s)
             cap_s = min(cap_s, longest_s)
@@ -160,26 +161,26 @@
         )
 
     def _wait_for_right(self, domain: str, now_s: float) -> Hold | Refuse:
-        """Hold what comes while a right that has just ended is asked for again.
+        """Hold requests while a right that has just expired is requested again.
 
-        A host that was paused finds all its rights ended, and requests that came
-        meanwhile in its sockets: refused at once, they are the first that callers see
-        of it, though the right is back within a round. A host that is cut off goes on
-        without one, so only the first requests wait.
+        After a pause of the process all rights of the host have expired, and requests
+        wait in its sockets. Refusing these at once would expose the pause to callers,
+        although the right is renewed within one round. A partitioned host stays
+        without the right, so only the first requests are held.
         """
-        since_s = self._lacking_since_s.setdefault(domain, now_s)
+        since_s = self._right_missing_since_s.setdefault(domain, now_s)
         until_s = since_s + RIGHT_HOLD_S
         if now_s < until_s:
             return Hold(until_s=until_s, step_s=RIGHT_HOLD_STEP_S)
         return Refuse(reason=RefusalReason.NO_RIGHT, retry_after_s=RETRY_AFTER_S)
 
-    def _longest_s(
+    def _max_deadline_s(
         self, service: str, shard: int, server: str, wanted_s: float, now_s: float
     ) -> float:
-        """Return how far away a deadline may be, as far as it is wanted."""
+        """Return the longest deadline allowed, looking no further than ``wanted_s``."""
         domain = self._domain_of[server]
         short_s = self._rights.until_s(domain) + DEADLINE_PAST_RIGHT_S - now_s
-        if short_s >= _enough_s(wanted_s):
+        if short_s >= _min_deadline_s(wanted_s):
             return short_s
         allowed_s = self._allowances.until_s(service, shard, domain) - now_s
         if allowed_s >= wanted_s:
@@ -191,10 +192,10 @@
     def _wait_for_deadline(
         self, service: str, shard: int, server: str, until_s: float, now_s: float
     ) -> Hold | Refuse:
-        """Ask for a longer deadline; refuse when no majority allows it in time.
+        """Ask for a longer deadline; refuse if no majority allows it in time.
 
-        Sent with a shorter one, a request that takes long would be cut off, and nobody
-        knew what became of it.
+        With a shorter deadline a long request would be cut off and its outcome would
+        be unknown.
         """
         wait_until_s = self._allowances.want(
             service, shard, self._domain_of[server], until_s=until_s, now_s=now_s
@@ -219,13 +220,14 @@
         if now_s < until_s:
             return Hold(until_s=until_s)
         if entry.state is EntryState.OWNED:
-            # A server that started cold is granted the same token again: try it.
+            # A server that restarted without state gets a grant with the same token,
+            # so the request is tried there.
             del self._blocks[service, shard]
             return None
         return Refuse(reason=RefusalReason.MOVING, retry_after_s=RETRY_AFTER_S)
 
     def block(self, service: str, shard: int, token: int, now_s: float) -> _Block:
-        """Note that the owner under ``token`` runs nothing more for ``shard``."""
+        """Record that the owner under ``token`` runs no more requests for ``shard``."""
         block = self._blocks.get((service, shard))
         if block is None or block.token != token:
             block = _Block(token=token, since_s=now_s)
--- a/src/gentianwharf/ownership/_system.py
+++ b/src/gentianwharf/ownership/_system.py
@@ -1,4 +1,4 @@
-"""One owner for each key: the facade that the daemon ticks and asks."""
+"""The facade of key ownership that the daemon calls."""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -60,7 +60,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Assignment:
-    """Who owns a key, as far as this host knows the store."""
+    """The owner of a key according to this host's copy of the tables."""
 
     service: str
     shard: int
@@ -73,7 +73,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnershipState:
-    """What the admin port shows of ownership."""
+    """The ownership state that the admin port shows."""
 
     has_read_store: bool
     is_witness: bool
@@ -89,9 +89,9 @@
 class OwnershipSystem:
     """Rights, grants and moves of one host; every host runs one.
 
-    ``clock`` must be monotonic. ``rng`` must be seeded anew at each start, since
-    the witness's incarnation comes from it. ``deadline_caps_s`` gives for each
-    keyed service the longest deadline of a request.
+    ``clock`` must be monotonic. ``rng`` must have a new seed at each start, since
+    the witness's incarnation number is drawn from it. ``deadline_caps_s`` gives the
+    longest deadline of a request for each keyed service, in seconds.
     """
 
     def __init__(
@@ -112,17 +112,17 @@
         weights: PlacementWeights | None = None,
         single_key_sites: SingleKeySites = lambda service: {},
     ) -> None:
-        keyed = {one.name: one for one in services if one.keyed}
-        tables = Tables(shards={name: one.shards for name, one in keyed.items()})
+        keyed = {service.name: service for service in services if service.keyed}
+        tables = Tables(shards={name: svc.shards for name, svc in keyed.items()})
         witness = Witness(
             host=host.id, domain=host.domain, incarnation=rng.getrandbits(63)
         )
         self._context = context = Context(
             host=host,
-            domains={one.name: one for one in domains},
+            domains={domain.name: domain for domain in domains},
             services=keyed,
             servers={
-                server.id: server for one in keyed.values() for server in one.servers
+                server.id: server for svc in keyed.values() for server in svc.servers
             },
             clock=clock,
             store=store,
@@ -180,7 +180,7 @@
             servers=context.servers,
             allowances=Allowances(context=context, asker=self._deadline_asker),
             deadline_caps_s=context.deadline_caps_s,
-            sent={name: one.sent for name, one in self._controls.items()},
+            sent={name: control.sent for name, control in self._controls.items()},
         )
         self._handlers = self._build_handlers()
         self._is_stopping = False
@@ -196,21 +196,21 @@
             Announce: witnessing.announced,
             RecoverAsk: witnessing.recovery_asked,
             RecoverAnswer: witnessing.recovery_answered,
-            Acknowledge: self._acknowledged,
-            Items: self._items,
-            Pull: self._pull,
-            ControlAlive: self._control_alive,
+            Acknowledge: self._handle_acknowledge,
+            Items: self._handle_items,
+            Pull: self._handle_pull,
+            ControlAlive: self._handle_control_alive,
             DeadlineAsk: self._deadline_memory.asked,
             DeadlineAnswer: self._deadline_asker.hear,
-            Probe: self._probe,
-            Suspect: self._suspect,
-            Leaving: self._leaving,
-            Loads: self._loads,
-            MoveRequest: self._move_requested,
+            Probe: self._handle_probe,
+            Suspect: self._handle_suspect,
+            Leaving: self._handle_leaving,
+            Loads: self._handle_loads,
+            MoveRequest: self._handle_move_request,
         }
 
     def tick(self) -> None:
-        """Run the systems once; call it every ``TICK_S``."""
+        """Run the periodic work once; must be called every ``TICK_S``."""
         self._context.lag.note_tick(self._context.now_s)
         self._reader.tick()
         self._witnessing.tick()
@@ -225,7 +225,7 @@
                 control.tick()
 
     def received(self, host: str, message: Message) -> None:
-        """Handle a message from a fellow host."""
+        """Handle a message from another entry host."""
         self._handlers[type(message)](host, message)
 
     def route(
@@ -236,24 +236,24 @@
         *,
         deadline_s: float | None = None,
     ) -> Route:
-        """Decide where a request for a keyed service goes now.
+        """Decide where a request for a keyed service is sent.
 
-        ``deadline_s`` is until when, on this host's clock, the request is to run: it
-        is held until so long a deadline may be sent. Without one, ``Send`` says what
-        may be had at once.
+        ``deadline_s`` is the request's deadline on this host's clock: the request is
+        held until a deadline that long may be sent. Without one, ``Send`` carries the
+        longest deadline that is allowed at once.
         """
         return self._router.route(
             service, shard, key, self._context.now_s, deadline_s=deadline_s
         )
 
     def refused_not_owner(self, service: str, shard: int, token: int) -> None:
-        """Note that a server refused a request as not the shard's owner."""
+        """Record that a server refused a request because it does not own the shard."""
         self._router.block(service, shard, token, self._context.now_s)
 
     def answered(self, server: str, *, ok: bool, busy_s: float | None = None) -> None:
-        """Note that a request to ``server`` was answered, or never was.
+        """Record whether a request to ``server`` was answered.
 
-        ``busy_s`` is how long a request that the server ran took there.
+        ``busy_s`` is the time that the server spent on a request that it executed.
         """
         if server not in self._context.servers:
             return
@@ -264,83 +264,84 @@
             self._renewal.probe(self._context.servers[server])
 
     def set_leaving(self, servers: Iterable[str]) -> None:
-        """Take the servers that the platform or an operator says are leaving."""
+        """Set the servers that the platform or an operator lists as leaving."""
         leaving = set(servers)
         for name, control in self._controls.items():
-            own = {one.id for one in self._context.services[name].servers}
-            control.plans.listed_leaving = leaving & own
+            server_ids = {server.id for server in self._context.services[name].servers}
+            control.plans.listed_leaving = leaving & server_ids
 
     async def declare_lost(self, domain: str, *, lost: bool = True) -> None:
-        """Write an operator's word that a whole failure domain is lost, or is back.
+        """Write an operator's declaration that a failure domain is lost or restored.
 
-        Its keys move without its hosts' consent: were one of them alive and cut
-        off, it would go on sending to its servers, and keys had two owners.
+        The keys of a lost domain move without the consent of its hosts. If one of
+        these hosts were running but partitioned, it would go on sending to its
+        servers, and keys would have two owners.
         """
         await declare_lost(self._context, self._fanout, domain, lost=lost)
 
     def move(self, service: str, shard: int, server: str) -> Deferred[RequestOutcome]:
-        """Ask the control holder to move a shard; fires when the store has the move.
+        """Ask the control holder to move a shard; fires once the move is stored.
 
-        Raises ``InputError`` and ``RefusedError`` at once.
+        Raises ``InputError`` and ``RefusedError`` synchronously.
         """
         return self._requests.ask(
             MoveRequest(service=service, shard=shard, server=server)
         )
 
     def pin(self, service: str, key: str, server: str) -> Deferred[RequestOutcome]:
-        """Ask for an entry of its own for ``key`` at ``server``; "" takes it away."""
+        """Ask for a separate entry for ``key`` at ``server``; "" removes the entry."""
         keyed = self._context.services.get(service)
         shard = shard_of(key, keyed.shards) if keyed is not None else 0
         return self._requests.ask(
             MoveRequest(service=service, shard=shard, server=server, key=key)
         )
 
-    def _acknowledged(self, host: str, message: Acknowledge) -> None:
+    def _handle_acknowledge(self, host: str, message: Acknowledge) -> None:
         self._announcer.hear(host, message)
         for control in self._controls.values():
             control.mover.tick_soon()
 
-    def _items(self, host: str, message: Items) -> None:
+    def _handle_items(self, host: str, message: Items) -> None:
         new = [item for item in message.items if self._context.take(item)]
         self._fanout.pass_on_items(new)
 
-    def _pull(self, host: str, message: Pull) -> None:
+    def _handle_pull(self, host: str, message: Pull) -> None:
         newer = self._context.tables.newer_than(message.versions)
         self._context.send_items(host, newer)
 
-    def _control_alive(self, host: str, message: ControlAlive) -> None:
+    def _handle_control_alive(self, host: str, message: ControlAlive) -> None:
         control = self._controls.get(message.service)
         if control is not None:
             control.alive(message)
 
-    def _probe(self, host: str, message: Probe) -> None:
+    def _handle_probe(self, host: str, message: Probe) -> None:
         server = self._context.servers.get(message.server)
         if server is not None:
             self._renewal.probe(server, asker=message.control, is_second=True)
 
-    def _suspect(self, host: str, message: Suspect) -> None:
+    def _handle_suspect(self, host: str, message: Suspect) -> None:
         self._suspicions.hear(host, message.server, self._context.now_s)
         server = self._context.servers.get(message.server)
         if server is not None:
             self._controls[server.service].tick_soon()
 
-    def _leaving(self, host: str, message: Leaving) -> None:
+    def _handle_leaving(self, host: str, message: Leaving) -> None:
         server = self._context.servers.get(message.server)
         if server is not None:
             self._controls[server.service].plans.said_leaving(server.id)
 
-    def _loads(self, host: str, message: Loads) -> None:
+    def _handle_loads(self, host: str, message: Loads) -> None:
         control = self._controls.get(message.service)
         if control is not None:
             control.plans.loads.hear(message, self._context.now_s)
 
-    def _move_requested(self, host: str, message: MoveRequest) -> None:
+    def _handle_move_request(self, host: str, message: MoveRequest) -> None:
         control = self._controls.get(message.service)
         if control is not None and control.lease.is_held:
             control.plans.request(message)
 
     def owner(self, service: str, shard: int, key: str | None = None) -> Assignment:
-        """Return who owns a key, as far as this host knows."""
+        """Return the owner of a key according to this host's tables."""
         tables = self._context.tables
         number = tables.shard_for(service, shard, key)
         entry = tables.entry(service, number)
@@ -354,20 +355,20 @@
         )
 
     def count_shards(self, server: str) -> int:
-        """Return how many shards ``server`` owns, as far as this host knows."""
+        """Return how many shards ``server`` owns according to this host's tables."""
         found = self._context.servers.get(server)
         if found is None:
             return 0
         return self._context.tables.count_shards(found.service, server)
 
     def moves(self) -> list[MoveState]:
-        """Return the moves under way that this host controls."""
+        """Return the moves in progress that this host controls."""
         return [
             state for control in self._controls.values() for state in control.moves()
         ]
 
     def state(self) -> OwnershipState:
-        """Return what the admin port shows."""
+        """Return the state that the admin port shows."""
         context = self._context
         now_s = context.now_s
         return OwnershipState(
@@ -379,15 +380,17 @@
                 for name in context.domains
             },
             versions=dict(context.tables.versions),
-            holders={name: one.holder for name, one in self._controls.items()},
+            holders={name: control.holder for name, control in self._controls.items()},
             controls=tuple(
-                name for name, one in self._controls.items() if one.lease.is_held
+                name
+                for name, control in self._controls.items()
+                if control.lease.is_held
             ),
-            moving=sum(len(one.mover.moves) for one in self._controls.values()),
+            moving=sum(len(control.mover.moves) for control in self._controls.values()),
         )
 
     async def stop(self) -> None:
-        """Hand the control over; grants and rights go on from other hosts."""
+        """Release the control leases; other hosts continue the grants and rights."""
         self._is_stopping = True
         self._requests.stop()
         for control in self._controls.values():
