--- a/src/gentianwharf/ownership/_table.py
+++ b/src/gentianwharf/ownership/_table.py
@@ -1,10 +1,10 @@
 """The assignment table of a service: chunks of shards, packed into store values.
 
 An entry is either owned or moving. While it moves, ``holders`` lists every server
-that may still hold the shard: the old owner, and any target that an earlier intent
-named, since a delayed order could make that one an owner. Tokens come from the
-chunk's ``counter``, which is raised with each intent and never falls, so a token
-of a shard never repeats.
+that may still hold the shard: the old owner, and each target of an earlier intent,
+since a delayed order could still make such a target an owner. Tokens come from the
+chunk's ``counter``, which increases with each intent and never decreases, so a token
+of a shard is never reused.
 """
 
 from collections.abc import Mapping
@@ -17,16 +17,16 @@
 from gentianwharf.errors import InputError
 
 CHUNK_SHARDS = 4096
-"""Shards in one store value: some 40 kB packed, far below a megabyte."""
+"""Shards in one store value; packed, that is about 40 kB, far below a megabyte."""
 
-MOST_PINS_PER_CHUNK = 1024
-"""Single keys with an entry of their own in a chunk; keeps the value bounded."""
+MAX_PINS_PER_CHUNK = 1024
+"""Limit of pinned keys in a chunk; it bounds the size of the store value."""
 
 FORMAT = 1
 
 
 class EntryState(IntEnum):
-    """What the store says of a shard."""
+    """The state of a shard in the store."""
 
     OWNED = 0
     RELEASING = 1
@@ -36,10 +36,11 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Entry:
-    """One shard's assignment; ``owner`` is empty before the first one.
+    """One shard's assignment; ``owner`` is empty before the first assignment.
 
-    While RELEASING, hosts may go on sending to ``owner`` under ``token``, which
-    refuses once it has released. While LAPSING, they must not.
+    While RELEASING, hosts may go on sending to ``owner`` under ``token``; the owner
+    refuses requests once it has released the shard. While LAPSING, hosts must not
+    send to the owner.
     """
 
     owner: str
@@ -68,7 +69,7 @@
         )
 
     def confirm(self) -> "Entry":
-        """Return the entry once its target has taken the grant.
+        """Return the entry after its target has accepted the grant.
 
         >>> Entry(owner="a", token=1, target="b", next_token=2).confirm().owner
         'b'
@@ -79,11 +80,11 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Chunk:
-    """A range of a service's shards; ``entries`` has real and pinned shards.
+    """A range of a service's shards; ``entries`` has real shards and pinned keys.
 
-    ``pins`` gives a single key the number of its own entry, a shard number that
-    lies beyond the service's real ones. ``fixed`` are the pins that an operator
-    asked for, which the rules don't take away.
+    ``pins`` maps a pinned key to the number of its entry, which is a shard number
+    beyond the service's real shards. ``fixed`` holds the keys that an operator
+    pinned, which the rules don't unpin.
     """
 
     service: str
@@ -94,15 +95,15 @@
     fixed: frozenset[str] = frozenset()
 
     def edit(self, changes: Mapping[int, Entry], *, counter: int) -> "Chunk":
-        """Return the chunk with some entries changed."""
+        """Return the chunk with ``changes`` applied to its entries."""
         return replace(self, entries={**self.entries, **changes}, counter=counter)
 
     def pin(self, key: str, *, shard: int, number: int, target: str) -> "Chunk":
-        """Return the chunk with an entry of its own for ``key``, numbered ``number``.
+        """Return the chunk with a separate entry for ``key``, numbered ``number``.
 
         The owner of ``shard`` would go on running the key's requests under the
-        shard's token, so that it gets a new token in the same write. The key's
-        entry waits for it: its ``token`` is the least that the shard must have.
+        shard's token, so the same write gives the shard a new token. The key's entry
+        waits for that token: its ``token`` is the lowest that the shard must have.
         """
         entry = self.entries[shard]
         token = self.counter + 1
@@ -120,19 +121,21 @@
         return replace(changed, pins={**self.pins, key: number})
 
     def unpin(self, number: int) -> "Chunk":
-        """Return the chunk without a key's own entry, which nobody holds any more."""
-        entries = {shard: one for shard, one in self.entries.items() if shard != number}
+        """Return the chunk without a pinned entry; no server may hold it any more."""
+        entries = {
+            shard: entry for shard, entry in self.entries.items() if shard != number
+        }
         pins = {key: shard for key, shard in self.pins.items() if shard != number}
         return replace(
             self, entries=entries, pins=pins, fixed=self.fixed.intersection(pins)
         )
 
     def free_pin(self, shards: int) -> int | None:
-        """Return a number for a key's own entry, or None when there are too many."""
-        first = shards + self.number * MOST_PINS_PER_CHUNK
+        """Return a free number for a pinned entry, or None when the chunk is full."""
+        first = shards + self.number * MAX_PINS_PER_CHUNK
         used = set(self.pins.values())
-        numbers = range(first, first + MOST_PINS_PER_CHUNK)
-        return next((one for one in numbers if one not in used), None)
+        numbers = range(first, first + MAX_PINS_PER_CHUNK)
+        return next((number for number in numbers if number not in used), None)
 
 
 class _PackedMove(msgspec.Struct, array_like=True, frozen=True):
@@ -197,29 +200,29 @@
 
 
 def unpack_chunk(value: bytes, *, service: str, number: int) -> Chunk:
-    """Unpack a store value; raises ``InputError`` when it is not a chunk."""
-    where = f"table/{service}/{number}"
+    """Unpack a store value; raises ``InputError`` when it is not a valid chunk."""
+    store_key = f"table/{service}/{number}"
     try:
         packed = _decoder.decode(value)
     except msgspec.MsgspecError as error:
         raise InputError(
-            f"expected a packed chunk, got {len(value)} bytes that are none: {error};"
+            f"expected a packed chunk, got {len(value)} undecodable bytes: {error};"
             " restore the value or upgrade this host",
             step="unpack table",
-            peer=where,
+            peer=store_key,
         ) from error
     if packed.format != FORMAT:
         raise InputError(
             f"expected chunk format {FORMAT}, got {packed.format}; upgrade this host",
             step="unpack table",
-            peer=where,
+            peer=store_key,
         )
-    mistake = _mistake(packed, number)
-    if mistake is not None:
+    inconsistency = _find_inconsistency(packed, number)
+    if inconsistency is not None:
         raise InputError(
-            f"{mistake}; restore the value or upgrade this host",
+            f"{inconsistency}; restore the value or upgrade this host",
             step="unpack table",
-            peer=where,
+            peer=store_key,
         )
     servers = packed.servers
     entries = {
@@ -246,40 +249,42 @@
     )
 
 
-def _mistake(packed: _PackedChunk, number: int) -> str | None:
-    """Return what contradicts itself in a chunk that could be decoded.
+def _find_inconsistency(packed: _PackedChunk, number: int) -> str | None:
+    """Return the first inconsistency in a decoded chunk, or None.
 
-    A value that was damaged or written by hand would give shards of another chunk an
-    owner, or, by a number below 0, the wrong one.
+    Unchecked, a value that was damaged or written by hand could assign shards of
+    another chunk, or, by a negative server number, assign shards to the wrong server.
     """
     shards, pins = set(packed.shards), set(packed.pins.values())
     first = number * CHUNK_SHARDS
-    strangers = [
-        one for one in shards - pins if not first <= one < first + CHUNK_SHARDS
+    out_of_range = [
+        shard for shard in shards - pins if not first <= shard < first + CHUNK_SHARDS
     ]
-    if strangers:
+    if out_of_range:
         last = first + CHUNK_SHARDS - 1
-        return f"expected shards {first} to {last}, got {min(strangers)}"
+        return f"expected shards {first} to {last}, got {min(out_of_range)}"
     if not len(packed.shards) == len(packed.owners) == len(packed.tokens):
         return (
             f"expected an owner and a token for each of {len(packed.shards)} shards,"
             f" got {len(packed.owners)} and {len(packed.tokens)}"
         )
-    named = [*packed.owners]
+    server_numbers = [*packed.owners]
     for move in packed.moves:
-        named += [move.target, *move.holders]
+        server_numbers += [move.target, *move.holders]
         if move.shard not in shards or move.state not in _MOVING:
             return f"expected a move of a listed shard, got {move.shard}"
-    if named and not 0 <= min(named) <= max(named) < len(packed.servers):
+    if server_numbers and not (
+        0 <= min(server_numbers) <= max(server_numbers) < len(packed.servers)
+    ):
         return f"expected servers 0 to {len(packed.servers) - 1}, got another number"
     return None
 
 
 def first_chunk(service: str, number: int, targets: Mapping[int, str]) -> Chunk:
-    """Return a chunk that intends ``targets`` for shards that nobody holds."""
-    none = Entry(owner="", token=0)
+    """Return a new chunk with an intent for each of ``targets`` and no holders."""
+    unowned = Entry(owner="", token=0)
     entries = {
-        shard: none.intend(target=target, token=1, state=EntryState.LAPSING)
+        shard: unowned.intend(target=target, token=1, state=EntryState.LAPSING)
         for shard, target in targets.items()
     }
     return Chunk(service=service, number=number, counter=1, entries=entries)
--- a/src/gentianwharf/ownership/_tables.py
+++ b/src/gentianwharf/ownership/_tables.py
@@ -1,4 +1,4 @@
-"""What a host knows of the store: newest values by key, and the tables in them."""
+"""One host's copy of the store: newest values by key, and the decoded tables."""
 
 from collections.abc import Iterable, Mapping
 from collections.abc import Set as AbstractSet
@@ -17,7 +17,7 @@
 
 
 def chunk_key(service: str, number: int) -> str:
-    """Return the store key of a chunk, below the customer's.
+    """Return the store key of a chunk, relative to the customer's prefix.
 
     >>> chunk_key("ledger", 2)
     'table/ledger/2'
@@ -26,14 +26,14 @@
 
 
 def version_hash(key: str, revision: int) -> int:
-    """Return the part of one version in the checksum of all."""
+    """Return the hash of one version, its contribution to ``checksum_of``."""
     return xxhash.xxh3_64_intdigest(f"{key}\0{revision}".encode())
 
 
 def checksum_of(versions: Mapping[str, int]) -> int:
-    """Return a checksum that two sets of versions share only when they are equal.
+    """Return a checksum of a set of versions that does not depend on their order.
 
-    64 bits, in any order: two sets that differ share it with odds of 2 to the -64.
+    It has 64 bits: two different sets have the same one with a probability of 2**-64.
 
     >>> checksum_of({"a": 1, "b": 2}) == checksum_of({"b": 2, "a": 1})
     True
@@ -60,10 +60,10 @@
 
 @final
 class WitnessList(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
-    """The witnesses of a domain; ``leaving`` is the earlier list while it changes.
+    """The witnesses of a domain; ``leaving`` is the previous list during a change.
 
-    While it changes, a right and an announcement need a majority of both lists.
-    ``lost`` is an operator's word that nothing of the domain runs any more.
+    During a change, a right and an announcement need a majority of both lists.
+    ``lost`` is an operator's declaration that nothing in the domain runs any more.
     """
 
     hosts: tuple[str, ...]
@@ -71,11 +71,11 @@
     lost: bool = False
 
     def all(self) -> tuple[str, ...]:
-        """Return every host of both lists once."""
+        """Return the hosts of both lists without duplicates."""
         return tuple(dict.fromkeys((*self.hosts, *self.leaving)))
 
     def is_majority(self, hosts: Iterable[str]) -> bool:
-        """Whether ``hosts`` hold a majority of each list.
+        """Whether ``hosts`` include a majority of each list.
 
         >>> change = WitnessList(hosts=("c", "d", "e"), leaving=("a", "b", "c"))
         >>> change.is_majority({"c", "d"})
@@ -84,23 +84,24 @@
         True
         """
         given = set(hosts)
-        lists = [one for one in (self.hosts, self.leaving) if one]
+        lists = [members for members in (self.hosts, self.leaving) if members]
         return bool(lists) and all(
-            len(given.intersection(one)) > len(one) // 2 for one in lists
+            len(given.intersection(members)) > len(members) // 2 for members in lists
         )
 
     def can_recover_from(self, hosts: Iterable[str]) -> bool:
-        """Whether ``hosts`` (with memory) meet every majority in at least one host."""
+        """Whether ``hosts`` (with memory) share a host with every possible majority."""
         given = set(hosts)
-        lists = [one for one in (self.hosts, self.leaving) if one]
+        lists = [members for members in (self.hosts, self.leaving) if members]
         return bool(lists) and all(
-            len(given.intersection(one)) >= (len(one) + 1) // 2 for one in lists
+            len(given.intersection(members)) >= (len(members) + 1) // 2
+            for members in lists
         )
 
 
 @final
 class Tables:
-    """Newest known values; only grows in revisions, whoever brings them."""
+    """The newest values received; a revision never decreases, whatever its source."""
 
     def __init__(self, *, shards: Mapping[str, int]) -> None:
         self._shards = dict(shards)
@@ -118,12 +119,12 @@
         self._owned: dict[str, set[int]] = {}
 
     def install(self, item: Item) -> bool:
-        """Take a value unless the same or a newer one is known already.
+        """Install a value unless the same or a newer revision is installed.
 
-        Raises ``InputError`` for one that can't be read, of which nothing is taken.
+        Raises ``InputError`` for a value that can't be read, and changes nothing then.
         """
-        # A peer that was cut off or paused passes on what it knew: an older
-        # revision must never come back in force.
+        # A peer that was partitioned or paused forwards outdated values. An older
+        # revision must never replace a newer one.
         earlier = self.versions.get(item.key, 0)
         if item.revision <= earlier:
             return False
@@ -168,8 +169,8 @@
         if earlier is None or earlier.pins != chunk.pins:
             self.pins[service] = {
                 key: shard
-                for one in self._chunks[service].values()
-                for key, shard in one.pins.items()
+                for other in self._chunks[service].values()
+                for key, shard in other.pins.items()
             }
             self.pinned_keys[service] = {
                 shard: key for key, shard in self.pins[service].items()
@@ -185,7 +186,7 @@
             self._owned.setdefault(entry.owner, set()).add(shard)
 
     def owned_by(self, service: str, server: str) -> dict[int, Entry]:
-        """Return the entries whose owner is ``server``, moving ones included."""
+        """Return the entries owned by ``server``, including those that are moving."""
         owned = {}
         for shard in self._owned.get(server, ()):
             entry = self.entry(service, shard)
@@ -194,32 +195,32 @@
         return owned
 
     def numbers_of(self, server: str) -> AbstractSet[int]:
-        """Return the numbers of the entries whose owner is ``server``."""
+        """Return the shard numbers of the entries that ``server`` owns."""
         return self._owned.get(server, frozenset())
 
     def count_shards(self, service: str, server: str) -> int:
-        """Return how many shards ``server`` owns, without keys' own entries."""
+        """Return how many shards ``server`` owns, not counting pinned keys."""
         shards = self._shards[service]
         return sum(number < shards for number in self._owned.get(server, ()))
 
     def entry(self, service: str, shard: int) -> Entry | None:
-        """Return a shard's entry, pinned ones included."""
+        """Return the entry of a shard or of a pinned key."""
         entries = self.entries[service]
         if shard < len(entries):
             return entries[shard]
         return self.pinned[service].get(shard)
 
     def shard_for(self, service: str, shard: int, key: str | None) -> int:
-        """Return the number of ``key``'s own entry, or ``shard``."""
+        """Return the number of the pinned entry of ``key``, or ``shard`` if none."""
         pins = self.pins[service]
         return pins.get(key, shard) if pins and key is not None else shard
 
     def witnesses(self, domain: str) -> WitnessList | None:
-        """Return a domain's witness list, None when none is known."""
+        """Return a domain's witness list, or None when none is installed."""
         return self._witnesses.get(domain)
 
     def witnessed(self) -> frozenset[str]:
-        """Return the domains whose witness list is known."""
+        """Return the domains whose witness list is installed."""
         return frozenset(self._witnesses)
 
     def is_declared_lost(self, domain: str) -> bool:
@@ -232,15 +233,15 @@
         return self._chunks[service]
 
     def chunk_count(self, service: str) -> int:
-        """Return how many chunks the service's shards need."""
+        """Return the number of chunks that the service's shards need."""
         return -(-self._shards[service] // CHUNK_SHARDS)
 
     def is_complete(self, service: str) -> bool:
-        """Whether every chunk of the service is known."""
+        """Whether every chunk of the service is installed."""
         return len(self._chunks[service]) >= self.chunk_count(service)
 
     def newer_than(self, versions: Mapping[str, int]) -> list[Item]:
-        """Return the values that are newer than ``versions``."""
+        """Return the installed values that are newer than ``versions``."""
         return [
             item
             for key, item in self._items.items()
@@ -248,19 +249,19 @@
         ]
 
     def is_newer_than(self, versions: Mapping[str, int]) -> bool:
-        """Whether anything known is newer than ``versions``."""
+        """Whether any installed value is newer than ``versions``."""
         return any(
             revision > versions.get(key, 0) for key, revision in self.versions.items()
         )
 
     def knows(self, versions: Mapping[str, int]) -> bool:
-        """Whether all of ``versions``, or newer ones, are known."""
+        """Whether all of ``versions``, or newer ones, are installed."""
         return all(
             self.versions.get(key, 0) >= revision for key, revision in versions.items()
         )
 
     def item(self, key: str) -> Item | None:
-        """Return the newest known value of ``key``."""
+        """Return the installed value of ``key``."""
         return self._items.get(key)
 
 
@@ -269,7 +270,7 @@
         return msgspec.msgpack.decode(item.value, type=WitnessList)
     except msgspec.MsgspecError as error:
         raise InputError(
-            f"expected a witness list, got {len(item.value)} bytes that are none:"
+            f"expected a witness list, got {len(item.value)} undecodable bytes:"
             f" {error}; restore the value or upgrade this host",
             step="read witnesses",
             peer=item.key,
