--- a/src/gentianwharf/ownership/_announcer.py
+++ b/src/gentianwharf/ownership/_announcer.py
@@ -14,24 +14,25 @@
 from ._tables import WitnessList, chunk_key, witness_key
 from ._timing import STORE_TIMEOUT_S
 
-MOST_KEPT = 256
-"""Announcements kept after they stand, for moves that still ask for them."""
+MAX_COMPLETED = 256
+"""Completed announcements kept for moves that still look them up."""
 
-MOST_ROUNDS = 4096
-"""Rounds whose answers still count; later ones are asked anew at each tick."""
+MAX_ROUNDS = 4096
+"""Rounds whose answers are accepted, the newest ones; an announcement without a
+majority starts a new round at each tick."""
 
 ROUND_BITS = 48
-"""Bits of the first round's number, drawn at each start so that rounds of an
-earlier life are not taken for this one's."""
+"""Random bits in the number of the first round, drawn at each start, so that answers to
+rounds from before a restart are not counted."""
 
 
 @final
 class Announcer:
-    """Opens announcements for the mover, one a version and domain, and asks."""
+    """Creates and sends announcements, one for each version and domain."""
 
     def __init__(self, *, context: Context) -> None:
         self._context = context
-        self._known: dict[tuple[str, int, str], Announcement] = {}
+        self._announcements: dict[tuple[str, int, str], Announcement] = {}
         self._rounds: dict[int, tuple[str, int, str]] = {}
         self._opening: set[tuple[str, int, str]] = set()
         self._last_round = context.rng.getrandbits(ROUND_BITS)
@@ -39,35 +40,37 @@
     def announcement(
         self, service: str, number: int, revision: int, domain: str
     ) -> Announcement | None:
-        """Return the announcement of a chunk's version, or begin one."""
-        which = (chunk_key(service, number), revision, domain)
-        known = self._known.get(which)
-        if (known is None or known.outdated) and which not in self._opening:
-            self._opening.add(which)
-            Deferred.fromCoroutine(self._open(which))
-        return known
+        """Return the announcement of a chunk's version; start one if there is none."""
+        announcement_key = (chunk_key(service, number), revision, domain)
+        announcement = self._announcements.get(announcement_key)
+        if (
+            announcement is None or announcement.outdated
+        ) and announcement_key not in self._opening:
+            self._opening.add(announcement_key)
+            Deferred.fromCoroutine(self._open(announcement_key))
+        return announcement
 
     def announce_list(
         self, *, domain: str, witnesses: WitnessList, revision: int
     ) -> Announcement:
-        """Return the announcement of a changed witness list to the earlier one."""
-        which = (witness_key(domain), revision, domain)
-        known = self._known.get(which)
-        if known is None or known.outdated:
-            known = Announcement(
+        """Return the announcement of a new witness list to the previous witnesses."""
+        announcement_key = (witness_key(domain), revision, domain)
+        announcement = self._announcements.get(announcement_key)
+        if announcement is None or announcement.outdated:
+            announcement = Announcement(
                 domain=domain, witnesses=witnesses, witness_revision=revision
             )
-            self._known[which] = known
-            self._ask(which)
-        return known
+            self._announcements[announcement_key] = announcement
+            self._send_round(announcement_key)
+        return announcement
 
-    async def _open(self, which: tuple[str, int, str]) -> None:
+    async def _open(self, announcement_key: tuple[str, int, str]) -> None:
         context = self._context
-        key = witness_key(which[2])
+        key = witness_key(announcement_key[2])
         try:
-            # Read after the version was written: a host that was named a witness
-            # before this read has the version from the store, and one that is named
-            # later reads the store later.
+            # The list is read after the version was written: a host that became a
+            # witness before this read has the version from the store, and a host that
+            # becomes one later reads the store later.
             found = await answer_within(
                 context.clock,
                 STORE_TIMEOUT_S,
@@ -79,68 +82,74 @@
             context.log("witnesses-unread", error=str(error))
             return
         finally:
-            self._opening.discard(which)
+            self._opening.discard(announcement_key)
         if found is not None:
-            self._begin(which, found)
+            self._start(announcement_key, found)
 
-    def _begin(self, which: tuple[str, int, str], found: VersionedValue) -> None:
-        domain = which[2]
+    def _start(
+        self, announcement_key: tuple[str, int, str], found: VersionedValue
+    ) -> None:
+        domain = announcement_key[2]
         key = witness_key(domain)
         self._context.tables.install(Item(key, found.revision, found.value))
         witnesses = self._context.tables.witnesses(domain)
         if witnesses is None:
             return
-        self._known[which] = Announcement(
+        self._announcements[announcement_key] = Announcement(
             domain=domain,
             witnesses=witnesses,
             witness_revision=self._context.tables.versions[key],
         )
-        self._drop_ended()
-        self._ask(which)
-
-    def _drop_ended(self) -> None:
-        # Only those that stand: a move waits for its announcement, and one that was
-        # dropped before would never be asked for again.
-        ended = [
-            which
-            for which, known in self._known.items()
-            if known.stands_since_s is not None
+        self._discard_completed()
+        self._send_round(announcement_key)
+
+    def _discard_completed(self) -> None:
+        # Only completed announcements are discarded: a move waits for its announcement
+        # and would not request it again.
+        completed = [
+            announcement_key
+            for announcement_key, announcement in self._announcements.items()
+            if announcement.stands_since_s is not None
         ]
-        for which in ended[:-MOST_KEPT]:
-            del self._known[which]
-        for number in list(self._rounds)[:-MOST_ROUNDS]:
+        for announcement_key in completed[:-MAX_COMPLETED]:
+            del self._announcements[announcement_key]
+        for number in list(self._rounds)[:-MAX_ROUNDS]:
             del self._rounds[number]
 
     def tick(self) -> None:
-        """Ask again where a majority has not answered yet."""
-        for which, known in self._known.items():
-            if known.stands_since_s is None and not known.outdated:
-                self._ask(which)
-
-    def _ask(self, which: tuple[str, int, str]) -> None:
-        key, revision, domain = which
-        known = self._known[which]
+        """Repeat announcements that a majority has not acknowledged yet."""
+        for announcement_key, announcement in self._announcements.items():
+            if announcement.stands_since_s is None and not announcement.outdated:
+                self._send_round(announcement_key)
+
+    def _send_round(self, announcement_key: tuple[str, int, str]) -> None:
+        key, revision, domain = announcement_key
+        announcement = self._announcements[announcement_key]
         item = self._context.tables.item(key)
         if item is None:
             return
         self._last_round += 1
-        known.ask(self._last_round, self._context.now_s)
-        self._rounds[self._last_round] = which
-        question = Announce(
+        announcement.ask(self._last_round, self._context.now_s)
+        self._rounds[self._last_round] = announcement_key
+        message = Announce(
             domain=domain,
             round=self._last_round,
             versions={key: revision},
             items=[item],
         )
-        for host in known.witnesses.all():
-            self._context.send(host, question)
-
-    def hear(self, host: str, answer: Acknowledge) -> None:
-        """Count an acknowledgement; asks the second time when it is the last."""
-        which = self._rounds.get(answer.round)
-        known = self._known.get(which) if which is not None else None
-        if which is None or known is None:
+        for host in announcement.witnesses.all():
+            self._context.send(host, message)
+
+    def handle_acknowledge(self, host: str, answer: Acknowledge) -> None:
+        """Record an acknowledgement, and start the second round once it is needed."""
+        announcement_key = self._rounds.get(answer.round)
+        announcement = (
+            self._announcements.get(announcement_key)
+            if announcement_key is not None
+            else None
+        )
+        if announcement_key is None or announcement is None:
             return
-        known.hear(host, answer, self._context.now_s)
-        if known.wants_second_round():
-            self._ask(which)
+        announcement.hear(host, answer, self._context.now_s)
+        if announcement.wants_second_round():
+            self._send_round(announcement_key)
--- a/src/gentianwharf/ownership/_messages.py
+++ b/src/gentianwharf/ownership/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between hosts, one tagged union, packed by msgspec."""
+"""Messages between hosts: a tagged union, encoded with msgspec."""
 
 from collections.abc import Iterable, Iterator
 from typing import final
@@ -8,20 +8,20 @@
 from gentianwharf.errors import InputError
 
 MOST_MESSAGE_BYTES = 1_000_000
-"""What the links between hosts carry in one message."""
+"""Limit that the links between hosts set for one message."""
 
-MOST_ITEMS_BYTES = 500_000
-"""Values in one message, unless a single one is larger."""
+MAX_ITEMS_BYTES = 500_000
+"""Limit for the values in one message, unless a single value is larger."""
 
 
 class _Message(msgspec.Struct, frozen=True, kw_only=True, tag=True, array_like=True):
-    # As arrays: the names of the fields would be most of a question for a right,
-    # which is the message that hosts send most.
+    # Encoded as arrays, since field names would make up most of ``RightAsk``, which is
+    # the most frequent message.
     pass
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """A store value as read or written: key below the customer's, revision, bytes."""
+    """A store value: key relative to the customer's prefix, revision and bytes."""
 
     key: str
     revision: int
@@ -32,8 +32,8 @@
 class RightAsk(_Message, frozen=True, kw_only=True, tag=True):
     """Ask each witness of ``domain`` for a right to the versions of the tables.
 
-    ``checksum`` is that of all versions; ``versions`` come along only when the
-    witness wants them.
+    ``checksum`` covers all versions; ``versions`` are sent only after the witness has
+    requested them.
     """
 
     domain: str
@@ -44,7 +44,7 @@
 
 @final
 class RightAnswer(_Message, frozen=True, kw_only=True, tag=True):
-    """``good_s`` of right from the moment of asking; 0 when a newer one is known."""
+    """Give a right for ``good_s`` after the request; 0 if a newer version exists."""
 
     domain: str
     round: int
@@ -53,9 +53,9 @@
 
 @final
 class ShareAsk(_Message, frozen=True, kw_only=True, tag=True):
-    """Ask for what is left of another host's rights; versions as in ``RightAsk``.
+    """Ask for the remaining time of a host's rights; versions as in ``RightAsk``.
 
-    Only of the right for ``domain``, unless that is None.
+    Asks for the right for ``domain`` only, or for all rights if that is None.
     """
 
     round: int
@@ -66,10 +66,10 @@
 
 @final
 class ShareAnswer(_Message, frozen=True, kw_only=True, tag=True):
-    """What is left, by domain, from the moment of asking.
+    """Give the remaining time of rights by domain, counted from the request.
 
-    ``others_s`` stands for every domain that is not named and has a witness list in the
-    versions of the question: mostly that is all of them.
+    ``others_s`` holds for each domain that is not named and has a witness list in the
+    versions of the request; usually these are all domains.
     """
 
     round: int
@@ -77,15 +77,16 @@
     others_s: float = 0.0
 
     def left_s(self, domain: str) -> float:
-        """Return what is left of the right for ``domain``."""
+        """Return the remaining time of the right for ``domain``."""
         return self.good_s.get(domain, self.others_s)
 
 
 @final
 class VersionsWanted(_Message, frozen=True, kw_only=True, tag=True):
-    """The checksum in your question is not mine: ask again with all versions.
+    """Ask the receiver to repeat its request with all versions.
 
-    ``domain`` and ``round`` are those of the question, ``is_share`` its kind.
+    The checksum in the request differs from the sender's. ``domain`` and ``round`` are
+    those of the request; ``is_share`` says whether it was a ``ShareAsk``.
     """
 
     domain: str | None
@@ -95,7 +96,7 @@
 
 @final
 class Announce(_Message, frozen=True, kw_only=True, tag=True):
-    """Acknowledge that you know these versions; ``items`` bring them along."""
+    """Ask a witness to acknowledge ``versions``; ``items`` contain their values."""
 
     domain: str
     round: int
@@ -105,10 +106,11 @@
 
 @final
 class Acknowledge(_Message, frozen=True, kw_only=True, tag=True):
-    """The witness knows the versions of ``round``, and forgets them only by dying.
+    """Confirm that the witness has the versions of ``round`` and keeps them in memory.
 
-    ``incarnation`` changes when it restarts; ``witness_revision`` is the newest
-    revision of its domain's witness list that it knows.
+    It loses them only in a restart, and then its ``incarnation`` changes.
+    ``witness_revision`` is the newest revision of its domain's witness list that it
+    has installed.
     """
 
     domain: str
@@ -119,21 +121,21 @@
 
 @final
 class Items(_Message, frozen=True, kw_only=True, tag=True):
-    """Store values that the receiver may not have yet."""
+    """Send store values that the receiver may not have."""
 
     items: list[Item]
 
 
 @final
 class Pull(_Message, frozen=True, kw_only=True, tag=True):
-    """Send what is newer than these versions."""
+    """Ask for the values that are newer than ``versions``."""
 
     versions: dict[str, int]
 
 
 @final
 class RecoverAsk(_Message, frozen=True, kw_only=True, tag=True):
-    """From a witness that lost its memory, to the other witnesses of its domain."""
+    """Ask the other witnesses of the domain for the state lost in a restart."""
 
     domain: str
     incarnation: int
@@ -141,7 +143,7 @@
 
 @final
 class RecoverAnswer(_Message, frozen=True, kw_only=True, tag=True):
-    """All that a witness with memory knows; the values go ahead as ``Items``."""
+    """List the versions of a witness with memory; the values were sent as ``Items``."""
 
     domain: str
     incarnation: int
@@ -150,10 +152,10 @@
 
 @final
 class ControlAlive(_Message, frozen=True, kw_only=True, tag=True):
-    """The sender holds the control lease of ``service`` under ``term``.
+    """Heartbeat of the ``holder`` of the control lease of ``service`` under ``term``.
 
-    It asks for the counts of the keys in the ``watched`` shards. In a large domain the
-    ``holder``'s message is passed on by others; ``number`` grows with each.
+    It requests the counts of the keys in the ``watched`` shards. In a large domain
+    other hosts forward the message; ``number`` increases with each heartbeat.
     """
 
     service: str
@@ -165,10 +167,10 @@
 
 @final
 class DeadlineAsk(_Message, frozen=True, kw_only=True, tag=True):
-    """Ask each witness of ``domain`` to remember how long requests may go on.
+    """Ask each witness of ``domain`` to record the longest deadlines of requests.
 
-    Requests for a shard may carry deadlines up to ``wanted_s`` from now; 0 asks only
-    for what the witness remembers.
+    Requests for a shard may carry deadlines up to ``wanted_s`` from now; 0 only asks
+    for the deadline that the witness has recorded.
     """
 
     domain: str
@@ -179,9 +181,10 @@
 
 @final
 class DeadlineAnswer(_Message, frozen=True, kw_only=True, tag=True):
-    """By shard, how far from now the longest deadline may be that it remembers.
+    """Give, by shard, the time left until the longest deadline that is recorded.
 
-    ``witness_revision`` is the revision of the domain's witness list that it knows.
+    ``witness_revision`` is the revision of the domain's witness list that the witness
+    has installed.
     """
 
     domain: str
@@ -192,7 +195,7 @@
 
 @final
 class Probe(_Message, frozen=True, kw_only=True, tag=True):
-    """A server did not answer me: try it and tell ``control`` what you see."""
+    """Ask for a probe of a server that did not answer, with a report to ``control``."""
 
     server: str
     control: str
@@ -200,26 +203,26 @@
 
 @final
 class Suspect(_Message, frozen=True, kw_only=True, tag=True):
-    """The sender got no answer from ``server``."""
+    """Report that the sender got no answer from ``server``."""
 
     server: str
 
 
 @final
 class Leaving(_Message, frozen=True, kw_only=True, tag=True):
-    """``server`` says itself that it is draining."""
+    """Report that ``server`` itself says that it is draining."""
 
     server: str
 
 
 @final
 class Loads(_Message, frozen=True, kw_only=True, tag=True):
-    """Requests per second that the sender sent for its busiest shards.
+    """Report the sender's requests per second for its busiest shards.
 
-    ``busy_s`` is how long servers took over the ``answers`` since the last report;
-    ``keys`` are counts of the busiest keys in watched shards, and ``watched`` those
-    of the shards since they have been watched. ``hosts`` is how many hosts the report
-    stands for: in a large fleet a sample of them reports.
+    ``busy_s`` is the time that servers spent on the ``answers`` since the last report.
+    ``keys`` counts requests for the busiest keys in watched shards, and ``watched``
+    counts those for each shard since it has been watched. ``hosts`` is the number of
+    hosts that the report represents: in a large fleet only a sample of hosts reports.
     """
 
     service: str
@@ -233,10 +236,10 @@
 
 @final
 class MoveRequest(_Message, frozen=True, kw_only=True, tag=True):
-    """For the control holder: move a shard to a server.
+    """Ask the control holder to move a shard to a server.
 
-    With a ``key``, that key gets an entry of its own there; an empty ``server`` takes
-    the entry away again.
+    With a ``key``, only that key is pinned to the server; an empty ``server`` removes
+    the pin.
     """
 
     service: str
@@ -246,11 +249,11 @@
 
 
 def batches(items: Iterable[Item]) -> Iterator[Items]:
-    """Part ``items`` into messages of a size that the links carry."""
+    """Split ``items`` into messages within the size limit of the links."""
     batch: list[Item] = []
     size = 0
     for item in items:
-        if batch and size + len(item.value) > MOST_ITEMS_BYTES:
+        if batch and size + len(item.value) > MAX_ITEMS_BYTES:
             yield Items(items=batch)
             batch, size = [], 0
         batch.append(item)
@@ -286,12 +289,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """Pack a message."""
+    """Encode a message."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes, *, peer: str) -> Message:
-    """Unpack a message from ``peer``; raises ``InputError`` when it is none."""
+    """Decode a message from ``peer``; raises ``InputError`` if it is invalid."""
     if len(data) > MOST_MESSAGE_BYTES:
         raise InputError(
             f"expected at most {MOST_MESSAGE_BYTES} bytes, got {len(data)}",
--- a/src/gentianwharf/ownership/_protocols.py
+++ b/src/gentianwharf/ownership/_protocols.py
@@ -1,4 +1,4 @@
-"""What the ownership system needs from other parts of the daemon."""
+"""Interfaces that the ownership system requires from other parts of the daemon."""
 
 from collections.abc import Awaitable, Callable, Coroutine, Mapping, Sequence
 from typing import Any, Protocol, TypeVar, cast
@@ -15,30 +15,30 @@
 
 
 class PeerLink(Protocol):
-    """Messages to fellow hosts; they may be lost, late, doubled or out of order."""
+    """Link to the other hosts; messages may be lost, late, duplicated or reordered."""
 
     def send(self, host: str, message: Message) -> None:
-        """Send without waiting; never raises for a peer that is out of reach."""
+        """Send without blocking; never raises for an unreachable peer."""
 
     def hosts_of(self, domain: str) -> Sequence[str]:
         """Return the entry hosts that the platform lists for a domain."""
 
     def is_live(self, host: str) -> bool:
-        """Whether ``host`` has been heard lately; its own host always is."""
+        """Whether ``host`` sent a message recently; always true for the own host."""
 
 
 class Log(Protocol):
-    """Where the system says what it did; the daemon turns it into log lines."""
+    """Receives the events of the system; the daemon writes them as log lines."""
 
     def __call__(self, event: str, **fields: object) -> None:
         """Record ``event``."""
 
 
 SiteOf = Callable[[str, int], str | None]
-"""From a service and a shard to the site where the rules want its owner."""
+"""Maps a service and a shard to the site where the rules place its owner."""
 
 SingleKeySites = Callable[[str], Mapping[str, str | None]]
-"""From a service to the keys that a rule of their own sends to a site."""
+"""Maps a service to the keys that have their own rule, with the site of each."""
 
 
 async def answer_within(
@@ -49,12 +49,12 @@
     step: str,
     peer: str,
 ) -> Result:
-    """Await an answer; raises ``OutcomeUnknownError`` when it takes too long."""
+    """Await an answer; raises ``OutcomeUnknownError`` after ``timeout_s``."""
     coroutine = cast("Coroutine[Deferred[Any], Any, Result]", awaitable)
-    waiting = Deferred.fromCoroutine(coroutine)
-    waiting.addTimeout(timeout_s, clock)
+    deferred = Deferred.fromCoroutine(coroutine)
+    deferred.addTimeout(timeout_s, clock)
     try:
-        return await waiting
+        return await deferred
     except (defer.TimeoutError, defer.CancelledError) as error:
         raise OutcomeUnknownError(
             f"expected an answer within {timeout_s} s, got none; it is asked again",
--- a/src/gentianwharf/ownership/_system.py
+++ b/src/gentianwharf/ownership/_system.py
@@ -297,7 +297,7 @@
         )
 
     def _handle_acknowledge(self, host: str, message: Acknowledge) -> None:
-        self._announcer.hear(host, message)
+        self._announcer.handle_acknowledge(host, message)
         for control in self._controls.values():
             control.mover.tick_soon()
 
