--- a/tests/builders_ownership_servers.py
+++ b/tests/builders_ownership_servers.py
@@ -1,4 +1,4 @@
-"""The backend servers of the small world for tests of ownership."""
+"""Simulated backend servers for the tests of ownership."""
 
 from collections import defaultdict
 from collections.abc import Callable, Sequence
@@ -25,7 +25,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """A request on its way to a server."""
+    """A request that was sent to a server."""
 
     host: str
     shard: int
@@ -37,7 +37,7 @@
 @final
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Run:
-    """A request that a server ran."""
+    """A request that a server executed."""
 
     shard: int
     token: int
@@ -47,7 +47,7 @@
 
 @final
 class FakeServer:
-    """A backend server: its grants, what it runs, and what waits in its buffers."""
+    """A backend server: its grants, running requests and buffered messages."""
 
     def __init__(self, world: "World", entity: BackendServer, offset_s: float) -> None:
         self._world = world
@@ -62,11 +62,11 @@
         self.cold_start()
 
     def now_s(self) -> float:
-        """Return the server's own time."""
+        """Return the time of the server's clock."""
         return self._world.clock.seconds() + self._offset_s
 
     def cold_start(self) -> None:
-        """Start anew, remembering nothing."""
+        """Restart without any state."""
         self.lost = False
         self.buffer.clear()
         self.requests.clear()
@@ -78,7 +78,7 @@
         )
 
     def arrive(self, act: Callable[[], None]) -> None:
-        """Take something in, or keep it in the buffers while frozen."""
+        """Handle an arriving message, or buffer it while frozen."""
         if self.lost:
             return
         if self.frozen:
@@ -87,14 +87,14 @@
             act()
 
     def thaw(self) -> None:
-        """Go on, as though nothing had happened."""
+        """Continue after a freeze, and handle the buffered messages."""
         self.frozen = False
         buffer, self.buffer = self.buffer, []
         for act in buffer:
             act()
 
     def run(self, request: Request) -> None:
-        """Run a request, or refuse it as not the owner."""
+        """Execute a request, or refuse it if this server is not the owner."""
         if request not in self.requests:
             return
         self.requests.remove(request)
@@ -133,13 +133,13 @@
         )
 
     def is_running(self, shards: Sequence[int]) -> bool:
-        """Whether anything runs for these shards."""
+        """Whether any request of these shards is running."""
         return any(self._running[shard] for shard in shards)
 
 
 @final
 class ServersClient:
-    """One host's way to the backend servers."""
+    """One host's client of the backend servers."""
 
     def __init__(self, world: "World", host: str, clock: HostClock) -> None:
         self._world = world
@@ -168,17 +168,19 @@
         return await answer
 
     async def grant(self, server: BackendServer, grant: Grant) -> GrantOutcome:
-        """Grant, at once or as the network lets it."""
+        """Send a grant over the simulated network."""
         return await self._order(
-            server, lambda one: one.table.grant(grant, now_s=one.now_s()), faulty=True
+            server,
+            lambda target: target.table.grant(grant, now_s=target.now_s()),
+            faulty=True,
         )
 
     async def release(
         self, server: BackendServer, service: str, tokens: dict[int, int]
     ) -> GrantOutcome:
-        """Release; answers when what ran is done."""
+        """Release shards; answers once their running requests are complete."""
         outcome = await self._order(
-            server, lambda one: one.table.release(tokens), faulty=True
+            server, lambda target: target.table.release(tokens), faulty=True
         )
         found = self._world.servers[server.id]
         while found.is_running(list(tokens)):
@@ -186,7 +188,7 @@
         return outcome
 
     async def report(self, server: BackendServer) -> ServerReport:
-        """Report on the server."""
+        """Return the server's report."""
         return await self._order(server, self._report, faulty=False)
 
     @staticmethod
@@ -202,5 +204,5 @@
         )
 
     async def drain(self, server: BackendServer) -> None:
-        """Not used here."""
+        """Raise, since these tests do not use it."""
         raise PeerUnavailableError("not used", step="drain", peer=server.id)
--- a/tests/test_ownership_guards.py
+++ b/tests/test_ownership_guards.py
@@ -1,4 +1,4 @@
-"""Each guard of the protocol, and the fault that shows when it is taken out."""
+"""Each guard of the protocol, with and without it; without it the test must fail."""
 
 from collections.abc import Callable
 
@@ -33,13 +33,13 @@
 
 
 def stale_host_still_sends() -> None:
-    """Cut a server off from all hosts but one, and that host from the others.
+    """Partition a server from all hosts but one, and that host from the others.
 
-    That host has heard of no move and keeps sending for as long as its right lasts.
-    The move must not grant the shard before then.
+    The isolated host is not informed of the move and keeps sending until its right
+    expires. The shard must not be granted to the new owner before then.
     """
     world = build(deadline_cap_s=0.1, knows_validity=False, gives_stamp=False)
-    server = next(one for one in world.servers if "-lac-" in one)
+    server = next(name for name in world.servers if "-lac-" in name)
     stale = "ariana-1"
     for host in world.hosts:
         if host != stale:
@@ -54,39 +54,43 @@
     assert world.owner(0) != server
 
 
-def waiting(world: World) -> list[Request]:
-    return [one for server in world.servers.values() for one in server.requests]
+def pending_requests(world: World) -> list[Request]:
+    return [request for server in world.servers.values() for request in server.requests]
 
 
 def frozen_server_thaws_with_full_buffers() -> None:
-    """Freeze a server that knows tokens alone, with requests in its buffers.
+    """Freeze a server that checks only tokens, with requests in its buffers.
 
-    Its shards move; it thaws and runs what it finds, unless the new owner waited
-    until those requests were past their deadlines.
+    Its shards move. When it thaws, it runs the buffered requests, unless the new owner
+    waited until their deadlines had passed.
     """
     world = build(deadline_cap_s=2.0, knows_validity=False, gives_stamp=False)
     world.servers[world.owner(0)].frozen = True
-    # A deadline that the witnesses had to allow: the others end soon after the rights,
-    # and whether one is left when a new owner is there depends on when hosts asked.
+    # This deadline needs an allowance of the witnesses. Shorter deadlines pass soon
+    # after the rights expire, so whether one is still open when the new owner starts
+    # would depend on when hosts asked for their rights.
     host = world.hosts["lac-1"]
     host.system.route(SERVICE, 0, deadline_s=host.clock.seconds() + 2.0)
     world.advance(0.02)
     assert world.request("lac-1", 0)
-    assert max(one.deadline_s for one in waiting(world)) > world.clock.seconds() + 1.5
+    assert (
+        max(request.deadline_s for request in pending_requests(world))
+        > world.clock.seconds() + 1.5
+    )
     world.traffic(4.0)
 
 
 def cold_server_is_granted_what_it_released() -> None:
-    """Restart a server just after it released, with no memory of the release.
+    """Restart a server just after it released a shard, without its state.
 
-    A host that was cut off just before has not heard of the move. It finds the
-    server without the shard and grants it anew under the old token.
+    A host that was partitioned shortly before is not informed of the move. It finds
+    the server without the shard and grants the shard again under the old token.
     """
     world = build(knows_validity=False, gives_stamp=False)
     old = world.owner(0)
     domain = world.servers[old].entity.domain
-    stale = next(one for one in world.hosts if one.startswith(domain))
-    new = next(one for one in world.servers if domain not in one)
+    stale = next(name for name in world.hosts if name.startswith(domain))
+    new = next(name for name in world.servers if domain not in name)
     for host in world.hosts:
         if host != stale:
             world.cut(host, stale)
@@ -115,14 +119,14 @@
 ]
 
 
-@pytest.mark.parametrize("case", GUARDS, ids=[one[0] for one in GUARDS])
+@pytest.mark.parametrize("case", GUARDS, ids=[guard[0] for guard in GUARDS])
 def test_guard_keeps_one_owner(
     case: tuple[str, Callable[[], None], Callable[[Patch], None]],
 ) -> None:
     case[1]()
 
 
-@pytest.mark.parametrize("case", GUARDS, ids=[one[0] for one in GUARDS])
+@pytest.mark.parametrize("case", GUARDS, ids=[guard[0] for guard in GUARDS])
 def test_fault_shows_without_the_guard(
     case: tuple[str, Callable[[], None], Callable[[Patch], None]],
     monkeypatch: Patch,
--- a/tests/test_ownership_store_calls.py
+++ b/tests/test_ownership_store_calls.py
@@ -1,4 +1,4 @@
-"""How many calls of the store ownership takes, counted on 6 hosts of 3 domains."""
+"""Number of store calls that ownership makes, counted on 6 hosts in 3 domains."""
 
 from collections.abc import Callable
 
@@ -14,12 +14,12 @@
     return world
 
 
-def stay(world: World) -> None:
+def idle(world: World) -> None:
     world.advance(60.0)
 
 
 def move_one(world: World) -> None:
-    new = next(one for one in world.servers if one != world.owner(3))
+    new = next(name for name in world.servers if name != world.owner(3))
     world.hosts["lac-1"].system.move(SERVICE, 3, new)
     world.advance(1.0)
     assert world.owner(3) == new
@@ -38,9 +38,9 @@
 
 
 @pytest.mark.parametrize(
-    ("act", "shards", "most_writes", "most_reads", "most_watches"),
+    ("act", "shards", "max_writes", "max_reads", "max_watches"),
     [
-        pytest.param(stay, 12, 0, 73, 18, id="idle-for-a-minute"),
+        pytest.param(idle, 12, 0, 73, 18, id="idle-for-a-minute"),
         pytest.param(move_one, 12, 2, 1, 12, id="one-move"),
         pytest.param(move_a_thousand, 1500, 80, 40, 240, id="a-thousand-moves"),
         pytest.param(restart_every_host, 12, 12, 40, 6, id="all-hosts-restart"),
@@ -49,23 +49,24 @@
 def test_store_calls(
     act: Callable[[World], None],
     shards: int,
-    most_writes: int,
-    most_reads: int,
-    most_watches: int,
+    max_writes: int,
+    max_reads: int,
+    max_watches: int,
 ) -> None:
     world = build(shards)
     world.store.calls.clear()
     act(world)
     calls = world.store.calls
-    assert calls["swap"] <= most_writes, calls
-    assert calls["get"] + calls["get_many"] <= most_reads, calls
-    assert calls["watch"] <= most_watches, calls
+    assert calls["swap"] <= max_writes, calls
+    assert calls["get"] + calls["get_many"] <= max_reads, calls
+    assert calls["watch"] <= max_watches, calls
 
 
 def test_idle_reads_do_not_grow_with_the_hosts_of_a_domain() -> None:
-    """A domain has more hosts than witnesses; those others never have a memory.
+    """A domain has more hosts than witnesses; only witnesses have a memory.
 
-    Were they to wait for one, each would read the whole table twice a second.
+    If the other hosts waited for a memory, each would read the whole table twice a
+    second.
     """
     world = build(12, hosts_a_domain=7)
     world.store.calls.clear()
@@ -77,9 +78,10 @@
 def test_a_loss_takes_one_write_for_the_intents_and_one_for_the_owners(
     seed: int,
 ) -> None:
-    """Suspicions went on coming in while the intents were on their way to the store.
+    """More suspicions arrive while the intents are being written to the store.
 
-    They were written a second time, under other tokens, and the wait began anew.
+    The intents were then written a second time, under other tokens, which restarted
+    the wait for rights.
     """
     world = World(seed=seed, hosts_a_domain=2)
     world.settle()
--- a/tests/test_ownership_values.py
+++ b/tests/test_ownership_values.py
@@ -1,4 +1,4 @@
-"""Values of the store that can't be read: damaged, by hand, or of a newer version."""
+"""Store values that can't be read: damaged, edited by hand, or of a newer version."""
 
 import pytest
 from hypothesis import given, settings
@@ -22,10 +22,10 @@
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.integers(0, len(PACKED) - 1), st.integers(0, 255), st.integers(0, 255))
 def test_damaged_chunk_is_read_or_named(place: int, first: int, second: int) -> None:
-    """Some bytes of a table are not what was written.
+    """Some bytes of a stored table are damaged.
 
-    Two in five such values ended in an IndexError or a KeyError, which names neither
-    the value nor what to do.
+    Without checks, two in five such values raised an IndexError or a KeyError, which
+    names neither the value nor a remedy.
     """
     damaged = bytearray(PACKED)
     damaged[place] = first
@@ -60,9 +60,9 @@
 
 
 def test_value_that_cannot_be_read_does_not_take_the_others_along() -> None:
-    """A newer host writes a table that this one can't read yet.
+    """A host of a newer version writes a table that this host can't read.
 
-    The values that came in the same message were lost with it.
+    The other values of the same message must not be lost.
     """
     world = World(shards=4)
     world.settle()
