--- a/tests/test_ownership_interleavings.py
+++ b/tests/test_ownership_interleavings.py
@@ -1,7 +1,7 @@
-"""One owner at every step, whatever fails together: a Hypothesis state machine.
+"""A Hypothesis state machine: one owner at every step under combined faults.
 
-Each fault ends by itself after a while, so that several overlap and moves still
-come about between them.
+Each fault ends by itself after a while, so that faults overlap and moves still take
+place between them.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class OwnershipMachine(RuleBasedStateMachine):
-    """Faults in any order, two and more at a time, under steady requests."""
+    """Applies faults in any order, also several at a time, under steady requests."""
 
     @initialize(
         seed=st.integers(0, 2**32),
@@ -34,7 +34,7 @@
     def start(
         self, seed: int, stamps: bool, delay_share: float, double_share: float
     ) -> None:
-        """Start a world that serves."""
+        """Start a world and wait until it serves all shards."""
         self.world = World(
             seed=seed,
             shards=SHARDS,
@@ -48,7 +48,7 @@
         self.world.double_share = double_share
 
     def later(self, delay_s: float, act: Callable[[], None]) -> None:
-        """End a fault."""
+        """Schedule the end of a fault."""
         self.world.clock.callLater(delay_s, act)
 
     def owner(self, shard: int) -> FakeServer:
@@ -62,7 +62,7 @@
 
     @rule(shard=shards, lasts_s=lasts)
     def freeze_owner(self, shard: int, lasts_s: float) -> None:
-        """Freeze a server; it returns as though nothing had happened."""
+        """Freeze a server; it resumes later with its state and buffers."""
         found = self.owner(shard)
         if not found.frozen:
             found.frozen = True
@@ -70,7 +70,7 @@
 
     @rule(shard=shards, lasts_s=lasts)
     def lose_owner(self, shard: int, lasts_s: float) -> None:
-        """Lose a server; it comes back cold."""
+        """Lose a server; it restarts later without state."""
         found = self.owner(shard)
         if not found.lost:
             found.lost = True
@@ -104,7 +104,7 @@
 
     @rule(host=hosts)
     def restart_host(self, host: str) -> None:
-        """Restart a host with nothing kept."""
+        """Restart a host without state."""
         self.world.start_host(host)
 
     @rule(
@@ -113,7 +113,7 @@
         lasts_s=lasts,
     )
     def cut(self, one: str, other: str, lasts_s: float) -> None:
-        """Cut two places off from each other."""
+        """Cut the connection between two hosts, domains or the store."""
         pair = frozenset((one, other))
         if len(pair) == 2 and pair not in self.world.cuts:
             self.world.cuts.add(pair)
@@ -121,13 +121,13 @@
 
     @rule(lasts_s=lasts)
     def store_down(self, lasts_s: float) -> None:
-        """Take the store away for a while."""
+        """Make the store unavailable for a while."""
         self.world.store.down = True
         self.later(lasts_s, lambda: setattr(self.world.store, "down", False))
 
     @rule(count=st.integers(1, 3))
     def lose_answers(self, count: int) -> None:
-        """Let the next writes take effect and lose their answers."""
+        """Apply the next writes, but lose their answers."""
         self.world.store.lose_answers = count
 
     @rule(shard=shards, server=st.sampled_from(SERVERS))
@@ -139,7 +139,7 @@
 
     @rule(key=st.sampled_from(KEYS), server=st.sampled_from(["", *SERVERS]))
     def pin(self, key: str, server: str) -> None:
-        """Give a key an entry of its own, or take it away."""
+        """Pin a key to a server, or remove the pin."""
         for host in self.world.hosts.values():
             if host.system.state().controls and not host.clock.paused:
                 host.system.pin(SERVICE, key, server)
--- a/tests/test_ownership_system.py
+++ b/tests/test_ownership_system.py
@@ -1,4 +1,4 @@
-"""The ownership system as a whole, on virtual clocks, through fault after fault."""
+"""The whole ownership system on virtual clocks, under one kind of fault per test."""
 
 import pytest
 from twisted.internet.defer import Deferred
@@ -31,22 +31,25 @@
 
 def holder(world: World) -> str:
     return next(
-        one for one, host in world.hosts.items() if host.system.state().controls
+        name for name, host in world.hosts.items() if host.system.state().controls
     )
 
 
 def test_first_start_makes_a_table_and_serves_every_shard() -> None:
     world = build()
-    counts = [sum(world.owner(s) == one for s in range(12)) for one in world.servers]
+    counts = [
+        sum(world.owner(shard) == server for shard in range(12))
+        for server in world.servers
+    ]
     assert counts == [2] * 6
     world.check_one_owner()
 
 
 def test_lost_server_is_replaced_within_a_second() -> None:
-    """A server dies; families get errors for its keys.
+    """A server crashes, and requests for its keys fail.
 
-    Probes of two hosts go unanswered, the domain's witnesses agree, and its shards
-    move once no grant of it can be alive.
+    Probes from two hosts get no answer, the witnesses of the domain agree, and the
+    shards move once all grants to the server must have expired.
     """
     world = build()
     world.servers[world.owner(0)].lost = True
@@ -60,10 +63,10 @@
 def test_server_lost_with_the_control_holder_is_replaced_within_a_second(
     seed: int, guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A rack loses power with a server and the host that would move its keys.
+    """A server is lost together with the control holder, which would move its keys.
 
-    The next holder gets the lease only when the lost one's has ended; were only then
-    the wait for rights to begin, the keys would be unserved for more than a second.
+    The next holder gets the lease only after the old one has expired. If the wait for
+    rights started only then, the keys would be unserved for more than a second.
     """
     if not guarded:
         monkeypatch.setattr(_service_control, "STANDBYS", 0)
@@ -75,10 +78,10 @@
 
 @pytest.mark.parametrize("stamps", [WEAK, STAMPS])
 def test_frozen_owner_returns_after_its_keys_moved(stamps: bool) -> None:
-    """A server freezes with requests in its buffers and thaws as though nothing was.
+    """A server freezes with requests in its buffers and resumes after its shards moved.
 
-    Its shards have moved meanwhile. A token alone does not tell it so: what its
-    buffers hold must be past its deadline, or its grant past its validity.
+    A token alone does not show the server that it lost the shards. The buffered
+    requests must be past their deadlines, or the grant past its validity.
     """
     world = build(stamps=stamps)
     frozen = world.servers[world.owner(0)]
@@ -89,18 +92,18 @@
     runs = len(world.runs)
     frozen.thaw()
     world.traffic(1.0)
-    assert not [one for one in world.runs[runs:] if one.server == frozen.entity.id]
+    assert not [run for run in world.runs[runs:] if run.server == frozen.entity.id]
 
 
 def test_control_holder_paused_past_its_lease_orders_nothing() -> None:
-    """The control holder stops in the middle of a move and wakes seconds later.
+    """The control holder is paused during a move and resumes seconds later.
 
-    Another host has finished the move and made a second one; the first holder's
-    order under its old term must not bring the shard back.
+    Meanwhile another host finishes the move and makes a second one. An order of the
+    first holder under its old term must not move the shard back.
     """
     world = build()
     old = holder(world)
-    first, second = [one for one in world.servers if one != world.owner(3)][:2]
+    first, second = [name for name in world.servers if name != world.owner(3)][:2]
     world.hosts[old].system.move(SERVICE, 3, first)
     world.advance(0.055, 0.001)
     world.hosts[old].clock.paused = True
@@ -115,13 +118,13 @@
 
 @pytest.mark.parametrize("lost", [1, 2])
 def test_write_that_took_effect_without_an_answer(lost: int) -> None:
-    """The store takes a move's write and its answer is lost.
+    """The store applies the write of a move, but the answer is lost.
 
-    The holder must go on from what the store says, neither writing a second intent
-    nor dropping the first.
+    The holder must continue from the stored value. It must neither write a second
+    intent nor drop the first one.
     """
     world = build()
-    new = next(one for one in world.servers if one != world.owner(3))
+    new = next(name for name in world.servers if name != world.owner(3))
     world.store.lose_answers = lost
     world.hosts[holder(world)].system.move(SERVICE, 3, new)
     world.traffic(3.0)
@@ -130,13 +133,13 @@
 
 
 def test_domain_that_is_cut_off_keeps_serving_its_keys() -> None:
-    """A domain loses the others and the platform; its own callers go on.
+    """A domain is partitioned from the others and the platform; its callers go on.
 
-    Nobody outside can tell it from a lost one, so its keys must not move.
+    Other domains can't distinguish it from a lost domain, so its keys must not move.
     """
     world = build()
     owners = [world.owner(shard) for shard in range(12)]
-    own = {s for s in range(12) if "-lac-" in owners[s]}
+    own = {shard for shard in range(12) if "-lac-" in owners[shard]}
     world.cut_off("lac")
     for _ in range(5):
         world.traffic(1.0)
@@ -151,9 +154,9 @@
 
 
 def test_store_outage_loses_no_key_though_every_host_restarts_in_it() -> None:
-    """The store is down for a long time; hosts are replaced one after another.
+    """The store is down for a long time while hosts restart one after another.
 
-    Each starts with nothing; its domain's other witnesses tell it what they know.
+    Each host starts without state and recovers from its domain's other witnesses.
     """
     world = build()
     world.store.down = True
@@ -161,7 +164,7 @@
         world.start_host(host)
         world.traffic(2.0)
         world.settle(2.0)
-    assert all(one.system.state().has_memory for one in world.hosts.values())
+    assert all(host.system.state().has_memory for host in world.hosts.values())
 
 
 def test_control_is_taken_after_holder_died_in_a_store_outage() -> None:
@@ -177,7 +180,7 @@
 
 
 def test_assignments_survive_the_loss_of_every_host_at_once() -> None:
-    """All entry hosts lose power and come back empty; the store kept the table."""
+    """All entry hosts crash and restart without state; the store keeps the table."""
     world = build()
     owners = [world.owner(shard) for shard in range(12)]
     for host in list(world.hosts):
@@ -190,7 +193,7 @@
 
 
 def test_host_that_is_cut_off_takes_no_keys_away() -> None:
-    """One host sees every server silent, since it is the one that is cut off."""
+    """A partitioned host gets no answer from any server."""
     world = build()
     owners = [world.owner(shard) for shard in range(12)]
     world.cut_off(holder(world))
@@ -204,9 +207,10 @@
     "listed", [pytest.param(True, id="host-list"), pytest.param(False, id="own-word")]
 )
 def test_leaving_server_gets_no_new_work_after_two_seconds(listed: bool) -> None:
-    """A server is to leave: the host list says so, or only the server itself.
+    """A server is leaving: either the host list says so, or only the server itself.
 
-    The other of the two lags; its keys move while it still serves.
+    One source is enough while the other lags. The keys move while the server still
+    serves.
     """
     world = build()
     leaving = world.owner(0)
@@ -216,7 +220,7 @@
     world.traffic(2.0)
     runs = len(world.runs)
     world.traffic(2.0)
-    assert leaving not in {one.server for one in world.runs[runs:]}
+    assert leaving not in {run.server for run in world.runs[runs:]}
     assert len(world.runs) > runs
 
 
@@ -228,7 +232,7 @@
     world.stop_host(stopping)
     for _ in range(30):
         world.advance(0.1)
-        assert all(world.served(one) == set(range(12)) for one in world.hosts)
+        assert all(world.served(host) == set(range(12)) for host in world.hosts)
     assert holder(world) != stopping
 
 
@@ -237,18 +241,18 @@
     stamps: bool,
 ) -> None:
     world = build(stamps=stamps)
-    new = next(one for one in world.servers if one != world.owner(3))
+    new = next(name for name in world.servers if name != world.owner(3))
     world.hosts["lac-1"].system.move(SERVICE, 3, new)
     unserved_ms = 0
     for _ in range(1000):
         world.advance(0.001, 0.001)
-        unserved_ms += any(3 not in world.served(one) for one in world.hosts)
+        unserved_ms += any(3 not in world.served(host) for host in world.hosts)
     assert world.owner(3) == new
     assert unserved_ms <= 50
 
 
 def test_shards_follow_the_rules_to_the_new_site() -> None:
-    """Operators shift half of the shards to the new site, and back."""
+    """The rules move half of the shards to the new site, and back."""
     world = build()
     for site in ("nouveau", "ancien"):
         world.sites.update(dict.fromkeys(range(6), site))
@@ -264,9 +268,10 @@
 def test_every_witness_is_replaced_one_after_another(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All hosts of a domain are replaced by ones with other names in some minutes.
+    """All hosts of a domain are replaced by hosts with other names in some minutes.
 
-    Were the witness list to stay, the second replacement would end every right.
+    If the witness list did not change, no right could be renewed after the second
+    replacement.
     """
     if not guarded:
         monkeypatch.setattr(_witness_list, "next_list", lambda *_, **__: None)
@@ -280,9 +285,9 @@
 
 
 def test_domain_that_is_declared_lost_gives_up_its_keys() -> None:
-    """A domain burns down. Its keys stay unserved until an operator says so."""
+    """A domain is lost. Its keys are unserved until an operator declares the loss."""
     world = build()
-    for host in [one for one in world.hosts if one.startswith("lac")]:
+    for host in [name for name in world.hosts if name.startswith("lac")]:
         world.stop_host(host)
     for server in world.servers.values():
         server.lost = server.entity.domain == "lac"
@@ -295,7 +300,7 @@
 
 
 def test_hot_shards_are_moved_apart_and_then_stay() -> None:
-    """Two faculties on one server become popular; one of them moves, once."""
+    """Two shards of one server become hot; one of them is moved, once."""
     world = build(weights=PlacementWeights(), busy_s=0.02)
     server = world.owner(0)
     hot = [shard for shard in range(12) if world.owner(shard) == server]
@@ -304,16 +309,16 @@
             world.request("lac-1", shard)
         world.advance(0.2, 0.02)
     assert len({world.owner(shard) for shard in hot}) == len(hot)
-    rebalanced = [one for one in world.logged if one[1] == "rebalance"]
+    rebalanced = [entry for entry in world.logged if entry[1] == "rebalance"]
     assert 1 <= len(rebalanced) <= 2
     assert rebalanced[-1][0] < 30
 
 
 def test_trickle_of_requests_for_one_key_moves_nothing() -> None:
-    """A secretary asks for one club, and nobody for any other.
+    """One key gets a few requests per second, and no other key gets any.
 
-    Within ten seconds a shard changed owner though no request waited: beside a mean
-    of nearly nothing every load is a hot one.
+    A shard changed owner within ten seconds although no request waited: compared with
+    a mean load near zero, any load counted as hot.
     """
     world = build(weights=PlacementWeights())
     owners = [world.owner(shard) for shard in range(12)]
